--- a/tests/test_decisions_unchanged.py
+++ b/tests/test_decisions_unchanged.py
@@ -1,9 +1,10 @@
 """Decisions are bit for bit what they were when the hashes were recorded.
 
 A rewrite that is meant to change how the code reads, and not what it does, must leave everything that
-gateways send where it was: each request, attempt, response, vote, datagram and ledger entry, at the same time and with
-the same draws of chance. Each run here is played again and compared with its recorded hash. A hash changes
-only in a commit that says which rule changed and why; `python -m tests.decisions.recording` prints new ones.
+gateways send where it was: each request, attempt, response, vote, datagram and ledger entry, at the same time
+and with the same draws of chance. Each run here is played again and compared with its recorded hash. A hash
+changes only in a commit that says which rule changed and why; `python -m tests.decisions.recording` prints
+new ones.
 """
 
 from __future__ import annotations
