--- a/benchmarks/lending_fleet.py
+++ b/benchmarks/lending_fleet.py
@@ -19,7 +19,15 @@
 from typing import Any
 
 from benchmarks.lending_gateway import AdmittingStage, SimulatedGateway, plain_settings
-from meadowpulley.interface import LogLine, Reject, Request, SetTimer, Settings, Timer
+from meadowpulley.interface import (
+    LOG_EVENT_TYPES,
+    Reject,
+    Request,
+    SetTimer,
+    Settings,
+    Timer,
+)
+from meadowpulley.interface.log_wording import log_text
 from meadowpulley.ledger.memory import MemoryStore
 from meadowpulley.ledger.model import (
     Changes,
@@ -191,8 +199,8 @@
                 self.commit(gateway, action)
             elif isinstance(action, Scan):
                 self.schedule(self._after_delay(), self._scan, gateway, gateway.epoch, action)
-            elif isinstance(action, LogLine):
-                self.logged.append(action.text)
+            elif isinstance(action, LOG_EVENT_TYPES):
+                self.logged.append(log_text(action))
             elif isinstance(action, Reject):
                 self.rejected[gateway.gateway_index] += 1
         if gateway.stage is not None and gateway.stage.watched_prefixes() != gateway.watched_prefixes:
--- a/meadowpulley/emulator/gateway_services.py
+++ b/meadowpulley/emulator/gateway_services.py
@@ -6,9 +6,10 @@
 from typing import TYPE_CHECKING, Any
 
 from meadowpulley.interface import (
+    LOG_EVENT_TYPES,
     CloseIdleConnections,
     FetchEndpoints,
-    LogLine,
+    LogEvent,
     Probe,
     ProbeResult,
     Result,
@@ -18,6 +19,7 @@
     Vote,
     Watch,
 )
+from meadowpulley.interface.log_wording import log_text
 from meadowpulley.ledger import Commit, Scan, WatchRequest
 
 if TYPE_CHECKING:
@@ -34,7 +36,7 @@
         FetchEndpoints: services.fetch,
         SendGossip: services.send_gossip,
         CloseIdleConnections: services.close_idle,
-        LogLine: services.log,
+        **dict.fromkeys(LOG_EVENT_TYPES, services.log),
         Probe: services.probe,
         Commit: services.commit,
         WatchRequest: services.watch_members,
@@ -95,7 +97,8 @@
         """Fail a health check: described fleets never allow them."""
         self.gateway.dispatch(ProbeResult(action.server, Result.CONNECT_FAILED, 0.0))
 
-    def log(self, action: LogLine) -> None:
-        """Keep a log line of the policy."""
-        self.gateway.log_lines.append((self.emulation.clock.now, action.text))
-        self.emulation.log_event(f"gateway {self.gateway.number}: {action.text}")
+    def log(self, event: LogEvent) -> None:
+        """Keep a log event of the policy or of a stage, as text."""
+        text = log_text(event)
+        self.gateway.log_lines.append((self.emulation.clock.now, text))
+        self.emulation.log_event(f"gateway {self.gateway.number}: {text}")
--- /dev/null
+++ b/meadowpulley/interface/log_wording.py
@@ -0,0 +1,91 @@
+"""Log events as text: one sentence each for hosts whose log takes lines, and fields for a structured log."""
+
+from __future__ import annotations
+
+from dataclasses import fields
+from enum import Enum
+
+from meadowpulley.interface.log_events import (
+    AdoptionFailed,
+    BuildRejected,
+    EndpointListExpired,
+    EndpointListRenewed,
+    ExperimentArmEnded,
+    ExperimentArmHarmful,
+    ExperimentFinished,
+    ExperimentVersionConflict,
+    GatewayIndexConflict,
+    LedgerRecordIgnored,
+    LogEvent,
+    QuotaPlanConflict,
+    QuotaPlanInvalid,
+    RollbackReason,
+)
+
+
+def log_fields(event: LogEvent) -> dict[str, object]:
+    """Return the fields of an event for a structured log: plain values, and none that is not given."""
+    values = {field.name: getattr(event, field.name) for field in fields(event)}
+    return {
+        name: value.value if isinstance(value, Enum) else value
+        for name, value in values.items()
+        if value is not None
+    }
+
+
+def log_text(event: LogEvent) -> str:
+    """Return an event in one sentence."""
+    match event:
+        case BuildRejected():
+            return f"back {event.build}: {_rollback_text(event)}"
+        case EndpointListExpired(age_ms):
+            return f"endpoint list expired, {age_ms:.0f} ms old"
+        case EndpointListRenewed():
+            return "endpoint list in use again"
+        case GatewayIndexConflict(index, other):
+            problem = f"lending: number {index} is in use by gateway '{other}'"
+            return f"{problem}: give each gateway a number of its own"
+        case QuotaPlanInvalid(reason):
+            return f"{reason}: the earlier shares stay"
+        case QuotaPlanConflict(version):
+            return (
+                f"lending: version {version} of the ledger's shares differs from these settings: "
+                "the ledger's hold; raise the version"
+            )
+        case LedgerRecordIgnored(stage, key, reason, writer):
+            source = f" by {writer}" if writer is not None else ""
+            return f"{stage}: record {key!r}{source} left alone: {reason}"
+        case AdoptionFailed(request_id):
+            return f"takeover: request {request_id!r} cannot be adopted: its content is missing"
+        case _:
+            return f"experiment '{event.experiment}': {_experiment_text(event)}"
+
+
+def _rollback_text(event: BuildRejected) -> str:
+    match event.reason:
+        case RollbackReason.FAILURES:
+            return f"fails more than the earlier build, proof {event.evidence_ratio:.1f}"
+        case RollbackReason.LATENCY:
+            bounds = f"{event.slowdown_low_ms:.0f} to {event.slowdown_high_ms:.0f} ms"
+            return f"slower by {bounds}, margin {event.margin_ms:.0f}"
+        case RollbackReason.SHARED_SLOWDOWN:
+            return f"both builds slow with its traffic, usually {event.baseline_latency_ms:.0f} ms"
+        case RollbackReason.SLOW_WITHOUT_BASELINE:
+            return f"slow since the earlier build has gone, usually {event.baseline_latency_ms:.0f} ms"
+
+
+def _experiment_text(
+    event: ExperimentVersionConflict | ExperimentArmHarmful | ExperimentArmEnded | ExperimentFinished,
+) -> str:
+    match event:
+        case ExperimentVersionConflict(_, own, running):
+            return (
+                f"version {own[:8]} is not the fleet's, {running[:8]}: its counts are kept apart; "
+                "start this gateway with the fleet's file"
+            )
+        case ExperimentArmHarmful(_, reason):
+            return reason
+        case ExperimentArmEnded(_, arm):
+            return f"arm '{arm}' has ended"
+        case ExperimentFinished():
+            return "over"
--- a/meadowpulley/lending/stage.py
+++ b/meadowpulley/lending/stage.py
@@ -15,7 +15,18 @@
 from random import Random
 from typing import Protocol, TypeAlias
 
-from meadowpulley.interface import Action, Event, LogLine, Reject, Request, SetTimer, Settings, Timer
+from meadowpulley.interface import (
+    Action,
+    Event,
+    GatewayIndexConflict,
+    QuotaPlanConflict,
+    QuotaPlanInvalid,
+    Reject,
+    Request,
+    SetTimer,
+    Settings,
+    Timer,
+)
 from meadowpulley.ledger.model import (
     LEDGER_EVENTS,
     Commit,
@@ -226,8 +237,7 @@
             return []
         self.conflict_logged = True
         number, other = self.client.gateway_index, self.client.conflicting_incarnation
-        problem = f"lending: number {number} is in use by gateway '{other}'"
-        return [LogLine(f"{problem}: give each gateway a number of its own")]
+        return [GatewayIndexConflict(number, str(other))]
 
     def _next_ticket(self) -> int:
         self.last_ticket += 1
@@ -276,7 +286,7 @@
         try:
             plan = decode_plan(record.value)
         except QuotaPlanError as error:
-            return [LogLine(f"{error}: the earlier shares stay")]
+            return [QuotaPlanInvalid(str(error))]
         actions = self._drop_proposal(plan)
         if plan != self.plan:
             self._apply_plan(now, plan)
@@ -291,8 +301,7 @@
         self.proposed_plan = None
         if proposed.version < plan.version or proposed == plan:
             return []
-        problem = f"lending: version {plan.version} of the ledger's shares differs from these settings"
-        return [LogLine(f"{problem}: the ledger's hold; raise the version")]
+        return [QuotaPlanConflict(plan.version)]
 
     def _apply_plan(self, now: float, plan: QuotaPlan) -> None:
         self.demand.remap_tenants(self.plan, plan)
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -13,11 +13,12 @@
 from structlog.typing import FilteringBoundLogger
 
 from meadowpulley.interface import (
+    LOG_EVENT_TYPES,
     Cancel,
     CloseIdleConnections,
     Fail,
     FetchEndpoints,
-    LogLine,
+    LogEvent,
     Outcome,
     Probe,
     Reject,
@@ -30,6 +31,7 @@
     Vote,
     Watch,
 )
+from meadowpulley.interface.log_wording import log_fields
 from meadowpulley.net.attempts import AttemptRunner
 from meadowpulley.net.client_listener import ClientListener
 from meadowpulley.net.config import Config, ConfigError, reload_config
@@ -119,9 +121,12 @@
             FetchEndpoints: lambda _: self.discovery.fetch(),
             SendGossip: self.gossip.send,
             CloseIdleConnections: lambda action: self.instances.close_idle(action.server),
-            LogLine: lambda action: self.log.info("decision", line=action.text),
+            **dict.fromkeys(LOG_EVENT_TYPES, self._log_event),
         }
 
+    def _log_event(self, event: LogEvent) -> None:
+        self.log.info(event.event_name, **log_fields(event))
+
     # Phases
 
     @property
--- a/meadowpulley/net/gossip.py
+++ b/meadowpulley/net/gossip.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from meadowpulley.digests import MAX_BYTES
+from meadowpulley.gossip.outcome_digest import MAX_BYTES
 from meadowpulley.interface import GossipReceived, SendGossip
 from meadowpulley.net.config import Address
 from meadowpulley.net.gateway_context import GatewayContext
--- a/meadowpulley/placement/stage.py
+++ b/meadowpulley/placement/stage.py
@@ -15,8 +15,11 @@
 
 from meadowpulley.interface import (
     ClientDisconnected,
+    ExperimentArmEnded,
+    ExperimentArmHarmful,
+    ExperimentFinished,
+    ExperimentVersionConflict,
     Fail,
-    LogLine,
     Outcome,
     Phase,
     Reject,
@@ -129,9 +132,6 @@
     def _emit(self, action: Any) -> None:
         self._actions.append(action)
 
-    def _log(self, text: str) -> None:
-        self._emit(LogLine(f"experiment '{self.experiment.name}': {text}"))
-
     # Requests
 
     @property
@@ -222,22 +222,19 @@
         if running is None or running.digest == own_digest or self.definition_conflict:
             return
         self.definition_conflict = True
-        self._log(
-            f"version {own_digest[:8]} is not the fleet's, {running.digest[:8]}: its counts are "
-            "kept apart; start this gateway with the fleet's file"
-        )
+        self._emit(ExperimentVersionConflict(self.experiment.name, own_digest, running.digest))
 
     def _finish(self) -> None:
         if not self.finished:
             self.finished = True
-            self._log("over")
+            self._emit(ExperimentFinished(self.experiment.name))
 
     def _end_arm(self, arm: int, reason: str) -> None:
         if arm in self.ended_arms:
             return
         self.ended_arms[arm] = reason
         self.tracker.bin_recorder.end_arm(arm)
-        self._log(f"arm '{self.experiment.arms[arm].name}' has ended")
+        self._emit(ExperimentArmEnded(self.experiment.name, self.experiment.arms[arm].name))
         if len(self.ended_arms) == len(self.experiment.arms) - 1:  # nothing is left to compare
             self._finish()
 
@@ -285,7 +282,7 @@
                 continue
             reason = harm_reason(self.experiment, merged, arm)
             if reason:
-                self._log(reason)
+                self._emit(ExperimentArmHarmful(self.experiment.name, reason))
                 self._end_arm(arm, reason)
 
     def _check_end_condition(self, now: float, merged: MergedCounters) -> None:
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -12,7 +12,7 @@
 import math
 from enum import Enum
 
-from meadowpulley.interface import LogLine
+from meadowpulley.interface import EndpointListExpired, EndpointListRenewed
 from meadowpulley.state import Server, State
 
 # By the platform's protocol page a change counts as notified so long after discovery had it, at the latest;
@@ -128,5 +128,4 @@
         return
     state.list_lease_expired = expired
     age_ms = state.now - state.list_confirmed_at
-    text = f"endpoint list expired, {age_ms:.0f} ms old" if expired else "endpoint list in use again"
-    state.actions.append(LogLine(text))
+    state.actions.append(EndpointListExpired(age_ms) if expired else EndpointListRenewed(age_ms))
--- a/meadowpulley/policy/list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -9,8 +9,7 @@
 import math
 from bisect import bisect_left
 
-from meadowpulley.interface import GossipReceived, SendGossip
-from meadowpulley.list_confirmations import (
+from meadowpulley.gossip.list_confirmation_codec import (
     MAX_AGE_MS,
     MAX_FINGERPRINTS,
     ListQuery,
@@ -18,6 +17,7 @@
     decode,
     encode,
 )
+from meadowpulley.interface import GossipReceived, SendGossip
 from meadowpulley.policy import evidence
 from meadowpulley.policy.endpoint_lease import NOTIFICATION_MS, list_lease_until
 from meadowpulley.state import Server, State
--- a/meadowpulley/policy/endpoints.py
+++ b/meadowpulley/policy/endpoints.py
@@ -10,7 +10,7 @@
     Phase,
 )
 from meadowpulley.policy import endpoint_lease
-from meadowpulley.policy.list_calls import retry_delay_ms
+from meadowpulley.policy.endpoint_poll_backoff import retry_delay_ms
 from meadowpulley.state import State
 
 LOCAL_ZONE_FRACTION = 0.5  # of the subset: more would overload a zone that has more than its part of requests
--- a/meadowpulley/policy/evidence.py
+++ b/meadowpulley/policy/evidence.py
@@ -2,7 +2,7 @@
 
 import math
 
-from meadowpulley.digests import SERVER_MODULUS, decode, encode
+from meadowpulley.gossip.outcome_digest import SERVER_MODULUS, decode, encode
 from meadowpulley.interface import BuildStatistics, GossipReceived, SendGossip
 from meadowpulley.policy.outlier_detection import SERVER_FAULT_RATE, eject
 from meadowpulley.state import PLATFORM, BuildEvidence, OutcomeCounts, SequentialFailureTest, State
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -11,10 +11,10 @@
 from meadowpulley.policy import (
     admission,
     endpoint_lease,
+    endpoint_list_confirmation,
+    endpoint_poll_backoff,
     endpoints,
     evidence,
-    list_calls,
-    list_confirmation,
     rollout,
     routing,
 )
@@ -31,9 +31,11 @@
     state.timer_at = math.inf if state.now >= state.timer_at else state.timer_at
     if state.now >= state.resubscribe_at:
         state.actions.append(interface.Watch())  # repeated should no response come
-        state.resubscribe_at = state.now + max(state.rules.max_poll_interval_ms, list_calls.RETRY_MS)
-    if state.now >= list_confirmation.next_query_at(state):
-        list_confirmation.query_gateways(state)
+        state.resubscribe_at = state.now + max(
+            state.rules.max_poll_interval_ms, endpoint_poll_backoff.RETRY_MS
+        )
+    if state.now >= endpoint_list_confirmation.next_query_at(state):
+        endpoint_list_confirmation.query_gateways(state)
     eject_unresponsive(state)
     waiting, state.waiting = state.waiting, []
     for in_flight in [waiter for waiter in waiting if waiter.request.request in state.in_flight]:
@@ -61,7 +63,7 @@
     interface.EndpointWatchClosed: endpoints.handle_watch_closed,
     interface.RolloutUpdate: rollout.handle_rollout_update,
     interface.ProbeResult: routing.handle_probe_result,
-    interface.GossipReceived: list_confirmation.handle_gossip,
+    interface.GossipReceived: endpoint_list_confirmation.handle_gossip,
     interface.BuildStatistics: evidence.handle_build_statistics,
 }
 
@@ -89,7 +91,7 @@
         """Take in an event, at a time in ms, and return the actions to carry out."""
         self.now, self.actions = now, []
         if self.resubscribe_at == -math.inf and self.servers:  # discovery serves a fleet's calls in turn
-            self.resubscribe_at = now + list_calls.first_call_delay_ms(self)
+            self.resubscribe_at = now + endpoint_poll_backoff.first_call_delay_ms(self)
         if now > self.timer_at + STALL_MS:
             self.resumed_at = now
         while self.pending_outcomes and self.pending_outcomes[0][0] <= now:
@@ -101,7 +103,7 @@
         idle_ms = 4 * admission.POLL_INTERVAL_MS if self.attempts else math.inf
         poll_at = now + (self.poll_interval_ms if self.waiting else idle_ms)
         gossip_at = self.gossip_at if self.gossip.received else math.inf  # idle or not: digests get old
-        query_at = list_confirmation.next_query_at(self)
+        query_at = endpoint_list_confirmation.next_query_at(self)
         due_at = min(self.evaluate_at, self.resubscribe_at, gossip_at, poll_at, query_at)
         self.set_timer(max(due_at, now), TIMER_TOKEN)
         return self.actions
--- a/meadowpulley/policy/rollout.py
+++ b/meadowpulley/policy/rollout.py
@@ -3,7 +3,16 @@
 import math
 from statistics import fmean
 
-from meadowpulley.interface import LogLine, Phase, Result, RolloutUpdate, StageGate, Verdict, Vote
+from meadowpulley.interface import (
+    BuildRejected,
+    Phase,
+    Result,
+    RollbackReason,
+    RolloutUpdate,
+    StageGate,
+    Verdict,
+    Vote,
+)
 from meadowpulley.policy.admission import FAILURE_DELAY, POLL_INTERVAL_MS, WARMED_UP
 from meadowpulley.policy.endpoints import ROLLBACK_PHASES, partition_servers
 from meadowpulley.policy.evidence import MIN_SAMPLES, evidence_ratio
@@ -76,7 +85,9 @@
     elif not pause.active and slower and state.trial_probability >= MIN_PAUSE_PROBABILITY:
         pause.begin(state.now, PAUSE_MEMORY_SOAKS * soak_ms)
         if pause.count > 2:
-            _roll_back(state, build, f"both builds slow with its traffic, usually {usual_ms:.0f} ms")
+            _roll_back(
+                state, BuildRejected(build, RollbackReason.SHARED_SLOWDOWN, baseline_latency_ms=usual_ms)
+            )
     elif pause.active and enough and not slower and state.now - pause.changed_at > 2 * MIN_BLOCK_MS:
         pause.end(state.now)
     unknown = not enough and pause.changed_at > state.stage_started_at
@@ -90,12 +101,14 @@
     overload = sum([a.unattributable for a in recent[-2 * MIN_SAMPLES :]]) > MIN_SAMPLES / 2  # hides all else
     pause.slow_since = min(pause.slow_since, state.now) if slower and not (more or overload) else math.inf
     if state.now > pause.slow_since + MAX_SLOW_SOAKS * soak_ms:
-        _roll_back(state, build, f"slow since the earlier build has gone, usually {usual_ms:.0f} ms")
+        rejected = BuildRejected(build, RollbackReason.SLOW_WITHOUT_BASELINE, baseline_latency_ms=usual_ms)
+        _roll_back(state, rejected)
 
 
-def _roll_back(state: State, build: int, reason: str) -> None:
-    state.rollback_build, state.traffic_pause.active = build, False
-    state.actions.append(LogLine(f"back {build}: {reason}"))
+def _roll_back(state: State, rejected: BuildRejected) -> None:
+    state.rollback_build = rejected.build
+    state.traffic_pause.active = False
+    state.actions.append(rejected)
 
 
 def _past_fallback_deadline(state: State, rollout: RolloutUpdate) -> bool:
@@ -127,9 +140,16 @@
     if state.rollback_build == build:
         return Verdict.ROLL_BACK
     if evidence >= 1:
-        _roll_back(state, build, f"fails more than the earlier build, proof {evidence:.1f}")
+        _roll_back(state, BuildRejected(build, RollbackReason.FAILURES, evidence_ratio=evidence))
     elif enough and low > margin and rollout.phase is Phase.TRIAL:
-        _roll_back(state, build, f"slower by {low:.0f} to {high:.0f} ms, margin {margin:.0f}")
+        rejected = BuildRejected(
+            build,
+            RollbackReason.LATENCY,
+            slowdown_low_ms=low,
+            slowdown_high_ms=high,
+            margin_ms=margin,
+        )
+        _roll_back(state, rejected)
     suspected = _suspect_shared_slowdown(state, build, rollout.phase is Phase.RELEASED)
     if state.rollback_build == build:
         return Verdict.ROLL_BACK
--- a/meadowpulley/report/fleet_metrics.py
+++ b/meadowpulley/report/fleet_metrics.py
@@ -1,4 +1,7 @@
-"""A fleet second by second: the gateways' own `second` lines added up. `cli/fleet_log.py` reads the files."""
+"""A fleet second by second: the gateways' own lines of metrics added up.
+
+`cli/fleet_metrics.py` reads the files.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +12,12 @@
 from datetime import datetime
 from typing import Any
 
+from meadowpulley.interface import LOG_EVENT_TYPES
+
+DECISION_LINE = "decision"  # in logs of versions before the events had types
+DECISION_EVENTS = {DECISION_LINE, *(kind.event_name for kind in LOG_EVENT_TYPES)}
+COMMON_FIELDS = {"event", "gateway", "level", "timestamp"}  # of every line of a gateway's log
+
 
 @dataclass(slots=True)
 class FleetInterval:
@@ -50,6 +59,13 @@
     total.rollouts.update(interval.rollouts)
 
 
+def _decision_text(event: dict[str, Any]) -> str:
+    if event["event"] == DECISION_LINE:
+        return f"{event['timestamp']} {event['gateway']}: {event['line']}"
+    facts = [f"{name}={value}" for name, value in event.items() if name not in COMMON_FIELDS]
+    return " ".join([f"{event['timestamp']} {event['gateway']}: {event['event']}", *facts])
+
+
 def aggregate_intervals(lines: Iterable[str]) -> tuple[dict[int, FleetInterval], int]:
     """Seconds since the epoch to what the fleet did in them, and how many lines could not be read.
 
@@ -67,9 +83,8 @@
             if event["event"] == "second":
                 interval = _parse_interval(event)
                 _merge(intervals[_second_of(event)], interval)
-            elif event["event"] == "decision":
-                decision = f"{event['timestamp']} {event['gateway']}: {event['line']}"
-                intervals[_second_of(event)].decisions.append(decision)
+            elif event["event"] in DECISION_EVENTS:
+                intervals[_second_of(event)].decisions.append(_decision_text(event))
         except (ValueError, KeyError, TypeError, IndexError, AttributeError, RecursionError):
             unreadable += 1
     return dict(sorted(intervals.items())), unreadable
--- a/meadowpulley/settings.py
+++ b/meadowpulley/settings/reader.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-from meadowpulley.interface import (
+from meadowpulley.settings.types import (
     DeduplicationScope,
     Effect,
     Limits,
--- a/meadowpulley/settings_types.py
+++ b/meadowpulley/settings/types.py
@@ -1,4 +1,4 @@
-"""The types of the settings that a policy gets at its start; `meadowpulley/interface.py` exports them."""
+"""The types of the settings that a policy gets at its start; `meadowpulley/interface` exports them."""
 
 from __future__ import annotations
 
--- a/meadowpulley/simulator_adapter/reply.py
+++ b/meadowpulley/simulator_adapter/reply.py
@@ -15,7 +15,6 @@
     CloseIdleConnections,
     Fail,
     FetchEndpoints,
-    LogLine,
     Probe,
     Reject,
     Send,
@@ -24,6 +23,7 @@
     Vote,
     Watch,
 )
+from meadowpulley.interface.log_wording import log_text
 
 ACTION_SIZE = 32  # bytes of one action record
 ALL_PEERS = 0xFFFF  # in place of a gateway's number
@@ -97,8 +97,11 @@
                 )
             case CloseIdleConnections(server):
                 self._append_record(ActionCode.CLOSE_IDLE_CONNECTIONS, "II", gateway, server)
-            case LogLine(text):
-                self._append_record(ActionCode.LOG_LINE, "III", gateway, *self._append_to_tail(text.encode()))
+            case _:
+                self._add_log_line(gateway, log_text(action))
+
+    def _add_log_line(self, gateway: int, text: str) -> None:
+        self._append_record(ActionCode.LOG_LINE, "III", gateway, *self._append_to_tail(text.encode()))
 
     def encode(self) -> bytes:
         """Return the frame of the whole reply."""
--- a/meadowpulley/stage_pipeline.py
+++ b/meadowpulley/stage_pipeline.py
@@ -13,7 +13,7 @@
 
 from meadowpulley.ledger import LEDGER_EVENTS, Commit, LedgerUnusableError, Stage
 from meadowpulley.ledger.client import LedgerClient, start_ledger
-from meadowpulley.settings_types import Settings
+from meadowpulley.settings.types import Settings
 
 if TYPE_CHECKING:
     from meadowpulley.lending import QuotaPlan
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from meadowpulley.digests import SERVER_MODULUS, TIMEOUT_CLASS, Digest
+from meadowpulley.gossip.outcome_digest import SERVER_MODULUS, TIMEOUT_CLASS, Digest
 from meadowpulley.state.failure_test import ALL_SERVERS, SequentialFailureTest
 from meadowpulley.state.servers import Server
 
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -4,8 +4,8 @@
 
 import math
 
+from meadowpulley.gossip.list_confirmation_codec import fingerprint
 from meadowpulley.interface import Candidate, DeduplicationScope, ServerEntry, ServerState
-from meadowpulley.list_confirmations import fingerprint
 
 
 class Server:
--- a/meadowpulley/takeover/duplicate_waiters.py
+++ b/meadowpulley/takeover/duplicate_waiters.py
@@ -4,12 +4,18 @@
 
 import math
 
-from meadowpulley.interface import Action, Fail, LogLine, Reject
+from meadowpulley.interface import (
+    Action,
+    Fail,
+    LedgerRecordIgnored,
+    Reject,
+)
 from meadowpulley.ledger import CheckVersion, Transaction, TransactionOutcome, TransactionResult
 from meadowpulley.takeover.ledger_view import LedgerView
 from meadowpulley.takeover.messages import Deliver
 from meadowpulley.takeover.records import (
     RESPONSE_PREFIX,
+    STAGE_NAME,
     RecordedResponse,
     RecordError,
     RequestState,
@@ -110,8 +116,8 @@
             try:
                 response = decode_recorded_response(result.existing.value)
             except RecordError as error:
-                line = f"takeover: record {result.existing.key!r} left alone: {error}"
-                builder.actions.append(LogLine(line))
+                ignored = LedgerRecordIgnored(STAGE_NAME, result.existing.key, str(error))
+                builder.actions.append(ignored)
         self.answer_all(builder, request_id, RequestState.SERVED, response)
 
     def due_at_ms(self) -> float:
--- a/meadowpulley/takeover/ledger_view.py
+++ b/meadowpulley/takeover/ledger_view.py
@@ -10,9 +10,11 @@
 import math
 from dataclasses import dataclass, field
 
+from meadowpulley.interface import LedgerRecordIgnored
 from meadowpulley.ledger import Changes, Incarnation, Member, Record
 from meadowpulley.takeover.records import (
     RECORD_PREFIX,
+    STAGE_NAME,
     RecordError,
     RequestRecord,
     RequestState,
@@ -40,7 +42,7 @@
     """What one poll has changed in the view."""
 
     changed_ids: list[str] = field(default_factory=list)  # requests whose records are new or removed
-    warnings: list[str] = field(default_factory=list)  # a line for each record that cannot be decoded
+    ignored_records: list[LedgerRecordIgnored] = field(default_factory=list)  # those that cannot be decoded
     ended_incarnations: list[Incarnation] = field(default_factory=list)
     # Finished requests of ended incarnations, with their versions: nobody removes their records.
     abandoned: list[tuple[str, int]] = field(default_factory=list)
@@ -96,8 +98,8 @@
         try:
             self._store(request_id, record)
         except RecordError as error:
-            line = f"takeover: record {record.key!r} by {record.writer} left alone: {error}"
-            delta.warnings.append(line)
+            ignored = LedgerRecordIgnored(STAGE_NAME, record.key, str(error), str(record.writer))
+            delta.ignored_records.append(ignored)
             return
         delta.changed_ids.append(request_id)
         if is_snapshot and request_id in self.finished and self.has_ended(record.writer):
--- a/meadowpulley/takeover/orphan_claims.py
+++ b/meadowpulley/takeover/orphan_claims.py
@@ -14,7 +14,12 @@
 
 from msgspec.structs import replace as replace_fields
 
-from meadowpulley.interface import LogLine, RequestClass, Settings
+from meadowpulley.interface import (
+    AdoptionFailed,
+    LedgerRecordIgnored,
+    RequestClass,
+    Settings,
+)
 from meadowpulley.ledger import (
     CheckVersion,
     Incarnation,
@@ -34,6 +39,7 @@
     CONTENT_PREFIX,
     MAX_DURATION_MS,
     RECORD_PREFIX,
+    STAGE_NAME,
     AttemptGrant,
     RecordError,
     RequestContent,
@@ -324,8 +330,7 @@
         if claim.target_state is not RequestState.OPEN:
             self._finish_claim(builder, request_id, claim)
         elif claim.content is None:
-            line = f"takeover: request {request_id!r} cannot be adopted: its content is missing"
-            builder.actions.append(LogLine(line))
+            builder.actions.append(AdoptionFailed(request_id))
             self._change_target(builder, request_id, claim, RequestState.FAILED)
         else:
             builder.actions.append(self._adopt_action(request_id, claim, claim.content))
@@ -335,7 +340,7 @@
         try:
             claim.content = decode_request_content(found.value)
         except RecordError as error:
-            builder.actions.append(LogLine(f"takeover: record {found.key!r} left alone: {error}"))
+            builder.actions.append(LedgerRecordIgnored(STAGE_NAME, found.key, str(error)))
 
     def _adopt_action(self, request_id: str, claim: Claim, content: RequestContent) -> AdoptRequest:
         class_index, _ = self.classes[claim.observed.record.class_name]
--- a/meadowpulley/takeover/records.py
+++ b/meadowpulley/takeover/records.py
@@ -17,6 +17,7 @@
 
 import msgspec
 
+STAGE_NAME = "takeover"  # as the log and the owners of commits name this stage
 RECORD_PREFIX, CONTENT_PREFIX, RESPONSE_PREFIX = "takeover/work/", "takeover/content/", "takeover/answer/"
 WATCHED_PREFIXES = (RECORD_PREFIX,)  # the prefixes whose changes the stage must be notified of
 MAX_BODY_BYTES = 64 * 1024  # a request with a longer body is not journaled
--- a/meadowpulley/takeover/request_journal.py
+++ b/meadowpulley/takeover/request_journal.py
@@ -20,7 +20,7 @@
     Cancel,
     ClientDisconnected,
     Fail,
-    LogLine,
+    LedgerRecordIgnored,
     Outcome,
     Reject,
     Request,
@@ -40,6 +40,7 @@
 )
 from meadowpulley.takeover.messages import Discard, ResponseReady, deliver
 from meadowpulley.takeover.records import (
+    STAGE_NAME,
     AttemptGrant,
     RecordError,
     RequestRecord,
@@ -123,7 +124,7 @@
         try:
             record = decode_request_record(found.value)
         except RecordError as error:
-            self.builder.actions.append(LogLine(f"takeover: record {found.key!r} left alone: {error}"))
+            self.builder.actions.append(LedgerRecordIgnored(STAGE_NAME, found.key, str(error)))
         if record is None or record.digest != entry.digest:
             self._answer_once(entry, Fail(entry.request.request))
             self._withdraw(entry)
--- a/meadowpulley/takeover/stage.py
+++ b/meadowpulley/takeover/stage.py
@@ -27,7 +27,6 @@
     EndpointUpdate,
     EndpointUpdateKind,
     Fail,
-    LogLine,
     Outcome,
     Request,
     ResponseStarted,
@@ -297,7 +296,7 @@
     def _on_changed(self, event: LedgerChanged) -> None:
         poll_started_ms = self.builder.now if event.poll_started_ms is None else event.poll_started_ms
         delta = self.view.apply(poll_started_ms, event.changes)
-        self.builder.actions += [LogLine(line) for line in delta.warnings]
+        self.builder.actions += delta.ignored_records
         for request_id in delta.changed_ids:
             if request_id not in self.journal.by_id:
                 self.waiters.on_changed(self.builder, request_id)
--- a/tests/net_program/test_control_plane.py
+++ b/tests/net_program/test_control_plane.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from meadowpulley.digests import Digest, encode
+from meadowpulley.gossip.outcome_digest import Digest, encode
 from tests.net_program.conftest import StartGateway
 from tests.standins import (
     RELEASED,
--- a/tests/takeover_fleet.py
+++ b/tests/takeover_fleet.py
@@ -14,13 +14,14 @@
 from typing import Any
 
 from meadowpulley.interface import (
+    AdoptionFailed,
     Cancel,
     ClientDisconnected,
     EndpointUpdate,
     EndpointUpdateKind,
     Fail,
+    LedgerRecordIgnored,
     Limits,
-    LogLine,
     Outcome,
     Reject,
     Request,
@@ -35,6 +36,7 @@
     Tenant,
     Timer,
 )
+from meadowpulley.interface.log_wording import log_text
 from meadowpulley.ledger import (
     Commit,
     CommitCompleted,
@@ -48,7 +50,7 @@
     TransactionResult,
     WatchRequest,
 )
-from meadowpulley.settings_types import DeduplicationScope, Effect, RequestClass
+from meadowpulley.settings.types import DeduplicationScope, Effect, RequestClass
 from meadowpulley.takeover import (
     COMMIT_OWNER,
     WATCHED_PREFIXES,
@@ -232,8 +234,8 @@
                 self._adopt(action)
             case Deliver() | Reject() | Fail():
                 self._respond(action)
-            case LogLine():
-                self.log_lines.append(action.text)
+            case LedgerRecordIgnored() | AdoptionFailed():
+                self.log_lines.append(log_text(action))
             case Cancel():
                 request_id, _, _ = self.requests_by_handle[action.request]
                 self.fleet.cancelled.append((request_id, action.attempt))
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -16,12 +16,12 @@
     CloseIdleConnections,
     DeduplicationScope,
     Effect,
+    EndpointListRenewed,
     EndpointUpdateKind,
     Fail,
     FetchEndpoints,
     GossipReceived,
     IncorrectResponse,
-    LogLine,
     Outcome,
     Phase,
     Probe,
@@ -193,13 +193,14 @@
         (Watch(enabled=False), u8(22) + u32(3) + u8(0)),
         (SendGossip(None, b"hi"), u8(17) + u32(3) + u16(0xFFFF) + u32(0) + u32(2)),
         (SendGossip(2, b"yo"), u8(17) + u32(3) + u16(2) + u32(2) + u32(2)),
-        (LogLine("two"), u8(26) + u32(3) + u32(4) + u32(3)),
+        (EndpointListRenewed(7.0), u8(26) + u32(3) + u32(4) + u32(26)),
     ]
     for action, _ in actions:
         reply.add_action(3, action)
     reply.add_fault(5, "bad")
     body = b"".join(raw.ljust(32, b"\0") for _, raw in actions)
-    body += (u8(28) + u32(5) + u32(7) + u32(3)).ljust(32, b"\0") + b"hiyotwobad"
+    body += (u8(28) + u32(5) + u32(30) + u32(3)).ljust(32, b"\0")
+    body += b"hiyo" + b"endpoint list in use again" + b"bad"
     assert reply.encode() == u32(8 + len(body)) + u32(len(actions) + 1) + body
 
 
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from meadowpulley.digests import (
+from meadowpulley.gossip.outcome_digest import (
     MAX_BYTES,
     MAX_CLASSES,
     MAX_COUNT,
--- a/tests/test_endpoint_lease.py
+++ b/tests/test_endpoint_lease.py
@@ -18,7 +18,7 @@
     Result,
 )
 from meadowpulley.policy.endpoint_lease import STALL_ALLOWANCE_MS, usable_until
-from meadowpulley.policy.list_calls import MAX_RETRY_MS
+from meadowpulley.policy.endpoint_poll_backoff import MAX_RETRY_MS
 from meadowpulley.state import Server
 from tests.discovery_harness import NOTIFIED_AFTER_SILENCE_MS, NOTIFIED_AFTER_WAIT_MS, DiscoveryHarness
 from tests.driver import RULES, Driver, sends, server_entry, settings
--- a/tests/test_fleet_metrics.py
+++ b/tests/test_fleet_metrics.py
@@ -34,7 +34,9 @@
 
 def test_lines_of_all_gateways_are_summed_by_second() -> None:
     other_event = json.dumps({"event": "ready", "gateway": "n0"})
-    decision = {"event": "decision", "gateway": "n1", "line": "back 42", "timestamp": "1970-01-01T00:01:41Z"}
+    stamp = {"gateway": "n1", "level": "info", "timestamp": "1970-01-01T00:01:41Z"}
+    rejected = {"event": "build_rejected", "build": 42, "reason": "latency", **stamp}
+    earlier = {"event": "decision", "line": "back 42", **stamp}  # as versions before typed events wrote it
     stamped = '{"event": "second", "timestamp": "1970-01-01T00:00:07Z"}'
     broken = ["{", "no json", stamped, '{"event": "second"}', "[1]"]
     lines = [
@@ -42,7 +44,8 @@
         log_line("n1", 100.9, 2),
         log_line("n0", 101.2, 0, news=None),
         other_event,
-        json.dumps(decision),
+        json.dumps(rejected),
+        json.dumps(earlier),
         *broken,
     ]
     seconds, unreadable = aggregate_intervals(lines)
@@ -50,7 +53,10 @@
     assert seconds[100].gateways == 2 and seconds[100].counters["discovery.watches"] == 3
     assert seconds[100].servers == {"41.ready": 6} and seconds[100].outstanding_requests == 4
     assert seconds[100].rollouts == {"42 stage 1 trial": 2} and seconds[101].rollouts == {"none": 1}
-    assert seconds[101].decisions == ["1970-01-01T00:01:41Z n1: back 42"]
+    assert seconds[101].decisions == [
+        "1970-01-01T00:01:41Z n1: build_rejected build=42 reason=latency",
+        "1970-01-01T00:01:41Z n1: back 42",
+    ]
     assert unreadable == len(broken)
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from meadowpulley.digests import (
+from meadowpulley.gossip.outcome_digest import (
     MAX_BYTES,
     TIMEOUT_CLASS,
     Digest,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -25,7 +25,7 @@
 
 
 def test_module_names_its_interface_at_the_top() -> None:
-    assert "meadowpulley/interface.py" in "\n".join(POLICY[0].read_text().splitlines()[:5])
+    assert "meadowpulley/interface" in "\n".join(POLICY[0].read_text().splitlines()[:5])
 
 
 def test_module_s_files_need_each_other_one_way_only() -> None:
@@ -42,6 +42,8 @@
 def test_adapter_and_interface_import_only_what_they_may() -> None:
     for name in ("codec.py", "reply.py"):
         assert "meadowpulley.policy" not in (ROOT / "meadowpulley" / "simulator_adapter" / name).read_text()
-    interface = (ROOT / "meadowpulley" / "interface.py").read_text()
-    assert set(re.findall(r"from (meadowpulley\S*)", interface)) == {"meadowpulley.settings_types"}
-    assert "from meadowpulley" not in (ROOT / "meadowpulley" / "settings_types.py").read_text()
+    for file in (ROOT / "meadowpulley" / "interface").glob("*.py"):
+        imported = set(re.findall(r"from (meadowpulley\.\w+)", file.read_text()))
+        assert imported <= {"meadowpulley.interface", "meadowpulley.settings"}, file.name
+    for file in (ROOT / "meadowpulley" / "settings").glob("*.py"):
+        assert set(re.findall(r"from (meadowpulley\.\w+)", file.read_text())) <= {"meadowpulley.settings"}
--- a/tests/test_list_confirmation.py
+++ b/tests/test_list_confirmation.py
@@ -7,6 +7,14 @@
 
 import pytest
 
+from meadowpulley.gossip.list_confirmation_codec import (
+    MAX_FINGERPRINTS,
+    ListQuery,
+    ListReply,
+    decode,
+    encode,
+    fingerprint,
+)
 from meadowpulley.interface import (
     Action,
     EndpointUpdate,
@@ -17,14 +25,6 @@
     ServerState,
     Timer,
 )
-from meadowpulley.list_confirmations import (
-    MAX_FINGERPRINTS,
-    ListQuery,
-    ListReply,
-    decode,
-    encode,
-    fingerprint,
-)
 from meadowpulley.policy import TIMER_TOKEN
 from meadowpulley.policy.endpoint_lease import NOTIFICATION_MS, STALL_ALLOWANCE_MS, usable_until
 from tests.driver import LIMITS, RULES, Driver, sends, server_entry, settings
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -156,13 +156,11 @@
     assert not LAB_LIBRARIES & {name.partition(".")[0] for name in loaded}
     ours = {name.split(".")[1] for name in loaded if name.startswith("meadowpulley.")}
     assert ours == {
-        "digests",
+        "gossip",
         "interface",
-        "list_confirmations",
         "net",
         "policy",
         "settings",
-        "settings_types",
         "state",
     }
     assert "meadowpulley.net.capture" not in loaded
--- a/tests/test_placement_stage.py
+++ b/tests/test_placement_stage.py
@@ -11,9 +11,9 @@
 from meadowpulley.cli.demo import demo_fleet
 from meadowpulley.fleet import gateway_settings
 from meadowpulley.interface import (
+    LOG_EVENT_TYPES,
     ClientDisconnected,
     Fail,
-    LogLine,
     Outcome,
     Phase,
     ProbeResult,
@@ -23,6 +23,7 @@
     RolloutUpdate,
     Timer,
 )
+from meadowpulley.interface.log_wording import log_text
 from meadowpulley.ledger import (
     Commit,
     CommitCompleted,
@@ -100,8 +101,8 @@
             if isinstance(action, Commit) and not self.disconnected:
                 done = self.store.commit(self.incarnation, action.transactions)
                 self.deliver(now, CommitCompleted(action.ticket, tuple(done), action.owner))
-            elif isinstance(action, LogLine):
-                self.log_lines.append(action.text)
+            elif isinstance(action, LOG_EVENT_TYPES):
+                self.log_lines.append(log_text(action))
         return found
 
     def observe_ledger(self, now: float) -> None:
--- a/tests/test_stage_pipeline.py
+++ b/tests/test_stage_pipeline.py
@@ -4,7 +4,9 @@
 
 from typing import Any
 
-from meadowpulley.interface import LogLine
+from meadowpulley.interface import (
+    EndpointListRenewed,
+)
 from meadowpulley.ledger import Commit, Create, Transaction
 from meadowpulley.stage_pipeline import StagePipeline
 
@@ -23,7 +25,7 @@
 
     def shut_down(self, now: float) -> list[Any]:
         self.calls.append(f"stage shut down at {now:g}")
-        return [LogLine("said"), LAST_COMMIT]
+        return [EndpointListRenewed(1.0), LAST_COMMIT]
 
 
 LAST_COMMIT = Commit(1, (Transaction((Create("k", b""),)),))
