--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -19,6 +19,7 @@
 PARTS = (
     "__init__.py",
     "__main__.py",
+    "errors.py",
     "gossip",
     "interface",
     "net",
--- a/meadowpulley/settings/reader.py
+++ b/meadowpulley/settings/reader.py
@@ -11,6 +11,7 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
+from meadowpulley.errors import MeadowpulleyError
 from meadowpulley.settings.types import (
     DeduplicationScope,
     Effect,
@@ -24,7 +25,7 @@
 )
 
 
-class SettingsError(ValueError):
+class SettingsError(MeadowpulleyError, ValueError):
     """The settings object is malformed; the text says in one line what is wrong and where."""
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -156,6 +156,7 @@
     assert not LAB_LIBRARIES & {name.partition(".")[0] for name in loaded}
     ours = {name.split(".")[1] for name in loaded if name.startswith("meadowpulley.")}
     assert ours == {
+        "errors",
         "gossip",
         "interface",
         "net",
