--- a/meadowpulley/errors.py
+++ b/meadowpulley/errors.py
@@ -1,6 +1,6 @@
 """The root of the project's errors.
 
-Each package derives its own base from it, and each error says in one line what is wrong, where, and what to do.
+Each package derives its own base from it. An error says in one line what is wrong, where, and what to do.
 """
 
 from __future__ import annotations
