--- a/meadowpulley/gossip/outcome_digest.py
+++ b/meadowpulley/gossip/outcome_digest.py
@@ -9,6 +9,7 @@
 
 import struct
 from dataclasses import dataclass
+from typing import NamedTuple
 
 VERSION = 0xA1
 MAX_BYTES = 256
@@ -17,13 +18,30 @@
 _CLASS = struct.Struct("!BBBBB")  # class; good and failed responses of the newest build, of its baseline
 _FAILURE = struct.Struct("!HB")  # server, class
 MAX_FAILURES = 24
-MAX_CLASSES = (
-    MAX_BYTES - _HEAD.size - MAX_FAILURES * _FAILURE.size
-) // _CLASS.size  # 33: what the other parts leave
-SERVER_MODULUS, WORD_MODULUS = 1 << 16, 1 << 32  # servers are numbered modulo the first
+# 33: what the other parts leave.
+MAX_CLASSES = (MAX_BYTES - _HEAD.size - MAX_FAILURES * _FAILURE.size) // _CLASS.size
+SERVER_MODULUS = 1 << 16  # servers are numbered modulo this
+WORD_MODULUS = 1 << 32
 TIMEOUT_CLASS = 255  # in place of a class: time-outs at warmed-up servers
 
 
+class ClassCounts(NamedTuple):
+    """Responses of one class: of the newest build and of its baseline."""
+
+    class_index: int
+    succeeded: int
+    failed: int
+    baseline_succeeded: int
+    baseline_failed: int
+
+
+class FailedResponse(NamedTuple):
+    """One failed response."""
+
+    server: int  # modulo SERVER_MODULUS
+    class_index: int
+
+
 @dataclass(frozen=True, slots=True)
 class Digest:
     """One digest. Each start of the sender draws a new incarnation; within it the sequence rises by one."""
@@ -31,8 +49,8 @@
     incarnation: int
     sequence: int
     build: int
-    classes: tuple[tuple[int, int, int, int, int], ...] = ()  # class; succeeded, failed; the baseline's
-    failures: tuple[tuple[int, int], ...] = ()  # server modulo SERVER_MODULUS, class: one per failure
+    classes: tuple[ClassCounts, ...] = ()
+    failures: tuple[FailedResponse, ...] = ()
 
 
 def encode(digest: Digest) -> bytes:
@@ -41,8 +59,8 @@
     Left out is what exceeds MAX_COUNT, MAX_CLASSES and MAX_FAILURES, and classes whose number needs more
     than a byte.
     """
-    classes = [row for row in digest.classes if row[0] <= MAX_COUNT][:MAX_CLASSES]
-    failures = [failure for failure in digest.failures if failure[1] <= MAX_COUNT][:MAX_FAILURES]
+    classes = [counts for counts in digest.classes if counts.class_index <= MAX_COUNT][:MAX_CLASSES]
+    failures = [failure for failure in digest.failures if failure.class_index <= MAX_COUNT][:MAX_FAILURES]
     header = _HEAD.pack(
         VERSION,
         digest.incarnation,
@@ -51,13 +69,21 @@
         len(classes),
         len(failures),
     )
-    parts = [
-        _CLASS.pack(class_index, *(min(n, MAX_COUNT) for n in counts)) for class_index, *counts in classes
-    ]
-    parts += [_FAILURE.pack(server % SERVER_MODULUS, class_index) for server, class_index in failures]
+    parts = [_encode_class(counts) for counts in classes]
+    parts += [_FAILURE.pack(failure.server % SERVER_MODULUS, failure.class_index) for failure in failures]
     return header + b"".join(parts)
 
 
+def _encode_class(counts: ClassCounts) -> bytes:
+    return _CLASS.pack(
+        counts.class_index,
+        min(counts.succeeded, MAX_COUNT),
+        min(counts.failed, MAX_COUNT),
+        min(counts.baseline_succeeded, MAX_COUNT),
+        min(counts.baseline_failed, MAX_COUNT),
+    )
+
+
 def decode(data: bytes) -> Digest | None:
     """Return the digest, or None for other bytes: cut short, too long, foreign or of another version."""
     if not _HEAD.size <= len(data) <= MAX_BYTES or data[0] != VERSION:
@@ -67,6 +93,8 @@
     end = offset + class_count * _CLASS.size
     if len(data) != end + failure_count * _FAILURE.size:
         return None
-    classes = tuple(_CLASS.unpack_from(data, offset + n * _CLASS.size) for n in range(class_count))
-    failures = tuple(_FAILURE.unpack_from(data, end + n * _FAILURE.size) for n in range(failure_count))
-    return Digest(incarnation, sequence, build, classes, failures)
+    classes = [ClassCounts(*_CLASS.unpack_from(data, offset + n * _CLASS.size)) for n in range(class_count)]
+    failures = [
+        FailedResponse(*_FAILURE.unpack_from(data, end + n * _FAILURE.size)) for n in range(failure_count)
+    ]
+    return Digest(incarnation, sequence, build, tuple(classes), tuple(failures))
--- a/meadowpulley/interface/__init__.py
+++ b/meadowpulley/interface/__init__.py
@@ -2,7 +2,7 @@
 
 An adapter turns a protocol into events, hands them one by one to `policy.RolloutPolicy.handle`, and carries
 out the actions that come back. In reading order: `vocabulary`, `events`, `actions`, `log_events` (what is to
-be logged) with `log_wording`, and `placement`.
+be logged) with `log_wording`, and `candidates` (of placement policies).
 """
 
 from meadowpulley.interface.actions import (
@@ -19,6 +19,10 @@
     Vote,
     Watch,
 )
+from meadowpulley.interface.candidates import (
+    Candidate,
+    Placement,
+)
 from meadowpulley.interface.events import (
     BuildStatistics,
     ClientDisconnected,
@@ -54,10 +58,6 @@
     QuotaPlanInvalid,
     RollbackReason,
 )
-from meadowpulley.interface.placement import (
-    Candidate,
-    Placement,
-)
 from meadowpulley.interface.vocabulary import (
     EndpointUpdateKind,
     Phase,
--- a/meadowpulley/model_checking/policy_model/canonical_form.py
+++ b/meadowpulley/model_checking/policy_model/canonical_form.py
@@ -7,6 +7,7 @@
 
 from meadowpulley.model_checking.choices import ScriptedRandom
 from meadowpulley.model_checking.graph import Copier, FormRules, FormWriter, WriteFunction
+from meadowpulley.state import FailureTestBounds
 
 # Fields that stay as they are, and counters by which nothing is decided.
 UNCHANGING_POLICY_FIELDS = frozenset(
@@ -18,14 +19,15 @@
         "gateway_count",
         "confidence_z",
         "required_evidence",
-        "lease_bases",
         "send_refusals",
+        "sends_by_lease_basis",
     }
 )
 IGNORED_FIELDS = {
     "RolloutPolicy": UNCHANGING_POLICY_FIELDS | {"rng"},
     "InFlightRequest": frozenset({"request_class"}),
     "Server": frozenset({"fingerprint"}),  # follows from its number, build and start
+    "SequentialFailureTest": frozenset({"bounds"}),  # a constant
     "ConfirmationState": frozenset({"rng", "ready_servers"}),  # the latter follows from the servers
     "InvariantMonitor": frozenset({"number", "settings"}),
     "TraceChecker": frozenset({"parameters", "counts", "record_count", "_handlers"}),
@@ -79,4 +81,4 @@
 RANDOM = ScriptedRandom()
 FORM_RULES = FormRules(IGNORED_FIELDS, FIELD_WRITERS)
 NAMELESS_FORM_RULES = FormRules({**IGNORED_FIELDS, "Server": frozenset({"id", "fingerprint"})}, FIELD_WRITERS)
-COPIER = Copier(shared=(ScriptedRandom,))
+COPIER = Copier(shared=(ScriptedRandom, FailureTestBounds))
--- a/meadowpulley/model_checking/request_mutants.py
+++ b/meadowpulley/model_checking/request_mutants.py
@@ -14,8 +14,8 @@
         "answers leftovers",
         "members",
         (
-            "admission.cancel_outstanding(state, state.in_flight.pop(event.request))",
-            "admission.cancel_outstanding(state, state.in_flight[event.request])",
+            "final_response.cancel_outstanding(state, state.in_flight.pop(event.request))",
+            "final_response.cancel_outstanding(state, state.in_flight[event.request])",
         ),
         requests=1,
         faults=2,
@@ -37,7 +37,7 @@
         "a refused request stays in the table",
         "leftovers answers",
         "attempts",
-        (("    state.in_flight.pop(request, None)\n    repeatable"), "    repeatable"),
+        ("    state.in_flight.pop(request, None)\n", ""),
     ),
     policy_mutant(
         "waits-forever",
@@ -45,9 +45,8 @@
         "answers",
         "members",
         (
-            "if not route(state, in_flight) and state.now < wait_until and not hopeless "
-            "and not all_expired(state):",
-            "if not route(state, in_flight):",
+            "    if _may_wait(state, in_flight):\n",
+            "    if True:\n",
         ),
         requests=1,
         faults=1,
@@ -77,9 +76,10 @@
         "answers timers",
         "attempts",
         (
-            "    state.actions.append(Reject(request, state.retry_after_ms) if harmless else "
-            "Fail(request))\n",
-            "",
+            "        state.actions.append(Reject(request, state.retry_after_ms))\n"
+            "    else:\n"
+            "        state.actions.append(Fail(request))\n",
+            "        pass\n",
         ),
     ),
     policy_mutant(
@@ -88,7 +88,7 @@
         "answers timers",
         "attempts",
         (
-            ("        else:\n            _reject_or_fail(state, in_flight)\n\n\ndef _learn"),
+            ("        else:\n            give_up(state, in_flight)\n\n\ndef _learn"),
             ("\n\ndef _learn"),
         ),
     ),
@@ -135,7 +135,7 @@
         "what may have run is refused",
         "effects",
         "attempts",
-        ("harmless = repeatable or not in_flight.possible_executions", "harmless = True"),
+        ("    if not in_flight.possible_executions:\n        return True\n", "    return True\n"),
     ),
     policy_mutant(
         "memory-overrun",
@@ -165,8 +165,8 @@
         "drains",
         "members",
         (
-            "server.state, server.cell, server.zone = entry.state, entry.cell, entry.zone",
-            "server.cell, server.zone = entry.cell, entry.zone",
+            "            server.state = entry.state\n",
+            "",
         ),
         faults=1,
         requests=1,
@@ -178,7 +178,10 @@
         "a whole list removes nobody",
         "drains",
         "members",
-        ("self.servers = {n: server for n, server in self.servers.items() if n in named}", "pass"),
+        (
+            "self.servers = {number: server for number, server in self.servers.items() if number in listed}",
+            "pass",
+        ),
         faults=1,
         requests=1,
         servers=2,
@@ -190,8 +193,8 @@
         "drains",
         "members",
         (
-            "server.state, server.cell, server.zone = entry.state, entry.cell, entry.zone",
-            "server.cell, server.zone = entry.cell, entry.zone",
+            "            server.state = entry.state\n",
+            "",
         ),
         ("                del self.servers[number]\n", "                pass\n"),
         faults=1,
@@ -205,10 +208,10 @@
         "drains",
         "members",
         (
-            "server.state, server.cell, server.zone = entry.state, entry.cell, entry.zone",
+            "            server.state = entry.state\n",
             (
-                "server.state, server.cell, server.zone = entry.state, entry.cell, entry.zone\n"
-                "            server.until = self.now + self.rules.drain_grace_ms + 1.0"
+                "            server.state = entry.state\n"
+                "            server.until = self.now + self.rules.drain_grace_ms + 1.0\n"
             ),
         ),
         (
@@ -271,8 +274,8 @@
         "timers",
         "members",
         (
-            "state.resubscribe_at = state.now + delay_ms if state.settings.must_poll else math.inf",
-            "state.resubscribe_at = math.inf",
+            "state.endpoint_list.poll_at = state.now + delay_ms if state.settings.must_poll else math.inf",
+            "state.endpoint_list.poll_at = math.inf",
         ),
         requests=0,
         faults=2,
@@ -332,8 +335,8 @@
         "exposure",
         "window",
         (
-            "return sent + 1 <= settings.exposure_allowance + cap * requests",
-            "return sent + 1 <= settings.exposure_allowance + requests",
+            "return sent + 1 <= state.rollout_settings.exposure_allowance + cap * requests",
+            "return sent + 1 <= state.rollout_settings.exposure_allowance + requests",
         ),
         requests=2,
         faults=1,
--- a/meadowpulley/model_checking/rollout_mutants.py
+++ b/meadowpulley/model_checking/rollout_mutants.py
@@ -45,7 +45,10 @@
         "one attempt more than the cap",
         "exposure",
         "release",
-        ("return sent + 1 <= settings.exposure_allowance", "return sent <= settings.exposure_allowance"),
+        (
+            "return sent + 1 <= state.rollout_settings.exposure_allowance",
+            "return sent <= state.rollout_settings.exposure_allowance",
+        ),
     ),
     policy_mutant(
         "exposure-at-the-answer",
@@ -53,20 +56,16 @@
         "exposure",
         "release",
         (
-            (
-                "        "
-                "state.build_evidence[server.build].sent_windows[in_flight.exposure_class].add(state.now)\n"
-                "    # No early"
-            ),
-            ("        pass\n    # No early"),
+            "        sent_windows[in_flight.exposure_class].add(state.now)\n",
+            "        pass\n",
         ),
         (
             "    state.goodput.value(state.now, float(ok))\n",
             (
-                "    from meadowpulley.policy.endpoints import is_on_trial\n"
-                "    if is_on_trial(state, server.build):\n"
-                "        evidence = state.build_evidence[server.build]\n"
-                "        evidence.sent_windows[in_flight.exposure_class].add(state.now)\n"
+                "    from meadowpulley.policy.rollout_stage import is_on_trial\n"
+                "    if is_on_trial(state, attempt.server.build):\n"
+                "        evidence = state.build_evidence[attempt.server.build]\n"
+                "        evidence.sent_windows[attempt.in_flight.exposure_class].add(state.now)\n"
                 "    state.goodput.value(state.now, float(ok))\n"
             ),
         ),
@@ -150,7 +149,7 @@
         "a build not announced yet has no cap",
         "exposure",
         "guarded",
-        ("return (*state.rollout_settings.caps, 0.0)[0], 0", "return 1.0, 9"),
+        ("return TrialStage(caps[0] if caps else 0.0, 0)", "return TrialStage(1.0, 9)"),
         requests=2,
     ),
     policy_mutant(
@@ -159,8 +158,8 @@
         "exposure",
         "guarded",
         (
-            "if cap <= 0 or (stage < settings.guarded_stages and in_flight.effect is not Effect.IDEMPOTENT):",
-            "if cap <= 0:",
+            "if stage < state.rollout_settings.guarded_stages and in_flight.effect is not Effect.IDEMPOTENT:",
+            "if False:",
         ),
     ),
     policy_mutant(
@@ -179,7 +178,7 @@
         "classes are counted together where each has its cap",
         "exposure",
         "guarded",
-        ("request.class_index if exposure_per_class else -1", "-1"),
+        ("request.class_index if exposure_per_class else ALL_CLASSES", "ALL_CLASSES"),
         requests=3,
         faults=2,
         time_advances=0,
@@ -200,7 +199,7 @@
         "what is out at the trial build binds nothing",
         "one-way",
         "keys",
-        ("return not (settings.monotonic_keys and key and key in later)", "return True"),
+        ("    return key not in later\n", "    return True\n"),
         faults=1,
         requests=2,
         time_advances=1,
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -242,7 +242,7 @@
         dropped = self._policy.gossip.rejected_digests
         extra = {"peers.dropped": dropped} if dropped else {}
         extra |= {f"send_refused.{name}": count for name, count in self._policy.send_refusals.items()}
-        extra |= {f"sent_by.{name}": count for name, count in self._policy.lease_bases.items()}
+        extra |= {f"sent_by.{name}": count for name, count in self._policy.sends_by_lease_basis.items()}
         self.log.info("counters", phase=self.phase.value, **self.counters.snapshot(), **extra)
 
     def on_signal(self, number: int, _: FrameType | None) -> None:
--- a/meadowpulley/net/interval_metrics.py
+++ b/meadowpulley/net/interval_metrics.py
@@ -32,9 +32,9 @@
     ready = [s for s in servers if s.state is ServerState.READY]
     furthest = policy.furthest_rollout
     return {
-        "list_age_ms": _milliseconds(now - policy.list_confirmed_at),
+        "list_age_ms": _milliseconds(now - policy.endpoint_list.confirmed_at),
         "send_refusals": dict(policy.send_refusals),
-        "sent_by": dict(policy.lease_bases),
+        "sent_by": dict(policy.sends_by_lease_basis),
         "servers": dict(Counter(f"{s.build}.{s.state.name.lower()}" for s in servers)),
         "resting": sum(now < s.ejected_until for s in ready),
         "out": len(policy.attempts),
--- a/meadowpulley/policy/__init__.py
+++ b/meadowpulley/policy/__init__.py
@@ -1,6 +1,11 @@
 """Every decision of meadowpulley; its settings, events and actions are in meadowpulley/interface.
 
-In reading order: `endpoints`, `outlier_detection`, `routing`, `admission`, `evidence`, `rollout`, `policy`.
+In reading order: requests (`admission`, `concurrency_limit`, `routing` with `trial_assignment`,
+`server_selection`, `server_subset` and `health_probes`, `sending`, `outcomes`, `retry_budget`,
+`final_response`), what allows a send (`send_permission` with `endpoint_lease`, `retry_eligibility`,
+`exposure`, `rollout_stage`, `slow_start_budget`), servers (`endpoints`, `endpoint_poll_backoff`,
+`endpoint_list_confirmation`, `outlier_detection`), and the rollout (`failure_evidence`, `outcome_gossip`,
+`latency_comparison`, `shared_slowdown`, `verdict`, `voting`). `policy` dispatches the events to them.
 """
 
 from meadowpulley.policy.endpoint_poll_backoff import LIST_CALL_SPACING_MS
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -47,9 +47,12 @@
     return grace_ms - allowance_ms(state, grace_ms)
 
 
+# What renews the lease
+
+
 def start_from_cache(state: State) -> None:
     """Take in a list of unknown age: its changes count as notified from the start of the process."""
-    state.list_confirmed_at = max(state.list_confirmed_at, state.now - _notification_ms(state))
+    _confirm_as_of(state, state.now - _notification_ms(state))
 
 
 def confirm_list(state: State, as_of_ms: float | None) -> None:
@@ -58,32 +61,42 @@
     None where the transport does not tell: it pushes each later change, or a failure.
     """
     if as_of_ms is None:
-        state.list_confirmed_at, state.watch_covers_until = state.now, math.inf
+        state.endpoint_list.confirmed_at = state.now
+        state.endpoint_list.watch_covers_until = math.inf
     else:
-        state.list_confirmed_at = max(state.list_confirmed_at, as_of_ms)
+        _confirm_as_of(state, as_of_ms)
 
 
 def watch_opened(state: State, wait_ms: float) -> None:
     """Note that discovery has a call that it answers within the wait, or sooner if anything changes."""
-    state.watch_covers_until = state.now + wait_ms
+    state.endpoint_list.watch_covers_until = state.now + wait_ms
 
 
 def watch_ended(state: State, as_of_ms: float | None) -> None:
     """Note that no call is out any more; the list still holds all changes up to a time, None for now."""
-    state.watch_covers_until = -math.inf
-    state.list_confirmed_at = max(state.list_confirmed_at, state.now if as_of_ms is None else as_of_ms)
+    state.endpoint_list.watch_covers_until = -math.inf
+    _confirm_as_of(state, state.now if as_of_ms is None else as_of_ms)
+
+
+def _confirm_as_of(state: State, as_of_ms: float) -> None:
+    state.endpoint_list.confirmed_at = max(state.endpoint_list.confirmed_at, as_of_ms)
 
 
 def list_lost(state: State) -> None:
     """Note that a list may have been written to this gateway and lost: its changes count as notified now."""
-    state.list_lost_at = state.now
+    state.endpoint_list.lost_at = state.now
+
+
+# When it ends
 
 
 def list_lease_until(state: State) -> float:
     """Return until when the endpoint list may be acted on."""
-    notified_at = state.list_confirmed_at + _notification_ms(state)
-    until = max(notified_at, state.watch_covers_until + LONG_POLL_NOTIFICATION_MS) + _grace_ms(state)
-    return _unless_lost(state, state.list_confirmed_at, until)
+    endpoint_list = state.endpoint_list
+    notified_at = endpoint_list.confirmed_at + _notification_ms(state)
+    watch_notified_at = endpoint_list.watch_covers_until + LONG_POLL_NOTIFICATION_MS
+    until = max(notified_at, watch_notified_at) + _grace_ms(state)
+    return _unless_lost(state, endpoint_list.confirmed_at, until)
 
 
 def usable_until(state: State, server: Server) -> float:
@@ -94,20 +107,24 @@
     return max(list_lease_until(state), _unless_lost(state, server.confirmed_at, until))
 
 
-def lease_basis(state: State) -> LeaseBasis:
-    """Return what allows a server to be sent to now: the list, or else what another gateway confirmed."""
-    listed = not state.rules.drain_grace_ms or state.now < list_lease_until(state)
-    return LeaseBasis.LIST if listed else LeaseBasis.PEER
-
-
 def _unless_lost(state: State, confirmed_at: float, until: float) -> float:
     """Cut a lease short where a list was lost since it was renewed.
 
     The loss may have been found as late as this gateway may be held up; the list was written before.
     """
-    if confirmed_at >= state.list_lost_at:
+    lost_at = state.endpoint_list.lost_at
+    if confirmed_at >= lost_at:
         return until
-    return min(until, state.list_lost_at - STALL_ALLOWANCE_MS + _grace_ms(state))
+    return min(until, lost_at - STALL_ALLOWANCE_MS + _grace_ms(state))
+
+
+def lease_basis(state: State) -> LeaseBasis:
+    """Return what allows a server to be sent to now: the list, or else what another gateway confirmed."""
+    return LeaseBasis.PEER if _list_expired(state) else LeaseBasis.LIST
+
+
+def _list_expired(state: State) -> bool:
+    return bool(state.rules.drain_grace_ms) and state.now >= list_lease_until(state)
 
 
 def is_usable(state: State, server: Server) -> bool:
@@ -123,9 +140,9 @@
 
 def log_transitions(state: State) -> None:
     """Log when the list's lease expires and when it is renewed."""
-    expired = bool(state.rules.drain_grace_ms) and state.now >= list_lease_until(state)
-    if expired == state.list_lease_expired or not state.servers:
+    expired = _list_expired(state)
+    if expired == state.endpoint_list.lease_expired or not state.servers:
         return
-    state.list_lease_expired = expired
-    age_ms = state.now - state.list_confirmed_at
+    state.endpoint_list.lease_expired = expired
+    age_ms = state.now - state.endpoint_list.confirmed_at
     state.actions.append(EndpointListExpired(age_ms) if expired else EndpointListRenewed(age_ms))
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -18,8 +18,8 @@
     encode,
 )
 from meadowpulley.interface import GossipReceived, SendGossip
-from meadowpulley.policy import evidence
 from meadowpulley.policy.endpoint_lease import NOTIFICATION_MS, list_lease_until
+from meadowpulley.policy.outcome_gossip import handle_digest
 from meadowpulley.state import Server, State
 
 QUERY_AHEAD_MS = 3_000.0  # before the lease on the list ends: others are asked from then on
@@ -50,28 +50,31 @@
     """Ask some gateways which servers discovery lists."""
     confirmation = state.confirmation
     confirmation.queried_at = state.now
-    nonce = state.confirmation.rng.getrandbits(NONCE_BITS)
+    nonce = confirmation.rng.getrandbits(NONCE_BITS)
     confirmation.open_queries[nonce] = state.now
     while len(confirmation.open_queries) > MAX_OPEN_QUERIES:
         del confirmation.open_queries[next(iter(confirmation.open_queries))]
     data = encode(ListQuery(nonce, _first_server(state)))
-    state.actions += [SendGossip(gateway, data) for gateway in _gateways_to_ask(state)]
+    state.actions += [SendGossip(gateway, data) for gateway in _queried_gateways(state)]
 
 
 def _first_server(state: State) -> int:
     """Return the server from which on to ask: where this gateway's subset begins, then the ranges after."""
-    ready, confirmation = _ready_servers(state), state.confirmation
+    confirmation = state.confirmation
+    ready = _ready_servers(state)
     if not ready:
         return 0
     ranges = min(math.ceil(len(ready) / MAX_FINGERPRINTS), MAX_QUERIED_RANGES)
     confirmation.queried_range = (confirmation.queried_range + 1) % ranges
-    begin = state.settings.gateway_index * len(ready) // state.gateway_count
-    return ready[(begin + confirmation.queried_range * MAX_FINGERPRINTS) % len(ready)].id
+    subset_begin = state.settings.gateway_index * len(ready) // state.gateway_count
+    first = subset_begin + confirmation.queried_range * MAX_FINGERPRINTS
+    return ready[first % len(ready)].id
 
 
-def _gateways_to_ask(state: State) -> list[int]:
+def _queried_gateways(state: State) -> list[int]:
     """Return the gateway that confirmed servers last, and others by chance."""
-    others = [n for n in range(state.gateway_count) if n != state.settings.gateway_index]
+    own_index = state.settings.gateway_index
+    others = [index for index in range(state.gateway_count) if index != own_index]
     expired = state.now >= list_lease_until(state)
     count = GATEWAYS_PER_URGENT_QUERY if expired else GATEWAYS_PER_QUERY
     gateways = state.confirmation.rng.sample(others, min(count, len(others)))
@@ -85,7 +88,7 @@
     """Take in a datagram of another gateway: a question, a reply, or else a digest of outcomes."""
     message = decode(event.data)
     if message is None or event.sender == state.settings.gateway_index:
-        evidence.handle_digest(state, event)
+        handle_digest(state, event)
     elif isinstance(message, ListQuery):
         _handle_query(state, event.sender, message)
     else:
@@ -94,13 +97,14 @@
 
 def _handle_query(state: State, sender: int, query: ListQuery) -> None:
     """Reply to another gateway, if what is known here is recent enough to be of use."""
-    age_ms = state.now - state.list_confirmed_at
+    age_ms = state.now - state.endpoint_list.confirmed_at
     if not _is_allowed(state) or age_ms > min(MAX_REPLY_AGE_MS, MAX_AGE_MS):
         return
     ready = _ready_servers(state)
-    begin = bisect_left(ready, query.first_server, key=lambda server: server.id)
-    named = (ready[begin:] + ready[:begin])[:MAX_FINGERPRINTS]
-    reply = ListReply(query.nonce, age_ms, tuple([server.fingerprint for server in named]))
+    first = bisect_left(ready, query.first_server, key=lambda server: server.id)
+    named = (ready[first:] + ready[:first])[:MAX_FINGERPRINTS]
+    fingerprints = tuple([server.fingerprint for server in named])
+    reply = ListReply(query.nonce, age_ms, fingerprints)
     state.actions.append(SendGossip(sender, encode(reply)))
 
 
@@ -109,7 +113,8 @@
     queried_at = state.confirmation.open_queries.get(reply.nonce)
     if queried_at is None:
         return
-    as_of_ms, confirmed = queried_at - reply.age_ms, set(reply.fingerprints)
+    as_of_ms = queried_at - reply.age_ms
+    confirmed = set(reply.fingerprints)
     for server in _ready_servers(state):
         if server.fingerprint in confirmed:
             server.confirmed_at = max(server.confirmed_at, as_of_ms)
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -12,9 +12,8 @@
 from meadowpulley.interface import EndpointUpdateKind
 from meadowpulley.state import State
 
-LIST_CALL_SPACING_MS = (
-    100.0  # per other gateway: over so long the calls of a fleet are spread that come at once
-)
+# Per other gateway: over so long the calls of a fleet are spread that come at once.
+LIST_CALL_SPACING_MS = 100.0
 # Discovery can take one call of each gateway in 2 to 8 s, at any size of the fleet, and a call may wait 2 s
 # in its queue: first calls spread over this fit into both.
 MAX_FIRST_CALL_MS = 6_000.0
@@ -37,16 +36,26 @@
     return state.rng.random() * min(_fleet_spread_ms(state), MAX_FIRST_CALL_MS)
 
 
+def repeat_interval_ms(state: State) -> float:
+    """Return after how long an open watch is opened anew, should no response come."""
+    return max(state.rules.max_poll_interval_ms, RETRY_MS)
+
+
 def retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
     """Draw the pause before the next call after one that failed."""
-    failures, spread_ms = state.list_failures, _fleet_spread_ms(state)
     if kind is EndpointUpdateKind.TIMED_OUT:
         return 0.0  # each gateway finds a time-out at its own time, and late
-    if not failures:
-        delay_ms = state.rng.random() * spread_ms
-        if kind is EndpointUpdateKind.BROKEN:  # a list may be lost: its changes count as notified
-            delay_ms = min(delay_ms, state.rng.random() * state.rules.drain_grace_ms / 2)
-        return delay_ms
-    backoff_ms = RETRY_MS * min(failures, MAX_RETRY_GROWTH)
-    longest_ms = min(max(backoff_ms, 2 * spread_ms), MAX_RETRY_MS)
-    return longest_ms * (MIN_RETRY_FRACTION + (1 - MIN_RETRY_FRACTION) * state.rng.random())
+    if not state.endpoint_list.consecutive_failures:
+        return _first_retry_delay_ms(state, kind)
+    growth = min(state.endpoint_list.consecutive_failures, MAX_RETRY_GROWTH)
+    longest_ms = min(max(RETRY_MS * growth, 2 * _fleet_spread_ms(state)), MAX_RETRY_MS)
+    drawn_fraction = (1 - MIN_RETRY_FRACTION) * state.rng.random()
+    return longest_ms * (MIN_RETRY_FRACTION + drawn_fraction)
+
+
+def _first_retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
+    """Draw the pause after a first failure, so that calls which failed at once come spread."""
+    delay_ms = state.rng.random() * _fleet_spread_ms(state)
+    if kind is EndpointUpdateKind.BROKEN:  # a list may be lost: its changes count as notified
+        return min(delay_ms, state.rng.random() * state.rules.drain_grace_ms / 2)
+    return delay_ms
--- a/meadowpulley/policy/endpoints.py
+++ b/meadowpulley/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as they come, or fail to come, and which servers run a build on trial."""
+"""Endpoint lists as they come, or fail to come."""
 
 import math
 
@@ -7,32 +7,13 @@
     EndpointUpdateKind,
     EndpointWatchClosed,
     EndpointWatchOpened,
-    Phase,
 )
 from meadowpulley.policy import endpoint_lease
 from meadowpulley.policy.endpoint_poll_backoff import retry_delay_ms
+from meadowpulley.policy.rollout_stage import partition_servers
 from meadowpulley.state import State
 
-LOCAL_ZONE_FRACTION = 0.5  # of the subset: more would overload a zone that has more than its part of requests
-MAX_STICKY_KEYS = 8000  # beyond it keys that no ready server needs are forgotten: older builds then get none
 CALL_FAILURES = (EndpointUpdateKind.FAILED, EndpointUpdateKind.TIMED_OUT, EndpointUpdateKind.BROKEN)
-ROLLBACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
-
-
-def is_on_trial(state: State, build: int) -> bool:
-    """Tell whether a build is on trial; while no rollout is known all are."""
-    rollout = state.latest_rollout
-    if rollout is None or build > rollout.build:
-        return True
-    return build == rollout.build and rollout.phase is not Phase.RELEASED
-
-
-def cap_and_stage(state: State, build: int) -> tuple[float, int]:
-    """Return the exposure cap and the stage of a build on trial; an unannounced one is at the first stage."""
-    rollout = state.latest_rollout
-    if rollout is not None and build == rollout.build:
-        return rollout.cap, rollout.stage
-    return (*state.rollout_settings.caps, 0.0)[0], 0
 
 
 def handle_endpoint_update(state: State, update: EndpointUpdate) -> None:
@@ -45,7 +26,8 @@
         state.confirmation.queried_at = state.now  # in a small fleet the first list call is answered sooner
     else:
         endpoint_lease.confirm_list(state, update.as_of_ms)
-        state.resubscribe_at, state.list_failures = math.inf, 0
+        state.endpoint_list.poll_at = math.inf
+        state.endpoint_list.consecutive_failures = 0
     state.apply_endpoints(update)
     state.confirmation.ready_servers = None
     partition_servers(state)
@@ -58,8 +40,8 @@
         endpoint_lease.list_lost(state)
     delay_ms = retry_delay_ms(state, update.kind)
     if update.kind is not EndpointUpdateKind.TIMED_OUT:
-        state.list_failures += 1
-    state.resubscribe_at = state.now + delay_ms if state.settings.must_poll else math.inf
+        state.endpoint_list.consecutive_failures += 1
+    state.endpoint_list.poll_at = state.now + delay_ms if state.settings.must_poll else math.inf
 
 
 def handle_watch_opened(state: State, event: EndpointWatchOpened) -> None:
@@ -71,15 +53,3 @@
 def handle_watch_closed(state: State, event: EndpointWatchClosed) -> None:
     """Take in that the gateway has ended the call for the next change itself."""
     endpoint_lease.watch_ended(state, event.as_of_ms)
-
-
-def partition_servers(state: State) -> None:
-    """Sort the ready servers by arm, after an update of the servers or of the rollout."""
-    ready = state.ready_servers()
-    state.trial_servers = [s for s in ready if is_on_trial(state, s.build)]
-    state.baseline_servers = [s for s in ready if not is_on_trial(state, s.build)]
-    oldest_build = min((s.build for s in ready), default=-1)
-    if len(state.sticky_builds) > MAX_STICKY_KEYS and oldest_build > state.oldest_sticky_build:
-        state.forget_sticky_builds(oldest_build)
-    state.trial_probability_until, state.evaluate_at = -math.inf, min(state.evaluate_at, state.now)
-    state.peak_ready_servers = max(state.peak_ready_servers, len(ready))
--- /dev/null
+++ b/meadowpulley/policy/latency_comparison.py
@@ -0,0 +1,127 @@
+"""By how much a build on trial raises the latency of all requests over its baseline's.
+
+The paper's mixed Differences-in-Q estimate (`state/estimation`) with its confidence interval, and the margin
+that a build has.
+"""
+
+import math
+from typing import NamedTuple
+
+from meadowpulley.policy.failure_evidence import MIN_SAMPLES
+from meadowpulley.policy.outcomes import FAILURE_DELAY_LATENCIES, WARMED_UP_FRACTION
+from meadowpulley.policy.outlier_detection import UNRESPONSIVE_LATENCIES
+from meadowpulley.state import (
+    BASELINE_ARM,
+    NO_ARM,
+    TRIAL_ARM,
+    Attempt,
+    LatencySamples,
+    QDifference,
+    QMix,
+    Slowdown,
+    State,
+    summarize,
+)
+
+MAX_HORIZON = 20  # later requests, at most, whose costs are added to each request's own
+MIN_ALPHA = 0.5  # of latency in the mix: a gateway with few requests in flight has no useful queue lengths
+LATENCY_MARGIN = 0.25  # of the baseline's mean latency
+SERVER_LATENCY_SPREAD = 0.5  # how servers of a kind differ, of the mean latency: load multiplies their speeds
+MIN_BLOCK_MS = 1000.0  # builds are compared in blocks of time, at least so long
+TRIALS_PER_BLOCK = 2.0  # and long enough for so many requests of the build on trial
+MIN_TRIAL_RATE = 1e-6  # requests per ms: keeps a block finite where hardly any goes to the build on trial
+RECENT_SAMPLES = 8 * MIN_SAMPLES  # the newest attempts that tell whether servers are slow now
+NOT_COMPARABLE = Slowdown(-math.inf, math.inf, 0.0, 0)
+
+
+class _Load(NamedTuple):
+    """This gateway's traffic."""
+
+    request_rate: float  # per ms
+    server_rate: float  # per ms and server
+    per_server: float  # requests in flight at a server, by Little's law
+
+
+def estimate_slowdown(state: State, build: int) -> Slowdown:
+    """Bound by how much a build raises the latency of all requests over its baseline's."""
+    settled_at = state.now - FAILURE_DELAY_LATENCIES * state.mean_latency_ms
+    attempts = [
+        attempt
+        for attempt in state.latency_samples
+        if state.trial_started_at <= attempt.sent_at <= settled_at
+    ]
+    arms = [_arm(attempt, build) for attempt in attempts]
+    if TRIAL_ARM not in arms:
+        return NOT_COMPARABLE
+    max_latency_ms = UNRESPONSIVE_LATENCIES * state.mean_latency_ms
+    samples = LatencySamples(attempts, arms, state.now, max_latency_ms)
+    estimate = _compare(state, samples)
+    baseline_mean_ms = samples.baseline_mean
+    warm_servers = _warm_server_count(state, build)
+    error_ms = _total_error_ms(state, estimate, baseline_mean_ms, warm_servers)
+    width_ms = state.confidence_z * error_ms
+    margin_ms = LATENCY_MARGIN * baseline_mean_ms * _overload_factor(state, estimate, warm_servers)
+    smaller_sample = min(estimate.trial_count, estimate.baseline_count)
+    return Slowdown(estimate.difference - width_ms, estimate.difference + width_ms, margin_ms, smaller_sample)
+
+
+def _arm(attempt: Attempt, build: int) -> int:
+    """Return the arm of an attempt, NO_ARM where it tells nothing of the builds."""
+    if attempt.unattributable or not attempt.randomized:
+        return NO_ARM
+    if attempt.server.build > build or attempt.slow_start_fraction < WARMED_UP_FRACTION:
+        return NO_ARM
+    return TRIAL_ARM if attempt.server.build == build else BASELINE_ARM
+
+
+def _compare(state: State, samples: LatencySamples) -> QDifference:
+    """Compare the arms over as many later requests as are in flight at a server at once."""
+    load = _load(state)
+    trial_rate = max(load.request_rate * state.trial_probability, MIN_TRIAL_RATE)
+    block_ms = max(MIN_BLOCK_MS, TRIALS_PER_BLOCK / trial_rate)
+    min_alpha = 1 - (1 - MIN_ALPHA) * min(load.per_server, 1.0)
+    horizon = min(math.ceil(load.per_server), MAX_HORIZON)
+    return samples.compare(block_ms, QMix(horizon, load.server_rate, min_alpha))
+
+
+def _load(state: State) -> _Load:
+    request_rate = state.request_rate.value(state.now)
+    server_rate = request_rate / max(len(state.servers), 1)
+    return _Load(request_rate, server_rate, server_rate * state.mean_latency_ms)
+
+
+def _warm_server_count(state: State, build: int) -> int:
+    """Return how many servers of the build had warmed up when their samples began; 1 at least."""
+    soak_ms = state.rollout_settings.soak_ms
+    fractions = [state.slow_start_fraction(server, soak_ms) for server in state.servers_of(build)]
+    return max(sum([fraction >= WARMED_UP_FRACTION for fraction in fractions]), 1)
+
+
+def _total_error_ms(state: State, estimate: QDifference, baseline_mean_ms: float, warm_servers: int) -> float:
+    """Return the standard error of the estimate, its own uncertainty and the servers' spread included.
+
+    A standard deviation that is estimated from m values has a relative error of 1 / sqrt(2 m); each arm has
+    half of the values here. A slow server or two are no slow build.
+    """
+    smaller_sample = max(min(estimate.trial_count, estimate.baseline_count), 1)
+    value_count = 2 * smaller_sample
+    sampling_error_ms = estimate.error * (1 + state.confidence_z / math.sqrt(2 * value_count))
+    server_error_ms = SERVER_LATENCY_SPREAD * baseline_mean_ms / math.sqrt(warm_servers)
+    return math.hypot(sampling_error_ms, server_error_ms)
+
+
+def _overload_factor(state: State, estimate: QDifference, warm_servers: int) -> float:
+    """Return how many times a baseline server's requests a server of the build gets; 1 at least.
+
+    Overloaded servers are slow whatever their build, so the margin grows with the load.
+    """
+    other_servers = max(len(state.servers) - warm_servers, 1)
+    relative_load = estimate.trial_count * other_servers / max(estimate.baseline_count * warm_servers, 1)
+    return max(relative_load, 1.0)
+
+
+def is_slower_than_before(state: State, attempts: list[Attempt]) -> bool:
+    """Tell whether the newest attempts are slower than all were before the build came, by the margin."""
+    costs = summarize([attempt.latency_cost(state.now) for attempt in attempts[-RECENT_SAMPLES:]])
+    limit_ms = (1 + LATENCY_MARGIN) * state.baseline_latency_ms
+    return costs.size >= MIN_SAMPLES and costs.lower_bound(state.confidence_z) > limit_ms > 0
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -14,9 +14,12 @@
     endpoint_list_confirmation,
     endpoint_poll_backoff,
     endpoints,
-    evidence,
-    rollout,
-    routing,
+    failure_evidence,
+    final_response,
+    health_probes,
+    outcome_gossip,
+    outcomes,
+    voting,
 )
 from meadowpulley.policy.outlier_detection import eject_unresponsive
 from meadowpulley.state import GossipState, State
@@ -24,47 +27,61 @@
 STALL_MS = 250.0  # a timer that is later than this: the gateway stalled, and attempts only look slow
 MIN_SUBSET_SIZE = 8  # servers that a gateway prefers, at least
 TIMER_TOKEN = 1  # of the only timer
+OUTSTANDING_POLL_INTERVAL_MS = 200.0  # between two looks at outstanding attempts
+GOSSIP_SEED = 1  # added to the seed: the incarnation in digests is drawn from a stream of its own
+BASE_CONFIDENCE_Z = 2.0  # standard errors between an estimate and its bounds, with one gateway
+FLEET_CONFIDENCE_Z = 0.5  # more for each e-fold of gateways: one of many is wrong by chance
 
 
 def handle_timer(state: State, _: interface.Timer) -> None:
     """Do what is due: list calls and queries, outlier ejection, waiting requests, gossip, evaluation."""
     state.timer_at = math.inf if state.now >= state.timer_at else state.timer_at
-    if state.now >= state.resubscribe_at:
-        state.actions.append(interface.Watch())  # repeated should no response come
-        state.resubscribe_at = state.now + max(
-            state.rules.max_poll_interval_ms, endpoint_poll_backoff.RETRY_MS
-        )
+    if state.now >= state.endpoint_list.poll_at:
+        _poll_endpoints(state)
     if state.now >= endpoint_list_confirmation.next_query_at(state):
         endpoint_list_confirmation.query_gateways(state)
     eject_unresponsive(state)
-    waiting, state.waiting = state.waiting, []
-    for in_flight in [waiter for waiter in waiting if waiter.request.request in state.in_flight]:
-        admission.route_or_queue(state, in_flight)
+    _route_waiting(state)
     if state.now >= state.gossip_at and state.furthest_rollout is not None:
-        evidence.exchange_digests(state, state.furthest_rollout.build)
+        outcome_gossip.exchange_digests(state, state.furthest_rollout.build)
     if state.now >= state.evaluate_at:
-        rollout.evaluate_rollout(state)
+        voting.evaluate_rollout(state)
+
+
+def _poll_endpoints(state: State) -> None:
+    """Ask for the endpoint list, and again after a while should no response come."""
+    state.actions.append(interface.Watch())
+    state.endpoint_list.poll_at = state.now + endpoint_poll_backoff.repeat_interval_ms(state)
+
+
+def _route_waiting(state: State) -> None:
+    """Try the requests that wait for a server again."""
+    waiting = state.waiting
+    state.waiting = []
+    unfinished = [in_flight for in_flight in waiting if in_flight.request.request in state.in_flight]
+    for in_flight in unfinished:
+        admission.route_or_queue(state, in_flight)
 
 
 def handle_client_disconnected(state: State, event: interface.ClientDisconnected) -> None:
     """Forget a request whose client has gone."""
     if event.request in state.in_flight:
-        admission.cancel_outstanding(state, state.in_flight.pop(event.request))
+        final_response.cancel_outstanding(state, state.in_flight.pop(event.request))
 
 
 HANDLERS: dict[type, Callable[[State, Any], None]] = {
     interface.Request: admission.handle_request,
-    interface.Outcome: admission.handle_outcome,
+    interface.Outcome: outcomes.handle_outcome,
     interface.ClientDisconnected: handle_client_disconnected,
-    interface.ResponseStarted: State.mark_streaming,
+    interface.ResponseStarted: State.record_response_start,
     interface.Timer: handle_timer,
     interface.EndpointUpdate: endpoints.handle_endpoint_update,
     interface.EndpointWatchOpened: endpoints.handle_watch_opened,
     interface.EndpointWatchClosed: endpoints.handle_watch_closed,
-    interface.RolloutUpdate: rollout.handle_rollout_update,
-    interface.ProbeResult: routing.handle_probe_result,
+    interface.RolloutUpdate: voting.handle_rollout_update,
+    interface.ProbeResult: health_probes.handle_probe_result,
     interface.GossipReceived: endpoint_list_confirmation.handle_gossip,
-    interface.BuildStatistics: evidence.handle_build_statistics,
+    interface.BuildStatistics: failure_evidence.handle_build_statistics,
 }
 
 
@@ -74,36 +91,48 @@
     def __init__(
         self, settings: interface.Settings, seed: int, placements: Sequence[interface.Placement] = ()
     ) -> None:
+        """Begin with nothing known.
+
+        Args:
+            settings: What the platform tells a gateway at its start.
+            seed: All draws of chance follow from it.
+            placements: The placement policies of an experiment's arms; the first is not used.
+        """
         super().__init__(settings, seed)
         max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION  # no class has to wait longer
-        self.poll_interval_ms = min(admission.POLL_INTERVAL_MS, max_wait_ms) or admission.POLL_INTERVAL_MS
+        interval_ms = admission.WAITING_POLL_INTERVAL_MS
+        self.poll_interval_ms = min(interval_ms, max_wait_ms) or interval_ms
         self.placements = dict(enumerate(placements[1:], 1))
-        self.confidence_z = 2 + 0.5 * math.log(self.gateway_count)
+        self.confidence_z = BASE_CONFIDENCE_Z + FLEET_CONFIDENCE_Z * math.log(self.gateway_count)
         voters = max(self.gateway_count / max(self.rollout_settings.rollback_votes, 1), 1.0)
-        self.required_evidence = evidence.REQUIRED_EVIDENCE + math.log(voters)
+        self.required_evidence = failure_evidence.REQUIRED_EVIDENCE + math.log(voters)
         self.subset_size = float(MIN_SUBSET_SIZE) if settings.limits.idle_timeout_ms else math.inf
         window_ms = settings.rollout.exposure_window_ms
-        self.build_evidence = defaultdict(partial(evidence.new_build_evidence, window_ms))
-        clock_skew_s = math.ceil(1 + self.gateway_count / evidence.GOSSIP_SENDERS)
-        self.gossip = GossipState(Random(seed + 1).getrandbits(32), clock_skew_s)
+        self.build_evidence = defaultdict(partial(failure_evidence.new_build_evidence, window_ms))
+        clock_skew_s = math.ceil(1 + self.gateway_count / outcome_gossip.GOSSIP_SENDERS)
+        self.gossip = GossipState(Random(seed + GOSSIP_SEED).getrandbits(32), clock_skew_s)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         """Take in an event, at a time in ms, and return the actions to carry out."""
-        self.now, self.actions = now, []
-        if self.resubscribe_at == -math.inf and self.servers:  # discovery serves a fleet's calls in turn
-            self.resubscribe_at = now + endpoint_poll_backoff.first_call_delay_ms(self)
+        self.now = now
+        self.actions = []
+        if self.endpoint_list.poll_at == -math.inf and self.servers:
+            self.endpoint_list.poll_at = now + endpoint_poll_backoff.first_call_delay_ms(self)
         if now > self.timer_at + STALL_MS:
             self.resumed_at = now
         while self.pending_outcomes and self.pending_outcomes[0][0] <= now:
-            evidence.record_outcomes(self, self.pending_outcomes.popleft()[1])
+            _, counts = self.pending_outcomes.popleft()
+            failure_evidence.record_outcomes(self, counts)
         if handler := HANDLERS.get(type(event)):
             handler(self, event)
         endpoint_lease.log_transitions(self)
-        # One timer, only while there is something to wait for: an idle policy costs nothing.
-        idle_ms = 4 * admission.POLL_INTERVAL_MS if self.attempts else math.inf
-        poll_at = now + (self.poll_interval_ms if self.waiting else idle_ms)
-        gossip_at = self.gossip_at if self.gossip.received else math.inf  # idle or not: digests get old
-        query_at = endpoint_list_confirmation.next_query_at(self)
-        due_at = min(self.evaluate_at, self.resubscribe_at, gossip_at, poll_at, query_at)
-        self.set_timer(max(due_at, now), TIMER_TOKEN)
+        self.set_timer(max(self._next_due_at(), now), TIMER_TOKEN)
         return self.actions
+
+    def _next_due_at(self) -> float:
+        """Return when there is something to do; never for an idle policy, which costs nothing."""
+        idle_ms = OUTSTANDING_POLL_INTERVAL_MS if self.attempts else math.inf
+        poll_at = self.now + (self.poll_interval_ms if self.waiting else idle_ms)
+        gossip_at = self.gossip_at if self.gossip.received else math.inf  # digests get old, idle or not
+        query_at = endpoint_list_confirmation.next_query_at(self)
+        return min(self.evaluate_at, self.endpoint_list.poll_at, gossip_at, poll_at, query_at)
--- /dev/null
+++ b/meadowpulley/policy/retry_eligibility.py
@@ -0,0 +1,44 @@
+"""Whether a request that an earlier attempt may have executed may be executed again, where and until when.
+
+An effect must not happen twice: a non-idempotent request is never repeated, one with an idempotency key only
+at servers that drop its repeats, and only while these remember the key.
+"""
+
+import math
+
+from meadowpulley.interface import Effect
+from meadowpulley.policy.endpoint_lease import allowance_ms
+from meadowpulley.state import Attempt, InFlightRequest, Server, State
+
+
+def may_repeat(state: State, in_flight: InFlightRequest, server: Server) -> bool:
+    """Tell whether the request may be executed at the server after all that may have executed it."""
+    return all([_may_follow(state, previous, server) for previous in in_flight.possible_executions])
+
+
+def _may_follow(state: State, previous: Attempt, server: Server) -> bool:
+    """Tell whether the request may be executed at the server though an attempt may have executed it."""
+    if state.now >= _repeatable_until(state, previous):
+        return False
+    request_class = previous.in_flight.request_class
+    if request_class.effect is Effect.IDEMPOTENT:
+        return True
+    return server.in_scope(request_class.deduplication_scope, previous.server)
+
+
+def repeatable_until(state: State, in_flight: InFlightRequest) -> float:
+    """Return until when the request may be written again; infinite where no attempt stands against it."""
+    return min(
+        [_repeatable_until(state, previous) for previous in in_flight.possible_executions] or [math.inf]
+    )
+
+
+def _repeatable_until(state: State, previous: Attempt) -> float:
+    """Return until when a request that an attempt may have executed may be executed again."""
+    request_class = previous.in_flight.request_class
+    if request_class.effect is Effect.IDEMPOTENT:
+        return math.inf
+    if request_class.effect is not Effect.IDEMPOTENT_WITH_KEY:
+        return -math.inf
+    window_ms = request_class.deduplication_window_ms
+    return previous.sent_at + window_ms - allowance_ms(state, window_ms)
--- /dev/null
+++ b/meadowpulley/policy/rollout_stage.py
@@ -0,0 +1,51 @@
+"""Where the newest build stands: which builds are on trial, and what part of the traffic they may get."""
+
+import math
+from typing import NamedTuple
+
+from meadowpulley.interface import Phase
+from meadowpulley.state import State
+
+MAX_STICKY_KEYS = 8000  # beyond it keys that no ready server needs are forgotten: older builds then get none
+ROLLBACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
+
+
+class TrialStage(NamedTuple):
+    """The stage of a build on trial, and the cap on its part of the requests, 0 to 1."""
+
+    cap: float
+    stage: int
+
+
+def is_on_trial(state: State, build: int) -> bool:
+    """Tell whether a build is on trial; while no rollout is known all are."""
+    rollout = state.latest_rollout
+    if rollout is None or build > rollout.build:
+        return True
+    return build == rollout.build and rollout.phase is not Phase.RELEASED
+
+
+def trial_stage(state: State, build: int) -> TrialStage:
+    """Return the stage of a build on trial; an unannounced one is at the first stage."""
+    rollout = state.latest_rollout
+    if rollout is not None and build == rollout.build:
+        return TrialStage(rollout.cap, rollout.stage)
+    caps = state.rollout_settings.caps
+    return TrialStage(caps[0] if caps else 0.0, 0)
+
+
+def partition_servers(state: State) -> None:
+    """Sort the ready servers by arm, after an update of the servers or of the rollout."""
+    ready = state.ready_servers()
+    state.trial_servers = [server for server in ready if is_on_trial(state, server.build)]
+    state.baseline_servers = [server for server in ready if not is_on_trial(state, server.build)]
+    _limit_sticky_keys(state, min([server.build for server in ready], default=-1))
+    state.trial_probability_valid_until = -math.inf
+    state.evaluate_at = min(state.evaluate_at, state.now)
+    state.peak_ready_servers = max(state.peak_ready_servers, len(ready))
+
+
+def _limit_sticky_keys(state: State, oldest_ready_build: int) -> None:
+    """Forget keys that no ready server needs, where there are too many."""
+    if len(state.sticky_builds) > MAX_STICKY_KEYS and oldest_ready_build > state.oldest_sticky_build:
+        state.forget_sticky_builds(oldest_ready_build)
--- a/meadowpulley/state/confirmation.py
+++ b/meadowpulley/state/confirmation.py
@@ -12,6 +12,7 @@
     """The questions that this gateway has asked, and its ready servers. Times are on its clock."""
 
     def __init__(self, rng: Random) -> None:
+        """Begin with nothing asked; `rng` draws for questions alone."""
         self.rng = rng  # of its own: questions change no other draw
         self.queried_at = -math.inf  # when others were last asked
         self.queried_range = -1  # of the servers, in the last question
--- a/meadowpulley/state/estimation.py
+++ b/meadowpulley/state/estimation.py
@@ -13,6 +13,9 @@
 from meadowpulley.state.requests import Attempt
 
 MIN_VARIANCE = 1e-9  # of the difference between both Q functions; below it the mix makes no difference
+BASELINE_ARM = 0
+TRIAL_ARM = 1
+NO_ARM = -1
 
 
 class QDifference(NamedTuple):
@@ -24,96 +27,137 @@
     baseline_count: int
 
 
+class CostSeries(NamedTuple):
+    """The costs of requests, in order of sending, with one entry per request in each list.
+
+    `blocks`: requests of both arms are compared within the same block only.
+    """
+
+    latencies: list[float]  # ms
+    queue_lengths: list[float]  # requests that it met
+    arms: list[int]  # BASELINE_ARM, TRIAL_ARM or NO_ARM
+    blocks: list[tuple[float, int]]
+
+
+class QMix(NamedTuple):
+    """How Q functions are formed: sums over the next `horizon` requests, at `arrival_rate` per ms (39)."""
+
+    horizon: int
+    arrival_rate: float
+    min_alpha: float  # the least weight of latencies against queue lengths, 0 to 1
+
+
 class _Block(NamedTuple):
     """The requests of one block, by their position, that went to each arm."""
 
     baseline: list[int]
     trial: list[int]
 
+    @property
+    def weight(self) -> float:
+        """The inverse variance of the difference of both means, in units of one request's."""
+        return 1 / (1 / len(self.trial) + 1 / len(self.baseline))
+
+    def difference(self, values: list[float]) -> float:
+        """Return the trial's mean value less the baseline's."""
+        trial_mean = fmean([values[position] for position in self.trial])
+        baseline_mean = fmean([values[position] for position in self.baseline])
+        return trial_mean - baseline_mean
 
-def mixed_q(
-    latencies: list[float],
-    queue_lengths: list[float],
-    arms: list[int],
-    blocks: list[tuple[float, int]],
-    horizon: int,
-    arrival_rate: float,
-    min_alpha: float,
-) -> QDifference:
+
+def mixed_q(costs: CostSeries, mix: QMix) -> QDifference:
     """Estimate by how much the trial arm raises the mean latency of all requests, within blocks.
 
-    The lists hold one entry per request, in order of sending: its latency in ms, the queue length that it
-    met, its arm (0 baseline, 1 trial, -1 neither) and its block. A request's Q function adds the costs of the
-    next `horizon` requests to its own (12); `arrival_rate`, per ms (39), makes ms of queue lengths (15).
+    A request's Q function adds the costs of the next requests to its own (12); the arrival rate makes
+    milliseconds of queue lengths (15).
     """
-    count = len(latencies) - horizon  # the last requests have no whole sums
-    both = _blocks_with_both_arms(arms[: max(count, 0)], blocks)
-    if not both or arrival_rate <= 0:
+    count = len(costs.latencies) - mix.horizon  # the last requests have no whole sums
+    blocks = _blocks_with_both_arms(costs.arms[: max(count, 0)], costs.blocks)
+    if not blocks or mix.arrival_rate <= 0:
         return QDifference(0.0, math.inf, 0, 0)
-    latency_q = _q_function(latencies, horizon)
-    queue_q = [total / arrival_rate for total in _q_function(queue_lengths, horizon)]
-    alpha = max(_best_alpha(_centred(latency_q, both), _centred(queue_q, both)), min_alpha)
-    mixed = [alpha * w + (1 - alpha) * q for w, q in zip(latency_q, queue_q, strict=True)]  # (20)
-    differences = [
-        fmean([mixed[j] for j in block.trial]) - fmean([mixed[j] for j in block.baseline]) for block in both
-    ]
-    weights = [1 / (1 / len(block.trial) + 1 / len(block.baseline)) for block in both]
-    weighted = sum([w * d for w, d in zip(weights, differences, strict=True)], 0.0)
-    trial_count = sum(len(block.trial) for block in both)
-    baseline_count = sum(len(block.baseline) for block in both)
-    variance = sum([m * m for m in _centred(mixed, both)], 0.0) / (trial_count + baseline_count)  # C.3
+    mixed = _mixed_q_function(costs, mix, blocks)
+    trial_count = sum([len(block.trial) for block in blocks])
+    baseline_count = sum([len(block.baseline) for block in blocks])
+    squares = [value * value for value in _centred(mixed, blocks)]
+    variance = sum(squares, 0.0) / (trial_count + baseline_count)  # C.3
+    weights = [block.weight for block in blocks]
     total_weight = sum(weights, 0.0)
-    return QDifference(
-        weighted / total_weight, math.sqrt(variance / total_weight), trial_count, baseline_count
-    )
+    difference = _weighted_difference(mixed, blocks, weights) / total_weight
+    return QDifference(difference, math.sqrt(variance / total_weight), trial_count, baseline_count)
+
+
+def _weighted_difference(mixed: list[float], blocks: list[_Block], weights: list[float]) -> float:
+    """Return the sum of the blocks' differences, each times its weight."""
+    differences = [block.difference(mixed) for block in blocks]
+    products = [weight * difference for weight, difference in zip(weights, differences, strict=True)]
+    return sum(products, 0.0)
+
+
+def _mixed_q_function(costs: CostSeries, mix: QMix, blocks: list[_Block]) -> list[float]:
+    """Return each request's mix of its latency Q and its queue Q (20)."""
+    latency_q = _q_function(costs.latencies, mix.horizon)
+    queue_q = [total / mix.arrival_rate for total in _q_function(costs.queue_lengths, mix.horizon)]
+    best_alpha = _best_alpha(_centred(latency_q, blocks), _centred(queue_q, blocks))
+    alpha = max(best_alpha, mix.min_alpha)
+    return [alpha * latency + (1 - alpha) * queue for latency, queue in zip(latency_q, queue_q, strict=True)]
 
 
 def _blocks_with_both_arms(arms: list[int], blocks: list[tuple[float, int]]) -> list[_Block]:
     groups: dict[tuple[float, int], _Block] = {}
-    for j, arm in enumerate(arms):
-        if arm >= 0:
-            groups.setdefault(blocks[j], _Block([], []))[arm].append(j)
+    for position, arm in enumerate(arms):
+        if arm == NO_ARM:
+            continue
+        block = groups.setdefault(blocks[position], _Block([], []))
+        block[arm].append(position)
     return [block for block in groups.values() if block.baseline and block.trial]
 
 
 def _q_function(costs: list[float], horizon: int) -> list[float]:
     """Return for each request the sum of its cost and of the next `horizon` ones (12)."""
     sums = [0.0, *accumulate(costs)]
-    return [sums[j + horizon + 1] - sums[j] for j in range(len(costs) - horizon)]
+    return [sums[first + horizon + 1] - sums[first] for first in range(len(costs) - horizon)]
 
 
-def _centred(values: list[float], both: list[_Block]) -> list[float]:
+def _centred(values: list[float], blocks: list[_Block]) -> list[float]:
     """Return the values of the blocks' requests, each less its block's mean."""
-    members = [block.baseline + block.trial for block in both]
-    means = [fmean([values[j] for j in block]) for block in members]
-    return [values[j] - mean for block, mean in zip(members, means, strict=True) for j in block]
+    centred: list[float] = []
+    for block in blocks:
+        members = block.baseline + block.trial
+        mean = fmean([values[position] for position in members])
+        centred += [values[position] - mean for position in members]
+    return centred
 
 
 def _best_alpha(latency_q: list[float], queue_q: list[float]) -> float:
     """Return the weight of the latencies that gives the mix the least variance (19), from centred values."""
     pairs = list(zip(latency_q, queue_q, strict=True))
-    variance = sum([(w - q) ** 2 for w, q in pairs], 0.0)
-    return sum([q * (q - w) for w, q in pairs], 0.0) / variance if variance > MIN_VARIANCE else 1.0
+    variance = sum([(latency - queue) ** 2 for latency, queue in pairs], 0.0)
+    if variance <= MIN_VARIANCE:
+        return 1.0
+    return sum([queue * (queue - latency) for latency, queue in pairs], 0.0) / variance
 
 
 class LatencySamples:
-    """Attempts of an A/B test with their arms: 0 baseline, 1 trial, -1 neither.
+    """Attempts of an A/B test with their arms.
 
     Latency costs are cut at `max_latency_ms`. Costs and queue lengths are those of warmed-up servers.
     """
 
     def __init__(self, attempts: list[Attempt], arms: list[int], now: float, max_latency_ms: float) -> None:
-        self.attempts, self.arms = attempts, arms
-        self.latencies = [min(a.latency_cost(now), max_latency_ms) for a in attempts]
+        """Take attempts in order of sending, with the arm of each."""
+        self.attempts = attempts
+        self.arms = arms
+        self.latencies = [min(attempt.latency_cost(now), max_latency_ms) for attempt in attempts]
 
     @property
     def baseline_mean(self) -> float:
         """The baseline's mean latency cost in ms; 0 without one."""
-        baseline = [ms for ms, arm in zip(self.latencies, self.arms, strict=True) if arm == 0]
+        pairs = zip(self.latencies, self.arms, strict=True)
+        baseline = [latency for latency, arm in pairs if arm == BASELINE_ARM]
         return fmean(baseline or [0.0])
 
-    def compare(self, block_ms: float, horizon: int, arrival_rate: float, min_alpha: float) -> QDifference:
+    def compare(self, block_ms: float, mix: QMix) -> QDifference:
         """Compare the arms within blocks of time and of one kind of machine, as `mixed_q` does."""
-        queue_lengths = [a.slow_start_fraction * a.queue_length for a in self.attempts]
-        blocks = [(a.sent_at // block_ms, a.server.kind) for a in self.attempts]
-        return mixed_q(self.latencies, queue_lengths, self.arms, blocks, horizon, arrival_rate, min_alpha)
+        queue_lengths = [attempt.slow_start_fraction * attempt.queue_length for attempt in self.attempts]
+        blocks = [(attempt.sent_at // block_ms, attempt.server.kind) for attempt in self.attempts]
+        return mixed_q(CostSeries(self.latencies, queue_lengths, self.arms, blocks), mix)
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -7,8 +7,14 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from meadowpulley.gossip.outcome_digest import SERVER_MODULUS, TIMEOUT_CLASS, Digest
-from meadowpulley.state.failure_test import ALL_SERVERS, SequentialFailureTest
+from meadowpulley.gossip.outcome_digest import (
+    SERVER_MODULUS,
+    TIMEOUT_CLASS,
+    ClassCounts,
+    Digest,
+    FailedResponse,
+)
+from meadowpulley.state.failure_test import ALL_SERVERS, SequentialFailureTest, ServerOutcomes
 from meadowpulley.state.servers import Server
 
 MAX_UNPUBLISHED = 600  # outcomes that wait for the next digest; beyond it the oldest are dropped
@@ -43,24 +49,28 @@
     """The sums of several gateways' digests on one build."""
 
     def __init__(self, digests: list[Digest]) -> None:
-        self._rows = [row for digest in digests for row in digest.classes]
+        """Take the digests of one build."""
+        self._class_counts: list[ClassCounts] = []
         # By server, as digests number it, and class.
-        self.failures_by_server = Counter(failure for digest in digests for failure in digest.failures)
+        self.failures_by_server: Counter[FailedResponse] = Counter()
+        for digest in digests:
+            self._class_counts += digest.classes
+            self.failures_by_server.update(digest.failures)
 
     def of_class(self, class_index: int) -> ArmOutcomes:
         """Return the counts of one class."""
-        return _add_up([row for row in self._rows if row[0] == class_index])
+        return _add_up([counts for counts in self._class_counts if counts.class_index == class_index])
 
     def add_to(
         self, test: SequentialFailureTest, class_index: int, servers: list[int], baseline_rate: float
     ) -> None:
         """Add a class's outcomes to a test, for all servers together and for each of the build's."""
         outcomes = self.of_class(class_index)
-        test.add(class_index, ALL_SERVERS, outcomes.failed, outcomes.succeeded, baseline_rate)
+        test.add(ServerOutcomes(class_index, ALL_SERVERS, outcomes.failed, outcomes.succeeded), baseline_rate)
         for server in servers:
-            failed = self.failures_by_server[server % SERVER_MODULUS, class_index]
+            failed = self.failures_by_server[FailedResponse(server % SERVER_MODULUS, class_index)]
             succeeded = outcomes.succeeded / len(servers)  # digests do not say by which server
-            test.add(class_index, server, failed, succeeded, baseline_rate, server_only=True)
+            test.add(ServerOutcomes(class_index, server, failed, succeeded), baseline_rate, server_only=True)
 
     def timeouts(self) -> ArmOutcomes:
         """Return how many attempts timed out at warmed-up servers, as counts of `succeeded`."""
@@ -68,21 +78,24 @@
 
     def responses(self) -> ArmOutcomes:
         """Return the counts of all classes together."""
-        return _add_up([row for row in self._rows if row[0] != TIMEOUT_CLASS])
+        return _add_up([counts for counts in self._class_counts if counts.class_index != TIMEOUT_CLASS])
 
 
 class FailureReports(NamedTuple):
-    """Failed responses in digests: in all, and by server, as digests number it, with the gateways that
-    report them."""
+    """Failed responses in digests; servers are numbered as in digests."""
 
     total: int
-    failures: Counter[int]
-    senders: Counter[int]
+    failures: Counter[int]  # by server
+    senders: Counter[int]  # gateways that report a server, by server
 
 
-def _add_up(rows: list[tuple[int, int, int, int, int]]) -> ArmOutcomes:
-    columns = [sum(row[column] for row in rows) for column in (1, 2, 3, 4)]
-    return ArmOutcomes(*columns)
+def _add_up(rows: list[ClassCounts]) -> ArmOutcomes:
+    return ArmOutcomes(
+        succeeded=sum([counts.succeeded for counts in rows]),
+        failed=sum([counts.failed for counts in rows]),
+        baseline_succeeded=sum([counts.baseline_succeeded for counts in rows]),
+        baseline_failed=sum([counts.baseline_failed for counts in rows]),
+    )
 
 
 class GossipState:
@@ -93,6 +106,7 @@
     """
 
     def __init__(self, incarnation: int, clock_skew_s: int) -> None:
+        """Begin with nothing sent or received."""
         self.incarnation = incarnation
         self.sequence = 0  # of the last digest that was sent
         self.unpublished: deque[OutcomeCounts] = deque(maxlen=MAX_UNPUBLISHED)
@@ -104,26 +118,28 @@
         self.last_baseline_fault_at = -math.inf  # when the baseline last failed anywhere
 
     def next_digest(self, build: int, baseline_build: int, under_evaluation: bool) -> Digest | None:
-        """Return what was seen since the last digest, or None: failures of all builds, all outcomes of those
-        under evaluation."""
-        rows: dict[int, list[int]] = defaultdict(lambda: [0, 0, 0, 0])
-        failures: list[tuple[int, int]] = []
-        for counts in self.unpublished:
-            if under_evaluation and counts.build in (build, baseline_build):
-                column = 0 if counts.build == build else 2
-                rows[counts.class_index][column] += counts.succeeded
-                rows[counts.class_index][column + 1] += counts.failed
-            failures += [(counts.server % SERVER_MODULUS, counts.class_index)] * counts.failed
+        """Return what was seen since the last digest, or None where that is nothing.
+
+        A digest holds the failures of all builds, and all outcomes of those under evaluation.
+        """
+        counts_by_class: dict[int, ClassCounts] = {}
+        failures: list[FailedResponse] = []
+        for outcome in self.unpublished:
+            if under_evaluation and outcome.build in (build, baseline_build):
+                counts = counts_by_class.get(outcome.class_index)
+                counts_by_class[outcome.class_index] = _add_outcome(counts, outcome, outcome.build == build)
+            failure = FailedResponse(outcome.server % SERVER_MODULUS, outcome.class_index)
+            failures += [failure] * outcome.failed
         self.unpublished.clear()
-        if not (rows or failures):
+        if not (counts_by_class or failures):
             return None
         self.sequence += 1
-        classes = tuple((c, row[0], row[1], row[2], row[3]) for c, row in sorted(rows.items()))
+        classes = tuple([counts for _, counts in sorted(counts_by_class.items())])
         return Digest(self.incarnation, self.sequence, build, classes, tuple(failures))
 
     def has_failures(self) -> bool:
         """Tell whether a failed response waits for the next digest."""
-        return any(counts.failed for counts in self.unpublished)
+        return any(outcome.failed for outcome in self.unpublished)
 
     def record_timeout(self, server: Server) -> None:
         """Note a time-out at a warmed-up server for the next digest, as a succeeded response of its class."""
@@ -142,13 +158,35 @@
 
     def failure_reports(self) -> FailureReports:
         """Count the failed responses in this second's digests, by server."""
-        reports = [(server, sender) for sender, digest in self.received for server, _ in digest.failures]
-        failures = Counter(server for server, _ in reports)
-        senders = Counter(server for server, _ in set(reports))
-        return FailureReports(len(reports), failures, senders)
+        total = 0
+        failures: Counter[int] = Counter()
+        senders: Counter[int] = Counter()
+        reported: set[tuple[int, int]] = set()
+        for sender, digest in self.received:
+            for failure in digest.failures:
+                total += 1
+                failures[failure.server] += 1
+                reported.add((failure.server, sender))
+        for server, _ in reported:
+            senders[server] += 1
+        return FailureReports(total, failures, senders)
 
     def take_pooled(self, build: int) -> PooledOutcomes:
         """Return the sums of this second's digests on the build, and begin the next second."""
         digests = [digest for _, digest in self.received if digest.build == build]
         self.received = []
         return PooledOutcomes(digests)
+
+
+def _add_outcome(counts: ClassCounts | None, outcome: OutcomeCounts, of_newest: bool) -> ClassCounts:
+    """Return the counts of a class with an outcome of the newest build, or of its baseline, added."""
+    if counts is None:
+        counts = ClassCounts(outcome.class_index, 0, 0, 0, 0)
+    if of_newest:
+        return counts._replace(
+            succeeded=counts.succeeded + outcome.succeeded, failed=counts.failed + outcome.failed
+        )
+    return counts._replace(
+        baseline_succeeded=counts.baseline_succeeded + outcome.succeeded,
+        baseline_failed=counts.baseline_failed + outcome.failed,
+    )
--- a/meadowpulley/state/requests.py
+++ b/meadowpulley/state/requests.py
@@ -13,6 +13,9 @@
 )
 from meadowpulley.state.servers import Server
 
+ALL_CLASSES = -1  # the exposure class of all requests where classes are counted together
+PRIOR_ATTEMPT_NUMBER = -1  # attempts of an earlier incarnation have no number at this gateway
+
 
 class InFlightRequest:
     """A request that is owed its final answer."""
@@ -20,11 +23,14 @@
     def __init__(
         self, request: Request, request_class: RequestClass, now: float, exposure_per_class: bool
     ) -> None:
-        self.request, self.request_class, self.arrived_at = request, request_class, now
-        self.attempt_count, self.outstanding = request.prior_attempt_count, 0
-        self.exposure_class = (
-            request.class_index if exposure_per_class else -1
-        )  # counted together for the cap
+        """Begin with a request that arrives `now`, with the attempts that other gateways made for it."""
+        self.request = request
+        self.request_class = request_class
+        self.arrived_at = now
+        self.attempt_count = request.prior_attempt_count
+        self.outstanding = 0  # attempts without an outcome
+        # Requests of one exposure class share the exposure cap.
+        self.exposure_class = request.class_index if exposure_per_class else ALL_CLASSES
         self.attempted_servers = [prior.server for prior in request.prior_attempts]
         # Attempts that were executed, may have been, or have no outcome yet.
         self.possible_executions = [_prior_attempt(self, prior) for prior in request.prior_attempts]
@@ -63,28 +69,45 @@
         slow_start_fraction: float,
         randomized: bool,
     ) -> None:
-        self.in_flight, self.server = in_flight, server
+        """Begin with the next attempt of a request.
+
+        Args:
+            in_flight: The request.
+            server: Where it is sent.
+            queue_length: Mean count of this gateway's attempts at the candidates when the server was chosen.
+            sent_at: Time in ms.
+            slow_start_fraction: Of the server's capacity, 0 to 1.
+            randomized: Whether chance decided between the builds.
+        """
+        self.in_flight = in_flight
+        self.server = server
         self.number = in_flight.attempt_count - in_flight.request.prior_attempt_count
-        self.queue_length, self.sent_at = queue_length, sent_at
+        self.queue_length = queue_length
+        self.sent_at = sent_at
         self.slow_start_fraction = slow_start_fraction
-        self.randomized = (
-            randomized and not in_flight.attempt_count
-        )  # chance decides for first attempts alone
+        # Retries avoid the servers of earlier attempts, so chance decides for first attempts alone.
+        self.randomized = randomized and not in_flight.attempt_count
         self.latency_ms: float | None = None
         self.unattributable = False  # no response, or one of unknown latency: not the build's doing
 
     def latency_cost(self, now: float) -> float:
         """Return the latency in ms, or the age while outstanding, as if the server were warmed up."""
-        return self.slow_start_fraction * (
-            self.latency_ms if self.latency_ms is not None else now - self.sent_at
-        )
+        elapsed_ms = self.latency_ms if self.latency_ms is not None else now - self.sent_at
+        return self.slow_start_fraction * elapsed_ms
 
 
 def _prior_attempt(in_flight: InFlightRequest, prior: PriorAttempt) -> Attempt:
-    """Return an attempt of an earlier incarnation, kept like an outstanding one; it has no number here."""
+    """Return an attempt of an earlier incarnation, kept like an outstanding one."""
     endpoint = ServerEntry(
-        prior.server, prior.cell, prior.zone, ServerState.REMOVED, prior.build, 0.0, 0, 0.0
+        server=prior.server,
+        cell=prior.cell,
+        zone=prior.zone,
+        state=ServerState.REMOVED,
+        build=prior.build,
+        started_ms=0.0,
+        kind=0,
+        weight=0.0,
     )
     attempt = Attempt(in_flight, Server(endpoint), 0.0, prior.sent_ms, 0.0, False)
-    attempt.number = -1
+    attempt.number = PRIOR_ATTEMPT_NUMBER
     return attempt
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -9,29 +9,45 @@
 
 
 class Server:
-    """One start of one server: a restart, or another build under the same number, is a new one."""
+    """One start of one server: a restart, or another build under the same number, is a new one.
+
+    Times are milliseconds on the clock of the events.
+    """
 
     def __init__(self, endpoint: ServerEntry) -> None:
-        self.id, self.kind = endpoint.server, endpoint.kind
-        self.cell, self.zone = endpoint.cell, endpoint.zone
-        self.build, self.started_ms, self.state = endpoint.build, endpoint.started_ms, endpoint.state
+        """Begin with a healthy server, as an endpoint list names it."""
+        self.id = endpoint.server
+        self.kind = endpoint.kind
+        self.cell = endpoint.cell
+        self.zone = endpoint.zone
+        self.build = endpoint.build
+        self.started_ms = endpoint.started_ms
+        self.state = endpoint.state
         self.fingerprint = fingerprint(endpoint.server, endpoint.build, endpoint.started_unix_ms)
         self.outstanding = 0  # attempts of this gateway that have no outcome yet
         self.slow_start_slot = -1  # the slot of the overload window for which the budget was drawn
         self.slow_start_budget = -1  # requests that may still be sent in that slot
         self.failure_rate = 0.0  # exponentially weighted moving average
         self.ejected_until = 0.0
-        self.ejection_ms = (
-            0.0  # 0 while healthy; else the last ejection's length, and it gets one request at a time
-        )
-        self.last_failure_at = self.last_response_at = -math.inf
+        # Length of the last ejection; while it is above 0 the server gets one request at a time.
+        self.ejection_ms = 0.0
+        self.last_failure_at = -math.inf
+        self.last_response_at = -math.inf
         self.confirmed_at = -math.inf  # discovery listed it as it is known, by what another gateway says
 
     def as_candidate(self, slow_start_fraction: float, mean_latency_ms: float, home_zone: int) -> Candidate:
-        """Return the server as a placement sees it."""
-        identity = (self.id, self.zone, self.cell, self.kind, self.build)
-        load = (self.outstanding, slow_start_fraction, mean_latency_ms)
-        return Candidate(*identity, *load, self.zone == home_zone)
+        """Return the server as a placement policy sees it."""
+        return Candidate(
+            server=self.id,
+            zone=self.zone,
+            cell=self.cell,
+            kind=self.kind,
+            build=self.build,
+            outstanding=self.outstanding,
+            slow_start_fraction=slow_start_fraction,
+            typical_latency_ms=mean_latency_ms,
+            same_zone=self.zone == home_zone,
+        )
 
     @property
     def is_ready(self) -> bool:
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -10,10 +10,10 @@
     MAX_COUNT,
     MAX_FAILURES,
     TIMEOUT_CLASS,
-    Digest,
     decode,
     encode,
 )
+from tests.digests import make_digest
 
 BYTES = st.integers(0, MAX_COUNT)
 
@@ -28,7 +28,7 @@
 def test_a_digest_survives_encoding(
     incarnation: int, sequence: int, build: int, classes: list[tuple[int, ...]], failed: list[tuple[int, int]]
 ) -> None:
-    digest = Digest(incarnation, sequence, build, tuple(classes), tuple(failed))  # type: ignore[arg-type]
+    digest = make_digest(incarnation, sequence, build, classes, failed)
     assert len(encode(digest)) <= MAX_BYTES
     assert decode(encode(digest)) == digest
 
@@ -36,7 +36,7 @@
 def test_what_does_not_fit_is_left_out() -> None:
     # A build or a class too large for its field raised, and the event that the digest came of was lost.
     classes, failed = ((300, 1, 1, 1, 1), *((0, 999, 0, 0, 0),) * 20), ((1, 300), *((70_000, 0),) * 500)
-    digest = decode(encode(Digest(1, 2**32 + 2, 2**32 + 3, classes, failed)))
+    digest = decode(encode(make_digest(1, 2**32 + 2, 2**32 + 3, classes, failed)))
     assert digest is not None and digest.classes[0][1] == MAX_COUNT and len(digest.failures) == MAX_FAILURES
     assert digest.failures[0] == (70_000 % 65536, 0) and (digest.sequence, digest.build) == (2, 3)
 
@@ -44,5 +44,5 @@
 def test_many_classes_fit_with_the_timeout_class() -> None:
     # Only eight were told, the first by number: LOST stands behind them all, and never came to the others.
     classes = tuple((cls, 1, 2, 3, 4) for cls in (*range(12), TIMEOUT_CLASS))
-    digest = decode(encode(Digest(1, 1, 42, classes, ((3, 11),) * MAX_FAILURES)))
+    digest = decode(encode(make_digest(1, 1, 42, classes, ((3, 11),) * MAX_FAILURES)))
     assert digest is not None and digest.classes == classes
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -24,9 +24,15 @@
 from meadowpulley.fleet import Fleet, parse_fleet
 from meadowpulley.interface import Action, EndpointUpdate, EndpointUpdateKind, Event, Phase, ServerState
 from meadowpulley.load import PROFILES, synthesize
-from meadowpulley.policy import RolloutPolicy, admission, routing, send_permission
+from meadowpulley.policy import (
+    RolloutPolicy,
+    admission,
+    outcomes,
+    send_permission,
+    server_selection,
+    trial_assignment,
+)
 from meadowpulley.rules import Record, trace_line
-from meadowpulley.state.state import State
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
@@ -128,15 +134,16 @@
 
 # Planted bugs: replacements of parts of the policy.
 UNCHECKED_ATTEMPTS: Patches = (  # the check of every attempt accepts all
-    (routing, "may_send", lambda state, in_flight, server: True),
-    (State, "subset", lambda state, group, local_fraction: {}),
+    (server_selection, "may_send", lambda state, in_flight, server: True),
+    (server_selection, "server_subset", lambda state, group: {}),
 )
 EXPOSURE_IGNORED: Patches = (  # every request goes to the trial build
-    (send_permission, "_within_exposure", lambda state, in_flight, server: True),
-    (routing, "_trial_probability", lambda state: 1.0),
+    (send_permission, "within_exposure", lambda state, in_flight, server: True),
+    (trial_assignment, "_trial_probability", lambda state: 1.0),
 )
 RESPONSES_DROPPED: Patches = (  # a request that is given up gets no response
-    (admission, "_reject_or_fail", lambda state, request: state.in_flight.pop(request.request.request, None)),
+    (admission, "give_up", lambda state, request: state.in_flight.pop(request.request.request, None)),
+    (outcomes, "give_up", lambda state, request: state.in_flight.pop(request.request.request, None)),
 )
 
 
--- a/tests/test_endpoint_lease.py
+++ b/tests/test_endpoint_lease.py
@@ -195,7 +195,7 @@
         driver.now = 1000.0
         driver.handle(EndpointUpdate(BROKEN, 1, as_of_ms=0.0))
         assert usable_until(driver.policy, server) == 1000.0 - STALL_ALLOWANCE_MS + GRACE_MS
-        assert driver.policy.resubscribe_at <= 1000.0 + RULES.drain_grace_ms / 2
+        assert driver.policy.endpoint_list.poll_at <= 1000.0 + RULES.drain_grace_ms / 2
         (send,) = sends(driver.request())
         driver.finish(send)
         assert usable_until(driver.policy, server) == 1000.0 - STALL_ALLOWANCE_MS + GRACE_MS
--- a/tests/test_full_fleet.py
+++ b/tests/test_full_fleet.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from meadowpulley.interface import EndpointUpdateKind, Reject, Result, Send, SendGossip
-from meadowpulley.policy.evidence import GOSSIP_SENDERS
+from meadowpulley.policy.outcome_gossip import GOSSIP_SENDERS
 from tests.driver import LIMITS, RULES, SAFE, Driver, sends, server_entry, settings
 
 GATEWAYS, SERVERS, ZONES = 200, 100, 3
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,7 +10,6 @@
 from meadowpulley.gossip.outcome_digest import (
     MAX_BYTES,
     TIMEOUT_CLASS,
-    Digest,
     decode,
     encode,
 )
@@ -25,13 +24,14 @@
     Verdict,
     Vote,
 )
-from meadowpulley.policy.evidence import evidence_ratio
+from meadowpulley.policy.failure_evidence import evidence_ratio
 from meadowpulley.state import OutcomeCounts
+from tests.digests import make_digest
 from tests.driver import LIMITS, SAFE, UNSAFE, Driver, sends, server_entry, settings, votes
 
 PEERS = replace(LIMITS, gossip=True)
 MANY = 40
-WHOLE = encode(Digest(7, 1, 42, ((SAFE, 5, 1, 9, 0),), ((3, SAFE),)))
+WHOLE = encode(make_digest(7, 1, 42, ((SAFE, 5, 1, 9, 0),), ((3, SAFE),)))
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
 ) -> None:
     """Every other gateway tells the same of build 42, `times` times over."""
     for sender in range(1, MANY):
-        digest = Digest(sender, sequence, 42, (row,), tuple((n, SAFE) for n in failed))  # type: ignore[arg-type]
+        digest = make_digest(sender, sequence, 42, (row,), [(n, SAFE) for n in failed])
         for _ in range(times):
             driver.handle(GossipReceived(sender, encode(digest)))
 
@@ -177,7 +177,9 @@
     sender: int, build: int, row: tuple[int, int, int, int, int], counts: bool
 ) -> None:
     driver = gateway_with_trial(0)
-    driver.handle(GossipReceived(sender, encode(Digest(9, 1, build, (row,), ((100, SAFE), (9999, SAFE))))))
+    driver.handle(
+        GossipReceived(sender, encode(make_digest(9, 1, build, (row,), ((100, SAFE), (9999, SAFE)))))
+    )
     assert (strongest_evidence(driver) > 0) == counts
 
 
@@ -212,7 +214,7 @@
 def evidence_after_second(driver: Driver, second: int, row: tuple[int, int, int, int]) -> float:
     """How far build 42 is proven after what all told in a second: failures spread over its servers."""
     failed = tuple((100 + n % 10, SAFE) for n in range(row[1]))
-    driver.handle(GossipReceived(1, encode(Digest(7, second, 42, ((SAFE, *row),), failed))))
+    driver.handle(GossipReceived(1, encode(make_digest(7, second, 42, ((SAFE, *row),), failed))))
     strongest_evidence(driver)
     return float(
         evidence_ratio(
@@ -276,7 +278,7 @@
     driver = gateway_with_trial(0, 200)
     for sequence in range(1, 4):
         rows = ((SAFE, 90, 0, 240, 0), (TIMEOUT_CLASS, timeouts, 0, baseline_timeouts, 0))
-        driver.handle(GossipReceived(1, encode(Digest(7, sequence, 42, rows))))
+        driver.handle(GossipReceived(1, encode(make_digest(7, sequence, 42, rows))))
         strongest_evidence(driver)
     assert (driver.policy.rollback_build == 42) == found
 
@@ -298,8 +300,8 @@
     driver = gateway_with_trial(0)
     driver.now += 60_000.0
     driver.fire_timer()
-    driver.policy.evaluate_at = driver.policy.resubscribe_at = driver.policy.timer_at = float("inf")
-    digest = encode(Digest(1, 1, 42, ((SAFE, 1, 0, 1, 0),)))
+    driver.policy.evaluate_at = driver.policy.endpoint_list.poll_at = driver.policy.timer_at = float("inf")
+    digest = encode(make_digest(1, 1, 42, ((SAFE, 1, 0, 1, 0),)))
     timers = [a.delay_ms for a in driver.handle(GossipReceived(1, digest)) if isinstance(a, SetTimer)]
     assert timers and timers[0] <= 1000.0
 
@@ -307,7 +309,7 @@
 def test_the_remembered_incarnations_are_bounded() -> None:
     driver = gateway_with_trial(0)
     for incarnation in range(1000):
-        driver.handle(GossipReceived(1, encode(Digest(incarnation, 1, 42))))
+        driver.handle(GossipReceived(1, encode(make_digest(incarnation, 1, 42))))
     assert len(driver.policy.gossip.last_digest_by_sender) <= 4 * MANY
 
 
@@ -327,7 +329,9 @@
 
 def report_failures(driver: Driver, server: int, by: range, sequence: int = 1) -> None:
     for sender in by:
-        driver.handle(GossipReceived(sender, encode(Digest(sender, sequence, 0, (), ((server, SAFE),) * 4))))
+        driver.handle(
+            GossipReceived(sender, encode(make_digest(sender, sequence, 0, (), ((server, SAFE),) * 4)))
+        )
     driver.now += 1000.0
     driver.fire_timer()
 
@@ -356,7 +360,7 @@
     everywhere = gateway_with_trial(0)
     for sender in range(1, MANY):
         failed = tuple((n, SAFE) for n in (*range(20), 100, 101))
-        everywhere.handle(GossipReceived(sender, encode(Digest(sender, 1, 0, (), failed))))
+        everywhere.handle(GossipReceived(sender, encode(make_digest(sender, 1, 0, (), failed))))
     everywhere.now += 1000.0
     everywhere.fire_timer()
     for one in (driver, everywhere):
@@ -380,7 +384,7 @@
     driver.update_endpoints([server_entry(sequence), *(server_entry(n) for n in range(20, 40))])
     driver.fire_timer()
     driver.policy.gossip.unpublished.extend([OutcomeCounts(SAFE, 41, sequence, 1, 0)] * 9)
-    driver.handle(GossipReceived(1, encode(Digest(1, 1, 41, (), ((sequence, SAFE),) * 2))))
+    driver.handle(GossipReceived(1, encode(make_digest(1, 1, 41, (), ((sequence, SAFE),) * 2))))
     driver.now += 1000.0
     driver.fire_timer()
     assert driver.policy.servers[sequence].ejected_until > driver.now
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,8 +8,8 @@
 import pytest
 
 from meadowpulley.interface import Phase, Result, RolloutUpdate, StageGate, Verdict, Vote
-from meadowpulley.policy.evidence import REQUIRED_EVIDENCE, evidence_ratio, new_build_evidence
-from meadowpulley.state import mixed_q
+from meadowpulley.policy.failure_evidence import REQUIRED_EVIDENCE, evidence_ratio, new_build_evidence
+from meadowpulley.state import CostSeries, QMix, ServerOutcomes, mixed_q
 from tests.driver import ROLLOUT, SAFE, UNSAFE, Driver, sends, server_entry, settings, votes
 
 ONE = [(0.0, 0)] * 4
@@ -18,7 +18,7 @@
 def test_without_horizon_and_with_equal_queues_the_estimate_is_a_plain_difference() -> None:
     # Queues all 2: Vq = Cwq = 0, so alpha = 0 / (r²·Vw) = 0 and the mix is the queue alone: difference 0.
     difference, error, trial_count, baseline_count = mixed_q(
-        [100, 300, 100, 300], [2] * 4, [0, 1, 0, 1], ONE, 0, 0.01, -math.inf
+        CostSeries([100, 300, 100, 300], [2] * 4, [0, 1, 0, 1], ONE), QMix(0, 0.01, -math.inf)
     )
     assert (difference, error, trial_count, baseline_count) == (0.0, 0.0, 2, 2)
 
@@ -28,7 +28,7 @@
     # Sums of squares: w 4+1+0+9 = 14, q 1+1+0+0 = 2, cross 2-1+0+0 = 1.
     # alpha = (2 - 1) / (14 + 2 - 2) = 1/14; mixed = w/14 + 13q/14 = 1/14, 28/14, 16/14, 19/14.
     difference, error, trial_count, baseline_count = mixed_q(
-        [1, 2, 3, 6], [0, 2, 1, 1], [0, 1, 0, 1], ONE, 0, 1.0, -math.inf
+        CostSeries([1, 2, 3, 6], [0, 2, 1, 1], [0, 1, 0, 1], ONE), QMix(0, 1.0, -math.inf)
     )
     assert difference == pytest.approx((28 + 19) / 28 - (1 + 16) / 28)
     mixed = [1 / 14, 2.0, 16 / 14, 19 / 14]
@@ -40,7 +40,9 @@
 def test_q_function_adds_the_next_requests_and_drops_the_incomplete_tail() -> None:
     # Length 1: Qw = 3, 5, 9 for the first three; queues follow latency, so the mix keeps that order.
     w = [1.0, 2.0, 3.0, 6.0]
-    difference, _, trial_count, baseline_count = mixed_q(w, w, [0, 1, 0, 1], ONE, 1, 1.0, -math.inf)
+    difference, _, trial_count, baseline_count = mixed_q(
+        CostSeries(w, w, [0, 1, 0, 1], ONE), QMix(1, 1.0, -math.inf)
+    )
     assert difference == pytest.approx(5 - 6)
     assert (trial_count, baseline_count) == (1, 2)
 
@@ -48,19 +50,21 @@
 def test_slowness_of_a_whole_block_does_not_count() -> None:
     w = [100.0, 120.0, 1000.0, 1020.0]
     arms, blocks = [0, 1, 0, 1], [(0.0, 0), (0.0, 0), (1.0, 0), (1.0, 0)]
-    difference, _, _, _ = mixed_q(w, w, arms, blocks, 0, 1.0, -math.inf)
+    difference, _, _, _ = mixed_q(CostSeries(w, w, arms, blocks), QMix(0, 1.0, -math.inf))
     assert difference == pytest.approx(20.0)
 
 
 def test_min_alpha_keeps_latency_in_the_mix_when_queue_lengths_do_not_vary() -> None:
     # A gateway that sees little mostly holds nothing; the formula would then trust the counts alone.
-    difference, _, _, _ = mixed_q([100, 300, 100, 300], [0] * 4, [0, 1, 0, 1], ONE, 0, 0.01, 0.5)
+    difference, _, _, _ = mixed_q(
+        CostSeries([100, 300, 100, 300], [0] * 4, [0, 1, 0, 1], ONE), QMix(0, 0.01, 0.5)
+    )
     assert difference == pytest.approx(100.0)
 
 
 def test_without_both_builds_in_a_block_there_is_no_estimate() -> None:
     difference, error, trial_count, baseline_count = mixed_q(
-        [1.0, 2.0], [1.0, 1.0], [0, 1], [(0.0, 0), (0.0, 1)], 0, 1.0, -math.inf
+        CostSeries([1.0, 2.0], [1.0, 1.0], [0, 1], [(0.0, 0), (0.0, 1)]), QMix(0, 1.0, -math.inf)
     )
     assert (difference, error, trial_count, baseline_count) == (0.0, math.inf, 0, 0)
 
@@ -69,17 +73,17 @@
     failure_test = new_build_evidence(0.0).own_failures
     for failed in (1, 0, 1, 0, 1):
         assert evidence_ratio(failure_test, 1, False, REQUIRED_EVIDENCE) < 1
-        failure_test.add(0, 7, failed, 1 - failed, 0.0)
+        failure_test.add(ServerOutcomes(0, 7, failed, 1 - failed), 0.0)
     assert evidence_ratio(failure_test, 1, False, REQUIRED_EVIDENCE) >= 1
 
 
 def test_one_of_several_servers_proves_nothing_and_server_faults_halve_its_limit() -> None:
     failure_test = new_build_evidence(0.0).own_failures
     for _ in range(20):
-        failure_test.add(0, 7, 1, 0, 0.0)
+        failure_test.add(ServerOutcomes(0, 7, 1, 0), 0.0)
     assert evidence_ratio(failure_test, 3, False, REQUIRED_EVIDENCE) < 1
     assert evidence_ratio(failure_test, 1, True, REQUIRED_EVIDENCE) < 1
-    failure_test.add(0, 8, 3, 0, 0.0)
+    failure_test.add(ServerOutcomes(0, 8, 3, 0), 0.0)
     assert evidence_ratio(failure_test, 2, False, REQUIRED_EVIDENCE) >= 1
 
 
@@ -87,18 +91,18 @@
     # Three single errors in a thousand answers of 25 servers once sent a good build back.
     failure_test = new_build_evidence(0.0).own_failures
     for n in range(1000):
-        failure_test.add(0, n % 25, n in (300, 600, 900), n not in (300, 600, 900), 0.0)
+        failure_test.add(ServerOutcomes(0, n % 25, n in (300, 600, 900), n not in (300, 600, 900)), 0.0)
     assert evidence_ratio(failure_test, 25, False, REQUIRED_EVIDENCE) < 0.5
 
 
 def test_one_failing_class_is_not_averaged_away_and_late_failures_are_found() -> None:
     failure_test = new_build_evidence(0.0).own_failures
     for n in range(400):
-        failure_test.add(n % 4, 7, 0, 1, 0.0)
+        failure_test.add(ServerOutcomes(n % 4, 7, 0, 1), 0.0)
     for _ in range(4):
-        failure_test.add(3, 7, 1, 0, 0.0)
+        failure_test.add(ServerOutcomes(3, 7, 1, 0), 0.0)
         for class_index in (0, 1, 2):
-            failure_test.add(class_index, 7, 0, 3, 0.0)
+            failure_test.add(ServerOutcomes(class_index, 7, 0, 3), 0.0)
     assert evidence_ratio(failure_test, 1, False, REQUIRED_EVIDENCE) >= 1
 
 
--- a/tests/test_list_call_load.py
+++ b/tests/test_list_call_load.py
@@ -94,7 +94,7 @@
 
     def _fail(self, number: int, epoch: int) -> None:
         if epoch == self._epochs[number]:
-            as_of_ms = self.policies[number].list_confirmed_at
+            as_of_ms = self.policies[number].endpoint_list.confirmed_at
             self._dispatch(number, EndpointUpdate(EndpointUpdateKind.FAILED, 0, as_of_ms=as_of_ms))
 
     def _respond(self, number: int, epoch: int, as_of_ms: float) -> None:
--- a/tests/test_rules_exposure.py
+++ b/tests/test_rules_exposure.py
@@ -18,7 +18,7 @@
     ServerState,
     Timer,
 )
-from meadowpulley.policy.endpoints import MAX_STICKY_KEYS
+from meadowpulley.policy.rollout_stage import MAX_STICKY_KEYS
 from meadowpulley.state import WINDOW_MARGIN_MS
 from tests.driver import ROLLOUT, SAFE, UNSAFE, Driver, list_servers, sends, server_entry, settings
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,11 +21,11 @@
     Vote,
     Watch,
 )
-from meadowpulley.policy import routing
-from meadowpulley.policy.evidence import REQUIRED_EVIDENCE, evidence_ratio, new_build_evidence
-from meadowpulley.policy.rollout import estimate_slowdown
+from meadowpulley.policy import server_selection
+from meadowpulley.policy.failure_evidence import REQUIRED_EVIDENCE, evidence_ratio, new_build_evidence
+from meadowpulley.policy.latency_comparison import estimate_slowdown
 from meadowpulley.policy.send_permission import may_send
-from meadowpulley.state import PLATFORM, InFlightRequest, Server, State
+from meadowpulley.state import PLATFORM, InFlightRequest, Server, ServerOutcomes, State
 from tests.driver import ROLLOUT, SAFE, Driver, sends, server_entry, settings, votes
 
 MANY = 300
@@ -107,11 +107,11 @@
 def test_platform_statistics_prove_nothing_without_own_failures_on_two_servers() -> None:
     # Time-outs of cold and jammed machines count as failures in a tally: a good build went back.
     failure_test = new_build_evidence(0.0).own_failures
-    failure_test.add(0, PLATFORM, 60, 40, 0.1)
+    failure_test.add(ServerOutcomes(0, PLATFORM, 60, 40), 0.1)
     assert evidence_ratio(failure_test, 8, False, REQUIRED_EVIDENCE) == 0
-    failure_test.add(0, 1, 2, 0, 0.0)
+    failure_test.add(ServerOutcomes(0, 1, 2, 0), 0.0)
     assert evidence_ratio(failure_test, 8, False, REQUIRED_EVIDENCE) < 1
-    failure_test.add(0, 2, 2, 0, 0.0)
+    failure_test.add(ServerOutcomes(0, 2, 2, 0), 0.0)
     assert evidence_ratio(failure_test, 8, False, REQUIRED_EVIDENCE) >= 1
 
 
@@ -191,7 +191,7 @@
         checked.append(server.id)
         return may_send(b, held, server)
 
-    monkeypatch.setattr(routing, "may_send", watched)
+    monkeypatch.setattr(server_selection, "may_send", watched)
     chosen = {send.server for _ in range(4 * MANY) for send in sends(driver.request(SAFE))}
     assert len(checked) <= 2 * 4 * MANY and len(chosen) > 0.9 * MANY
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -136,7 +136,7 @@
         mean_latency_ms,
         concurrency_limit,
     )
-    assert all(s.unattributable for s in list(driver.policy.samples)[-6:])
+    assert all(s.unattributable for s in list(driver.policy.latency_samples)[-6:])
     assert not any(s.ejection_ms for s in driver.policy.servers.values())
 
 
--- a/tests/test_watch_timeouts.py
+++ b/tests/test_watch_timeouts.py
@@ -69,7 +69,7 @@
         driver = Driver(settings(must_poll=True, gateway_count=200), seed=seed)
         driver.update_endpoints([server_entry(1)])
         driver.update_endpoints([], kind)
-        return driver.policy.resubscribe_at - driver.now
+        return driver.policy.endpoint_list.poll_at - driver.now
 
     assert {backoff_ms(EndpointUpdateKind.TIMED_OUT, seed) for seed in range(5)} == {0.0}
     assert max(backoff_ms(EndpointUpdateKind.FAILED, seed) for seed in range(20)) > 1_000.0
