--- a/meadowpulley/cli/fleet_metrics.py
+++ b/meadowpulley/cli/fleet_metrics.py
@@ -36,7 +36,7 @@
     "votes": ("platform.votes",),
     "datagrams": ("gossip.sent",),
 }
-HEADINGS = ["s", "gateways", *COUNTERS_BY_COLUMN, "at servers", "resting", "news of most"]
+HEADINGS = ["s", "gateways", *COUNTERS_BY_COLUMN, "at servers", "ejected", "rollout of most"]
 
 
 def metric_columns(interval: FleetInterval) -> dict[str, int]:
@@ -56,7 +56,9 @@
     intervals, unreadable = aggregate_intervals(read_log_lines(logs))
     seconds = {at: interval for at, interval in intervals.items() if interval.gateways}
     if not seconds:
-        raise InputError(f"{logs[0]}: no 'second' line; start the gateways with MEADOWPULLEY_SECONDS=1")
+        raise InputError(
+            f"{logs[0]}: no 'interval_metrics' event; start the gateways with MEADOWPULLEY_SECONDS=1"
+        )
     decisions = [line for interval in intervals.values() for line in interval.decisions]
     if as_json:
         rows = _json_rows(seconds)
--- a/meadowpulley/cli/trace_requests.py
+++ b/meadowpulley/cli/trace_requests.py
@@ -36,9 +36,8 @@
     """Merge the steps of requests in LOGS, one file a gateway, written with MEADOWPULLEY_STORY=1, by time."""
     steps, unreadable = read_steps(read_log_lines(logs), id_prefix)
     if not steps:
-        raise InputError(
-            f"{logs[0]}: no 'story' line of {id_prefix or 'any id'}; set MEADOWPULLEY_STORY for the gateways"
-        )
+        problem = f"{logs[0]}: no 'request_trace' event of {id_prefix or 'any id'}"
+        raise InputError(f"{problem}; set MEADOWPULLEY_STORY for the gateways")
     if not id_prefix:
         unfinished_ids = set(unfinished_requests(steps))
         steps = [step for step in steps if step.request in unfinished_ids]
--- a/meadowpulley/net/interval_metrics.py
+++ b/meadowpulley/net/interval_metrics.py
@@ -1,6 +1,6 @@
-"""One log line per second with the counters' changes and the state of the policy. Off by default.
+"""One log event `interval_metrics` a second: changes of counters, state of the policy. Off by default.
 
-The environment variable `MEADOWPULLEY_SECONDS` turns it on; `meadowpulley fleet-metrics` sums the lines of a
+The environment variable `MEADOWPULLEY_SECONDS` turns it on; `meadowpulley fleet-metrics` sums the events of a
 fleet.
 """
 
@@ -8,76 +8,118 @@
 
 import math
 from collections import Counter
-from typing import TYPE_CHECKING, Any
+from dataclasses import asdict, dataclass
+from typing import TYPE_CHECKING
 
-from meadowpulley.interface import Action, Event, Outcome, Send, ServerState
+from meadowpulley.interface import Action, Event, Outcome, RolloutUpdate, Send, ServerState
+from meadowpulley.policy import RolloutPolicy
 
 if TYPE_CHECKING:
     from meadowpulley.net.counters import Counters
     from meadowpulley.net.gateway import Gateway
 
+EVENT_NAME = "interval_metrics"
 INTERVAL_MS = 1000.0
 MAX_LOGGED_LIMIT = 1e6  # stands for a concurrency limit that is not reached yet, which JSON can't express
+PROBABILITY_DIGITS = 3
 
 
-def policy_snapshot(policy: Any, now: float) -> dict[str, Any]:
-    """Return the log fields that describe the policy's state.
+@dataclass(frozen=True, slots=True)
+class RolloutMetrics:
+    """The furthest state of the newest build's rollout."""
 
-    They are the age of the endpoint list (None while no list is confirmed), refused sends by reason since the
-    start, the servers by build and state, ejected servers, outstanding attempts, waiting requests, the
-    concurrency limit, the typical latency, the trial probability, rejected digests, and the furthest rollout
-    update.
-    """
+    build: int
+    stage: int
+    phase: str
+    cap: float
+
+
+@dataclass(frozen=True, slots=True)
+class PolicyMetrics:
+    """What a gateway's policy knows at one moment."""
+
+    endpoint_list_age_ms: int | None  # None while no list is confirmed
+    send_refusals: dict[str, int]  # by reason, since the start
+    sends_by_lease_basis: dict[str, int]  # since the start
+    servers: dict[str, int]  # by build and state
+    ejected_servers: int
+    outstanding_attempts: int
+    waiting_requests: int
+    concurrency_limit: float
+    mean_latency_ms: int
+    trial_probability: float
+    rejected_digests: int
+    rollout: RolloutMetrics | None
+
+
+def policy_metrics(policy: RolloutPolicy, now: float) -> PolicyMetrics:
+    """Return the metrics of a policy at a time in ms."""
     servers = list(policy.servers.values())
-    ready = [s for s in servers if s.state is ServerState.READY]
-    furthest = policy.furthest_rollout
-    return {
-        "list_age_ms": _milliseconds(now - policy.endpoint_list.confirmed_at),
-        "send_refusals": dict(policy.send_refusals),
-        "sent_by": dict(policy.sends_by_lease_basis),
-        "servers": dict(Counter(f"{s.build}.{s.state.name.lower()}" for s in servers)),
-        "resting": sum(now < s.ejected_until for s in ready),
-        "out": len(policy.attempts),
-        "waiting": len(policy.waiting),
-        "room": round(min(policy.concurrency_limit, MAX_LOGGED_LIMIT), 1),
-        "usual_ms": round(policy.mean_latency_ms),
-        "odds": round(policy.trial_probability, 3),
-        "strays": policy.gossip.rejected_digests,
-        "news": None
-        if furthest is None
-        else [furthest.build, furthest.stage, furthest.phase.name.lower(), furthest.cap],
-    }
-
-
-def _milliseconds(duration: float) -> int | None:
+    ready = [server for server in servers if server.state is ServerState.READY]
+    states = Counter(f"{server.build}.{server.state.name.lower()}" for server in servers)
+    return PolicyMetrics(
+        endpoint_list_age_ms=_finite_ms(now - policy.endpoint_list.confirmed_at),
+        send_refusals=dict(policy.send_refusals),
+        sends_by_lease_basis=dict(policy.sends_by_lease_basis),
+        servers=dict(states),
+        ejected_servers=sum(now < server.ejected_until for server in ready),
+        outstanding_attempts=len(policy.attempts),
+        waiting_requests=len(policy.waiting),
+        concurrency_limit=round(min(policy.concurrency_limit, MAX_LOGGED_LIMIT), 1),
+        mean_latency_ms=round(policy.mean_latency_ms),
+        trial_probability=round(policy.trial_probability, PROBABILITY_DIGITS),
+        rejected_digests=policy.gossip.rejected_digests,
+        rollout=_rollout_metrics(policy.furthest_rollout),
+    )
+
+
+def _finite_ms(duration_ms: float) -> int | None:
     """Round a duration; None for one without end, which JSON can't express."""
-    return round(duration) if math.isfinite(duration) else None
+    return round(duration_ms) if math.isfinite(duration_ms) else None
+
+
+def _rollout_metrics(furthest: RolloutUpdate | None) -> RolloutMetrics | None:
+    if furthest is None:
+        return None
+    return RolloutMetrics(furthest.build, furthest.stage, furthest.phase.name.lower(), furthest.cap)
 
 
 class BuildCounterStage:
     """A stage of the pipeline that counts sends and outcomes by build, and changes nothing."""
 
-    def __init__(self, inner: Any, counters: Counters) -> None:
-        self.inner, self._counters = inner, counters
+    def __init__(self, inner: RolloutPolicy, counters: Counters) -> None:
+        """Stand before a policy."""
+        self.inner = inner
+        self._counters = counters
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Pass an event to the inner stage; count the outcome that it reports and the sends that result."""
         if isinstance(event, Outcome):
-            attempt = self.inner.attempts.get((event.request, event.attempt))
-            if attempt is not None:
-                self._counters.add(f"build.{attempt.server.build}.{event.result.name.lower()}")
-        actions: list[Action] = self.inner.handle(now, event)
+            self._count_outcome(event)
+        actions = self.inner.handle(now, event)
         for action in actions:
-            if isinstance(action, Send) and (server := self.inner.servers.get(action.server)) is not None:
-                self._counters.add(f"build.{server.build}.sent")
+            if isinstance(action, Send):
+                self._count_send(action)
         return actions
 
+    def _count_outcome(self, outcome: Outcome) -> None:
+        attempt = self.inner.attempts.get((outcome.request, outcome.attempt))
+        if attempt is not None:
+            self._counters.add(f"build.{attempt.server.build}.{outcome.result.name.lower()}")
+
+    def _count_send(self, send: Send) -> None:
+        server = self.inner.servers.get(send.server)
+        if server is not None:
+            self._counters.add(f"build.{server.build}.sent")
+
 
 class IntervalMetrics:
-    """Log the metrics of one gateway once per interval, from its start to its end."""
+    """Logs the metrics of one gateway once per interval, from its start to its end."""
 
     def __init__(self, gateway: Gateway) -> None:
-        self._gateway, self._policy = gateway, gateway.pipeline
+        """Begin with a gateway whose pipeline is the policy alone."""
+        self._gateway = gateway
+        self._policy = gateway.pipeline
         gateway.pipeline = BuildCounterStage(gateway.pipeline, gateway.counters)
         self._last_counts: dict[str, int] = {}
         self._schedule()
@@ -88,17 +130,13 @@
     def _log_interval(self) -> None:
         gateway = self._gateway
         counts = gateway.counters.snapshot()
-        changes = {
-            name: count - self._last_counts.get(name, 0)
-            for name, count in counts.items()
-            if count != self._last_counts.get(name, 0)
-        }
+        changes = {name: count - self._last_counts.get(name, 0) for name, count in counts.items()}
         self._last_counts = counts
         gateway.log.info(
-            "second",
-            sockets=gateway.instances.open_sockets,
-            counts=changes,
-            held=policy_snapshot(self._policy, gateway.deadlines.now()),
+            EVENT_NAME,
+            open_sockets=gateway.instances.open_sockets,
+            counters={name: change for name, change in changes.items() if change},
+            policy=asdict(policy_metrics(self._policy, gateway.deadlines.now())),
         )
         if not gateway.stopping:
             self._schedule()
--- a/meadowpulley/net/log.py
+++ b/meadowpulley/net/log.py
@@ -11,7 +11,7 @@
 from structlog.typing import EventDict, FilteringBoundLogger, WrappedLogger
 
 MAX_LINES_PER_SECOND = 20  # of each event name; the next line that is written counts the suppressed ones
-UNLIMITED_EVENTS = ("story",)  # requested line by line by an operator: none of them is suppressed
+UNLIMITED_EVENTS = ("request_trace",)  # requested line by line by an operator: none of them is suppressed
 
 
 class EventRateLimiter:
--- a/meadowpulley/net/request_tracing.py
+++ b/meadowpulley/net/request_tracing.py
@@ -1,13 +1,13 @@
-"""Trace of single requests: one log line `story` for each step. Off by default.
+"""Trace of single requests: one log event `request_trace` for each step. Off by default.
 
 The environment variable `MEADOWPULLEY_STORY` turns it on: 1 for every request, or prefixes of request ids,
-separated by commas. The steps are taken, sent, outcome, answered, gone, and the policy's reject, fail and
-cancel. `meadowpulley trace-requests` merges the logs of a fleet.
+separated by commas. `meadowpulley trace-requests` merges the logs of a fleet.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from enum import Enum
+from typing import TYPE_CHECKING
 
 from meadowpulley.interface import (
     Action,
@@ -26,21 +26,40 @@
 if TYPE_CHECKING:
     from meadowpulley.net.gateway import Gateway
 
+EVENT_NAME = "request_trace"
 ALL_REQUESTS = "1"
 
 
+class Step(Enum):
+    """A step of a request at a gateway; the value is the field `step` of its event."""
+
+    RECEIVED = "received"
+    SENT = "sent"
+    OUTCOME = "outcome"
+    RESPONDED = "responded"
+    CLIENT_DISCONNECTED = "client_disconnected"
+    REJECTED = "rejected"  # by the policy, as the next three
+    FAILED = "failed"
+    CANCELLED = "cancelled"
+
+
+_STEPS_BY_ACTION: dict[type, Step] = {Reject: Step.REJECTED, Fail: Step.FAILED, Cancel: Step.CANCELLED}
+
+
 class RequestTracer:
     """A stage of the pipeline that logs events and actions of requests, and changes nothing."""
 
     def __init__(self, gateway: Gateway, selection: str) -> None:
-        self._gateway, self.inner = gateway, gateway.pipeline
-        prefixes = (prefix.strip() for prefix in selection.split(","))
-        self._id_prefixes = (
-            () if selection == ALL_REQUESTS else tuple(prefix for prefix in prefixes if prefix)
-        )
+        """Stand before the pipeline of a gateway; `selection` as in `MEADOWPULLEY_STORY`."""
+        self._gateway = gateway
+        self.inner = gateway.pipeline
+        prefixes = [prefix.strip() for prefix in selection.split(",")]
+        selects_all = selection == ALL_REQUESTS
+        self._id_prefixes = () if selects_all else tuple(prefix for prefix in prefixes if prefix)
         gateway.pipeline = self
         self._respond = gateway.requests.respond
-        gateway.requests.respond = self.respond  # type: ignore[method-assign]
+        # The responses of the safety net pass no stage: the table's method is wrapped to see all.
+        gateway.requests.respond = self.respond  # type: ignore[method-assign]  # see above
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Log an event, pass it to the inner stage and log the resulting actions."""
@@ -50,50 +69,54 @@
             if isinstance(action, Send):
                 self._log_send(action)
             elif isinstance(action, Reject | Fail | Cancel):
-                self._log_step_of(action.request, type(action).__name__.lower())
+                self._log_step_of(action.request, _STEPS_BY_ACTION[type(action)])
         return actions
 
     def respond(self, request: AcceptedRequest, status: int, headers: dict[str, str], body: bytes) -> None:
         """Send a response in place of the request table, then log it."""
         late_ms = self._gateway.deadlines.now() - request.deadline
         self._respond(request, status, headers, body)
-        self._log_step(request, "answered", status=status, late_ms=round(late_ms))
+        self._log_step(request, Step.RESPONDED, status=status, late_ms=round(late_ms))
 
     def _log_event(self, now: float, event: Event) -> None:
         if isinstance(event, Request):
-            left_ms = round(event.deadline_ms - now)
-            self._log_step_of(event.request, "taken", cls=event.class_index, left_ms=left_ms)
+            time_left_ms = round(event.deadline_ms - now)
+            self._log_step_of(
+                event.request, Step.RECEIVED, class_index=event.class_index, time_left_ms=time_left_ms
+            )
         elif isinstance(event, Outcome):
             self._log_step_of(
                 event.request,
-                "outcome",
-                n=event.attempt,
-                to=event.server,
+                Step.OUTCOME,
+                attempt=event.attempt,
+                server=event.server,
                 result=event.result.name.lower(),
-                took_ms=round(event.elapsed_ms, 1),
+                elapsed_ms=round(event.elapsed_ms, 1),
             )
         elif isinstance(event, ClientDisconnected):
-            self._log_step_of(event.request, "gone")
+            self._log_step_of(event.request, Step.CLIENT_DISCONNECTED)
 
     def _log_send(self, action: Send) -> None:
         pool = self._gateway.instances.pools.get(action.server)
-        has_idle_connection = pool is not None and bool(pool.idle)
+        reused = pool is not None and bool(pool.idle)
         server_state = self._server_state(action.server)
-        self._log_step_of(action.request, "sent", to=action.server, **server_state, kept=has_idle_connection)
+        self._log_step_of(
+            action.request, Step.SENT, server=action.server, **server_state, connection_reused=reused
+        )
 
     def _server_state(self, server_id: int) -> dict[str, int]:
-        """Return what the policy holds of a server: enough to see why it was chosen."""
+        """Return what the policy knows of a server: enough to see why it was chosen."""
         server = self.inner.servers.get(server_id)
         if server is None:
             return {}
-        return {"build": server.build, "zone": server.zone, "out": server.outstanding}
+        return {"build": server.build, "zone": server.zone, "outstanding": server.outstanding}
 
-    def _log_step_of(self, handle: int, step: str, **fields: Any) -> None:
+    def _log_step_of(self, handle: int, step: Step, **fields: object) -> None:
         request = self._gateway.requests.slots.get(handle)
         if request is not None:
             self._log_step(request, step, **fields)
 
-    def _log_step(self, request: AcceptedRequest, step: str, **fields: Any) -> None:
+    def _log_step(self, request: AcceptedRequest, step: Step, **fields: object) -> None:
         request_id = request.message.headers.get(protocol.REQUEST_ID_HEADER, "")
         if not self._id_prefixes or request_id.startswith(self._id_prefixes):
-            self._gateway.log.info("story", id=request_id, step=step, **fields)
+            self._gateway.log.info(EVENT_NAME, request_id=request_id, step=step.value, **fields)
--- a/meadowpulley/report/fleet_metrics.py
+++ b/meadowpulley/report/fleet_metrics.py
@@ -37,19 +37,51 @@
 
 
 def _parse_interval(event: dict[str, Any]) -> FleetInterval:
-    """What one gateway's line says; raises ValueError, KeyError, TypeError, AttributeError or IndexError."""
+    """Return what one gateway's event says.
+
+    Raises:
+        ValueError, KeyError, TypeError, AttributeError: It lacks what such an event has.
+    """
+    policy = event["policy"]
+    rollout = policy["rollout"]
+    return FleetInterval(
+        gateways=1,
+        counters=_counts(event["counters"]),
+        servers=_counts(policy["servers"]),
+        outstanding_requests=int(policy["outstanding_attempts"]),
+        ejected_servers=int(policy["ejected_servers"]),
+        rollouts=_rollout_count(rollout and (rollout["build"], rollout["stage"], rollout["phase"])),
+    )
+
+
+def _parse_earlier_interval(event: dict[str, Any]) -> FleetInterval:
+    """Return what the event of an earlier version says; raises as `_parse_interval` does, or IndexError."""
     snapshot = event["held"]
     rollout = snapshot["news"]
     return FleetInterval(
         gateways=1,
-        counters=Counter({str(k): int(n) for k, n in event["counts"].items()}),
-        servers=Counter({str(k): int(n) for k, n in snapshot["servers"].items()}),
+        counters=_counts(event["counts"]),
+        servers=_counts(snapshot["servers"]),
         outstanding_requests=int(snapshot["out"]),
         ejected_servers=int(snapshot["resting"]),
-        rollouts=Counter(["none" if rollout is None else f"{rollout[0]} stage {rollout[1]} {rollout[2]}"]),
+        rollouts=_rollout_count(rollout and (rollout[0], rollout[1], rollout[2])),
     )
 
 
+def _counts(encoded: dict[str, Any]) -> Counter[str]:
+    return Counter({str(name): int(count) for name, count in encoded.items()})
+
+
+def _rollout_count(rollout: tuple[int, int, str] | None) -> Counter[str]:
+    if rollout is None:
+        return Counter(["none"])
+    build, stage, phase = rollout
+    return Counter([f"{build} stage {stage} {phase}"])
+
+
+_PARSERS = {"interval_metrics": _parse_interval, "second": _parse_earlier_interval}
+
+
 def _merge(total: FleetInterval, interval: FleetInterval) -> None:
     total.gateways += interval.gateways
     total.counters.update(interval.counters)
@@ -67,10 +99,10 @@
 
 
 def aggregate_intervals(lines: Iterable[str]) -> tuple[dict[int, FleetInterval], int]:
-    """Seconds since the epoch to what the fleet did in them, and how many lines could not be read.
+    """Return what the fleet did by seconds since the epoch, and how many lines could not be read.
 
     Each line is one of the gateway's log, whatever a collector wrote before its first brace. Lines of other
-    events count as read; those that are no JSON, or lack what a `second` line has, do not.
+    events count as read; those that are no JSON, or lack what such an event has, do not.
     """
     intervals: dict[int, FleetInterval] = defaultdict(FleetInterval)
     unreadable = 0
@@ -80,8 +112,9 @@
             event = json.loads(line[brace:]) if brace >= 0 else None
             if not isinstance(event, dict):
                 raise ValueError("no object")
-            if event["event"] == "second":
-                interval = _parse_interval(event)
+            parse = _PARSERS.get(event["event"])
+            if parse is not None:
+                interval = parse(event)
                 _merge(intervals[_second_of(event)], interval)
             elif event["event"] in DECISION_EVENTS:
                 intervals[_second_of(event)].decisions.append(_decision_text(event))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -129,4 +129,4 @@
         ("story", "MEADOWPULLEY_STORY_WANTED"),
         ("trace-requests", "MEADOWPULLEY_STORY_WANTED"),
     ]:
-        assert "no 'story' line of a-7" in run(name, log, env={variable: "a-7"}).stderr
+        assert "no 'request_trace' event of a-7" in run(name, log, env={variable: "a-7"}).stderr
--- a/tests/test_fleet_metrics.py
+++ b/tests/test_fleet_metrics.py
@@ -3,46 +3,65 @@
 from __future__ import annotations
 
 import json
+from collections.abc import Callable
 from datetime import UTC, datetime
 from pathlib import Path
 from typing import Any
 
+import pytest
 from click.testing import CliRunner
 
 from meadowpulley.cli.main import main
 from meadowpulley.interface import Outcome, Request, Result
 from meadowpulley.net.counters import Counters
-from meadowpulley.net.interval_metrics import BuildCounterStage, policy_snapshot
+from meadowpulley.net.interval_metrics import BuildCounterStage, policy_metrics
 from meadowpulley.report.fleet_metrics import aggregate_intervals
 from tests.driver import SAFE, Driver, sends, server_entry
 
+ROLLOUT = {"build": 42, "stage": 1, "phase": "trial", "cap": 0.5}
 
-def log_line(gateway: str, timestamp_s: float, list_calls: int, **overrides: Any) -> str:
-    news = [42, 1, "trial", 0.5]
-    policy_fields = {"servers": {"41.ready": 3}, "out": 2, "resting": 1, "news": news, **overrides}
-    counts = {"discovery.watches": list_calls, "in.requests": 5}
+
+def stamped(event: str, gateway: str, timestamp_s: float, **fields: Any) -> str:
+    """Return a line of a gateway's log as a collector keeps it."""
     timestamp = datetime.fromtimestamp(timestamp_s, UTC).isoformat()
-    event = {
-        "event": "second",
-        "gateway": gateway,
-        "timestamp": timestamp,
-        "counts": counts,
-        "held": policy_fields,
+    line = {"event": event, "gateway": gateway, "timestamp": timestamp, **fields}
+    return f"{timestamp_s:.3f} {json.dumps(line)}"
+
+
+def log_line(
+    gateway: str, timestamp_s: float, list_calls: int, rollout: dict[str, Any] | None = ROLLOUT
+) -> str:
+    policy = {
+        "servers": {"41.ready": 3},
+        "outstanding_attempts": 2,
+        "ejected_servers": 1,
+        "rollout": rollout,
     }
-    return f"{timestamp_s:.3f} {json.dumps(event)}"
+    counters = {"discovery.watches": list_calls, "in.requests": 5}
+    return stamped("interval_metrics", gateway, timestamp_s, counters=counters, policy=policy)
+
+
+def earlier_log_line(
+    gateway: str, timestamp_s: float, list_calls: int, news: tuple[Any, ...] | None = (42, 1, "trial", 0.5)
+) -> str:
+    """Return the line of a version before the fields were renamed."""
+    policy = {"servers": {"41.ready": 3}, "out": 2, "resting": 1, "news": news}
+    counts = {"discovery.watches": list_calls, "in.requests": 5}
+    return stamped("second", gateway, timestamp_s, counts=counts, held=policy)
 
 
-def test_lines_of_all_gateways_are_summed_by_second() -> None:
+@pytest.mark.parametrize("line", [log_line, earlier_log_line], ids=["now", "earlier"])
+def test_lines_of_all_gateways_are_summed_by_second(line: Callable[..., str]) -> None:
     other_event = json.dumps({"event": "ready", "gateway": "n0"})
     stamp = {"gateway": "n1", "level": "info", "timestamp": "1970-01-01T00:01:41Z"}
     rejected = {"event": "build_rejected", "build": 42, "reason": "latency", **stamp}
     earlier = {"event": "decision", "line": "back 42", **stamp}  # as versions before typed events wrote it
-    stamped = '{"event": "second", "timestamp": "1970-01-01T00:00:07Z"}'
-    broken = ["{", "no json", stamped, '{"event": "second"}', "[1]"]
+    no_fields = '{"event": "interval_metrics", "timestamp": "1970-01-01T00:00:07Z"}'
+    broken = ["{", "no json", no_fields, '{"event": "second"}', "[1]"]
     lines = [
-        log_line("n0", 100.2, 1),
-        log_line("n1", 100.9, 2),
-        log_line("n0", 101.2, 0, news=None),
+        line("n0", 100.2, 1),
+        line("n1", 100.9, 2),
+        line("n0", 101.2, 0, None),
         other_event,
         json.dumps(rejected),
         json.dumps(earlier),
@@ -89,6 +108,7 @@
         outcome = Outcome(n, 0, sent.server, Result.OK, 50.0, True)
         assert stage.handle(0.0, outcome) == reference.policy.handle(0.0, outcome)
     assert counters["build.41.ok"] == counters["build.41.sent"] == 4
-    assert policy_snapshot(driver_under_test.policy, 0.0)["servers"] == {"41.ready": 2} and policy_snapshot(
-        driver_under_test.policy, 0.0
-    )["news"][:2] == [41, 2]
+    metrics = policy_metrics(driver_under_test.policy, 0.0)
+    assert metrics.servers == {"41.ready": 2}
+    assert metrics.rollout is not None
+    assert (metrics.rollout.build, metrics.rollout.stage) == (41, 2)
--- a/tests/test_request_tracing.py
+++ b/tests/test_request_tracing.py
@@ -21,15 +21,23 @@
         client = gateway.client()
         for _ in range(30):  # more than the log takes of other events in a second
             assert client.request("GET", "/look")[0] == 200
-        lines = [json.dumps(gateway.wait_for("story")) for _ in range(90)]
+        lines = [json.dumps(gateway.wait_for("request_trace")) for _ in range(90)]
     finally:
         gateway.stop()
-    steps, unreadable = read_steps([*reversed(lines), '{"story"', "no json"])
+    steps, unreadable = read_steps([*reversed(lines), '{"request_trace"', "no json"])
     assert unreadable == 2 and not unfinished_requests(steps)
     first = [s for s in steps if s.request == steps[0].request]
-    assert [s.step for s in first] == ["taken", "sent", "answered"] and "build=" in first[1].fields
+    assert [s.step for s in first] == ["received", "sent", "responded"] and "build=" in first[1].fields
     log = tmp_path / "n0.log"
     log.write_text("\n".join(lines[:-1]))  # the last answer is missing
     result = CliRunner().invoke(main, ["trace-requests", "--json", str(log)])
-    assert [s["step"] for s in json.loads(result.output)["steps"]] == ["taken", "sent"]
+    assert [s["step"] for s in json.loads(result.output)["steps"]] == ["received", "sent"]
     assert CliRunner().invoke(main, ["trace-requests", "--id", "none", str(log)]).exit_code == 2
+
+
+def test_steps_that_earlier_versions_wrote_are_read() -> None:
+    stamp = {"event": "story", "gateway": "n1", "id": "a-7", "timestamp": "2026-11-28T09:00:00Z"}
+    lines = [json.dumps({**stamp, "step": step}) for step in ("taken", "sent", "answered")]
+    steps, unreadable = read_steps(lines, "a-")
+    assert unreadable == 0
+    assert [step.step for step in steps] == ["received", "sent", "responded"]
