--- a/meadowpulley/policy/sending.py
+++ b/meadowpulley/policy/sending.py
@@ -4,7 +4,7 @@
 from meadowpulley.policy.endpoint_lease import lease_basis
 from meadowpulley.policy.rollout_stage import is_on_trial
 from meadowpulley.policy.send_permission import write_by
-from meadowpulley.state import Attempt, InFlightRequest, Server, State
+from meadowpulley.state import Attempt, InFlightRequest, SendConditions, Server, State
 
 
 def send(
@@ -17,7 +17,8 @@
     write_by_ms = write_by(state, in_flight, server)
     state.sends_by_lease_basis[lease_basis(state).value] += 1
     fraction = state.slow_start_fraction(server)
-    state.add_attempt(Attempt(in_flight, server, queue_length, state.now, fraction, randomized))
+    conditions = SendConditions(queue_length, fraction, randomized)
+    state.add_attempt(Attempt(in_flight, server, state.now, conditions))
     if is_on_trial(state, server.build):
         sent_windows = state.build_evidence[server.build].sent_windows
         sent_windows[in_flight.exposure_class].add(state.now)
--- a/meadowpulley/settings/__init__.py
+++ b/meadowpulley/settings/__init__.py
@@ -1,5 +1,9 @@
-"""The settings that a gateway gets from its platform: `types` holds them, `reader` reads them from JSON."""
+"""The settings that a gateway gets from its platform.
 
-from meadowpulley.settings.reader import LOAD_REPORT_COLUMNS, SettingsError, parse_settings, read_settings
+`types` holds them, `reader` reads them from JSON by the typed access of `object_reader`.
+"""
+
+from meadowpulley.settings.object_reader import SettingsError
+from meadowpulley.settings.reader import LOAD_REPORT_COLUMNS, parse_settings, read_settings
 
 __all__ = ["LOAD_REPORT_COLUMNS", "SettingsError", "parse_settings", "read_settings"]
--- a/meadowpulley/settings/reader.py
+++ b/meadowpulley/settings/reader.py
@@ -6,12 +6,8 @@
 from __future__ import annotations
 
 import json
-import math
-import sys
-from collections.abc import Mapping
-from typing import Any, TypeVar
 
-from meadowpulley.errors import MeadowpulleyError
+from meadowpulley.settings.object_reader import NO_MINIMUM, ObjectReader, SettingsError
 from meadowpulley.settings.types import (
     DeduplicationScope,
     Effect,
@@ -24,12 +20,6 @@
     Tenant,
 )
 
-
-class SettingsError(MeadowpulleyError, ValueError):
-    """The settings object is malformed; the text says in one line what is wrong and where."""
-
-
-T = TypeVar("T")
 _EFFECTS_BY_WORD = {
     "pure": Effect.IDEMPOTENT,
     "token": Effect.IDEMPOTENT_WITH_KEY,
@@ -44,89 +34,6 @@
     "failed_ps": "failed_per_s",
 }
 _WEIGHT_SOURCES = {"off": "none"}
-NO_MINIMUM = -sys.float_info.max  # for numbers that are corrected where they cannot be right
-
-
-class ObjectReader:
-    """Reads the values of one JSON object by their keys.
-
-    `location` names the object in error messages. A key that is absent or null takes the default of its call.
-    Every method raises SettingsError for a value of another type.
-    """
-
-    def __init__(self, raw: Any, location: str) -> None:
-        if not isinstance(raw, dict):
-            raise SettingsError(f"{location} is no object")
-        self._raw: dict[str, Any] = raw
-        self._location = location
-
-    def _value(self, key: str, default: Any, types: tuple[type, ...]) -> Any:
-        value = self._raw.get(key)
-        if value is None:
-            return default
-        if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
-            raise self.error(key, f"has the wrong type ({type(value).__name__})")
-        return value
-
-    def error(self, key: str, problem: str) -> SettingsError:
-        """Return an error about the value of a key."""
-        return SettingsError(f"{self._location}: '{key}' {problem}")
-
-    def number(self, key: str, default: float = 0.0, minimum: float = 0.0) -> float:
-        """Return a finite number of at least `minimum`.
-
-        JSON's reader lets NaN and Infinity pass, and integers that no float can hold.
-        """
-        try:
-            value = float(self._value(key, default, (int, float)))
-        except OverflowError:
-            value = math.inf
-        if not minimum <= value < math.inf:
-            raise self.error(key, f"is {value:g}, no figure of {minimum:g} or more")
-        return value
-
-    def integer(self, key: str, default: int = 0, minimum: float = 0.0) -> int:
-        """Return a number without its fraction."""
-        return int(self.number(key, default, minimum))
-
-    def boolean(self, key: str) -> bool:
-        """Return true or false; false by default."""
-        return bool(self._value(key, False, (bool,)))
-
-    def string(self, key: str, default: str = "") -> str:
-        """Return a string."""
-        return str(self._value(key, default, (str,)))
-
-    def array(self, key: str) -> list[Any]:
-        """Return an array's values; none by default."""
-        return list(self._value(key, [], (list,)))
-
-    def number_array(self, key: str) -> tuple[float, ...]:
-        """Return an array of finite numbers of at least 0."""
-        values = self.array(key)
-        if not all(isinstance(value, int | float) for value in values):
-            raise self.error(key, "holds something that is no number")
-        return tuple(ObjectReader({key: value}, self._location).number(key) for value in values)
-
-    def nested(self, key: str) -> ObjectReader:
-        """Return a reader of a nested object; of an empty one by default."""
-        return ObjectReader(self._value(key, {}, (dict,)), f"{self._location}: '{key}'")
-
-    def objects(self, key: str) -> list[ObjectReader]:
-        """Return readers of the objects of an array."""
-        return [ObjectReader(raw, f"{self._location}: '{key}' {n}") for n, raw in enumerate(self.array(key))]
-
-    def choice(self, key: str, choices: Mapping[str, T], default: T) -> T:
-        """Return what a word stands for; the default for an empty word."""
-        word = self.string(key)
-        if word and word not in choices:
-            raise self.error(key, f"is '{word}', not one of {', '.join(choices)}")
-        return choices[word] if word else default
-
-    def number_items(self) -> tuple[tuple[str, float], ...]:
-        """Return all keys whose values are numbers, in order, with these."""
-        keys = [key for key, value in sorted(self._raw.items()) if type(value) in (int, float)]
-        return tuple((key, self.number(key, minimum=NO_MINIMUM)) for key in keys)
 
 
 def _read_request_class(reader: ObjectReader) -> RequestClass:
@@ -231,11 +138,12 @@
     try:
         loaded = json.loads(encoded)
     except (ValueError, RecursionError) as error:
-        raise SettingsError(f"{location}: settings are no JSON: {error}") from None
+        problem = f"are no JSON: {error}"
+        raise SettingsError(f"{location}: settings", problem) from None
     return read_settings(loaded, location)
 
 
-def read_settings(loaded: Any, location: str) -> Settings:
+def read_settings(loaded: object, location: str) -> Settings:
     """Read the settings from a decoded JSON value. Raises SettingsError.
 
     The index of this gateway is taken modulo the number of gateways: delays that depend on it have to lie
--- a/meadowpulley/state/__init__.py
+++ b/meadowpulley/state/__init__.py
@@ -26,7 +26,7 @@
     ServerOutcomes,
 )
 from meadowpulley.state.gossip import GossipState, OutcomeCounts, PooledOutcomes
-from meadowpulley.state.requests import Attempt, InFlightRequest
+from meadowpulley.state.requests import Attempt, InFlightRequest, SendConditions
 from meadowpulley.state.rollout import BuildEvidence, Slowdown
 from meadowpulley.state.sample_summary import SampleSummary, summarize
 from meadowpulley.state.servers import Server
@@ -57,6 +57,7 @@
     "QDifference",
     "QMix",
     "SampleSummary",
+    "SendConditions",
     "SequentialFailureTest",
     "Server",
     "ServerOutcomes",
--- a/meadowpulley/state/averages.py
+++ b/meadowpulley/state/averages.py
@@ -13,6 +13,7 @@
     """An amount per millisecond that decays exponentially with the given time constant."""
 
     def __init__(self, memory_ms: float) -> None:
+        """Begin with nothing; `memory_ms` is the time constant."""
         self.memory_ms = memory_ms
         self.total = 0.0
         self.updated_at = 0.0
@@ -29,6 +30,7 @@
     """The times of recent events, kept for as long as they may be counted."""
 
     def __init__(self, memory_ms: float) -> None:
+        """Begin without events; `memory_ms` is the window's length."""
         self.memory_ms = memory_ms
         self.times: deque[float] = deque()
 
--- a/meadowpulley/state/requests.py
+++ b/meadowpulley/state/requests.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from meadowpulley.interface import (
     DeduplicationScope,
     Effect,
@@ -57,36 +59,29 @@
         self.possible_executions.append(attempt)
 
 
+class SendConditions(NamedTuple):
+    """What was known of a server when an attempt was sent to it."""
+
+    queue_length: float  # mean count of this gateway's attempts at the candidates
+    slow_start_fraction: float  # of the server's capacity, 0 to 1
+    randomized: bool  # whether chance decided between the builds
+
+
 class Attempt:
     """One attempt; the first of each request is kept as a sample of its build's latency cost."""
 
     def __init__(
-        self,
-        in_flight: InFlightRequest,
-        server: Server,
-        queue_length: float,
-        sent_at: float,
-        slow_start_fraction: float,
-        randomized: bool,
+        self, in_flight: InFlightRequest, server: Server, sent_at: float, conditions: SendConditions
     ) -> None:
-        """Begin with the next attempt of a request.
-
-        Args:
-            in_flight: The request.
-            server: Where it is sent.
-            queue_length: Mean count of this gateway's attempts at the candidates when the server was chosen.
-            sent_at: Time in ms.
-            slow_start_fraction: Of the server's capacity, 0 to 1.
-            randomized: Whether chance decided between the builds.
-        """
+        """Begin with the next attempt of a request, sent to a server at a time in ms."""
         self.in_flight = in_flight
         self.server = server
         self.number = in_flight.attempt_count - in_flight.request.prior_attempt_count
-        self.queue_length = queue_length
         self.sent_at = sent_at
-        self.slow_start_fraction = slow_start_fraction
+        self.queue_length = conditions.queue_length
+        self.slow_start_fraction = conditions.slow_start_fraction
         # Retries avoid the servers of earlier attempts, so chance decides for first attempts alone.
-        self.randomized = randomized and not in_flight.attempt_count
+        self.randomized = conditions.randomized and not in_flight.attempt_count
         self.latency_ms: float | None = None
         self.unattributable = False  # no response, or one of unknown latency: not the build's doing
 
@@ -96,6 +91,9 @@
         return self.slow_start_fraction * elapsed_ms
 
 
+PRIOR_CONDITIONS = SendConditions(0.0, 0.0, False)  # nothing is learnt from attempts of other gateways
+
+
 def _prior_attempt(in_flight: InFlightRequest, prior: PriorAttempt) -> Attempt:
     """Return an attempt of an earlier incarnation, kept like an outstanding one."""
     endpoint = ServerEntry(
@@ -108,6 +106,6 @@
         kind=0,
         weight=0.0,
     )
-    attempt = Attempt(in_flight, Server(endpoint), 0.0, prior.sent_ms, 0.0, False)
+    attempt = Attempt(in_flight, Server(endpoint), prior.sent_ms, PRIOR_CONDITIONS)
     attempt.number = PRIOR_ATTEMPT_NUMBER
     return attempt
