--- a/meadowpulley/model_checking/shared_state_mutants.py
+++ b/meadowpulley/model_checking/shared_state_mutants.py
@@ -5,6 +5,7 @@
 from meadowpulley.model_checking.mutant_builders import shared_state_mutant
 
 MEMORY, LEASE_MANAGER = "meadowpulley.ledger.memory", "meadowpulley.ledger.lease_manager"
+MEMBER_TABLE = "meadowpulley.ledger.member_table"
 REQUEST_JOURNAL, ADOPTION = "meadowpulley.takeover.request_journal", "meadowpulley.takeover.adoption"
 ORPHAN_CLAIMS, LEDGER_VIEW = "meadowpulley.takeover.orphan_claims", "meadowpulley.takeover.ledger_view"
 DUPLICATE_WAITERS, STAGE = "meadowpulley.takeover.duplicate_waiters", "meadowpulley.takeover.stage"
@@ -61,19 +62,16 @@
         "lease",
         "answers",
         LEASE_MANAGER,
-        (
-            "held_until = renewal_started + ",
-            "held_until = now + ",
-        ),
+        ("self._extend_lease(renewal_started)", "self._extend_lease(now)"),
     ),
     shared_state_mutant(
         "suspects-early",
         "others count a lease free while it holds",
         "lease",
         "answers",
-        LEASE_MANAGER,
+        MEMBER_TABLE,
         (
-            "observed.observed_at + self.timings.expiry_of(observed.member.term_ms)",
+            "observed.observed_at + self._timings.expiry_of(observed.member.term_ms)",
             "observed.observed_at + observed.member.term_ms * 0.5",
         ),
     ),
@@ -82,8 +80,11 @@
         "renewals of others are not counted",
         "lease sealed",
         "lives",
-        LEASE_MANAGER,
-        ("observed.observed_at, observed.expired = now, False", "observed.expired = False"),
+        MEMBER_TABLE,
+        (
+            "observed.observed_at = now\n            observed.expired = False\n",
+            "observed.expired = False\n",
+        ),
         time_advances=4,
     ),
     # Rights and answers
