--- a/meadowpulley/ledger/background_jobs.py
+++ b/meadowpulley/ledger/background_jobs.py
@@ -9,20 +9,14 @@
 from typing import Protocol, TypeAlias
 
 from meadowpulley.ledger.commit_batches import CommitBatch
+from meadowpulley.ledger.errors import LedgerError
 from meadowpulley.ledger.gateway_context import ReactorThreads
-from meadowpulley.ledger.model import (
-    Changes,
-    CheckVersion,
-    Create,
-    Incarnation,
-    LedgerError,
-    Record,
-    Scan,
-    Store,
-    Transaction,
-    TransactionResult,
-)
+from meadowpulley.ledger.messages import Scan
+from meadowpulley.ledger.records import Changes, Incarnation, Record
+from meadowpulley.ledger.store import SkippedFrame, Store
+from meadowpulley.ledger.transactions import CheckVersion, Create, Transaction, TransactionResult
 
+MS_PER_SECOND = 1000.0
 PROBE_KEY = "probe"  # no record ever has this key
 
 
@@ -33,8 +27,8 @@
     transaction_results: list[TransactionResult] | None = None
     scan_results: list[tuple[Record, ...]] = field(default_factory=list)
     changes: Changes | None = None
-    warnings: list[str] = field(default_factory=list)
-    error: str = ""
+    skipped_frames: list[SkippedFrame] = field(default_factory=list)
+    error: str = ""  # empty where the whole job was done
 
 
 class BackgroundRunner(Protocol):
@@ -44,7 +38,7 @@
         """Run a job after those that were given before it."""
 
     def close(self, timeout_ms: float) -> bool:
-        """Take no more jobs; return whether all were done within that time."""
+        """Take no more jobs; return whether all were done within that time (ms)."""
 
 
 _QueueEntry: TypeAlias = tuple[Callable[[], JobResult], Callable[[JobResult], None]] | None
@@ -69,9 +63,9 @@
             self._reactor.callFromThread(on_result, job())
 
     def close(self, timeout_ms: float) -> bool:
-        """Take no more jobs; return whether all were done within that time."""
+        """Take no more jobs; return whether all were done within that time (ms)."""
         self._jobs.put(None)
-        self._thread.join(timeout_ms / 1000.0)
+        self._thread.join(timeout_ms / MS_PER_SECOND)
         return not self._thread.is_alive()
 
 
@@ -88,7 +82,7 @@
 class LedgerJob:
     """One batch of commits, the scans that were asked for, and a poll; each of them may be missing."""
 
-    started_at: float
+    started_at: float  # by the gateway's clock (ms)
     batch: CommitBatch | None
     scans: tuple[Scan, ...]
     poll: PollRequest | None = None
@@ -96,15 +90,18 @@
     timed_out: bool = False
 
     def run(self, store: Store, incarnation: Incarnation, folder: str) -> JobResult:
-        """Run the job on a store; any failure is returned in the result."""
+        """Run the job on a store; any failure is returned in the result.
+
+        `folder` names the ledger in the text of an unexpected error.
+        """
         result = JobResult()
         try:
             self._run_into(result, store, incarnation)
         except LedgerError as error:
             result.error = str(error)
-        except Exception as error:
+        except Exception as error:  # it would end the worker thread, and the gateway would wait in vain
             result.error = f"ledger: {folder}: {type(error).__name__}: {error}"
-        result.warnings = store.take_warnings()
+        result.skipped_frames = store.take_skipped_frames()
         return result
 
     def _run_into(self, result: JobResult, store: Store, incarnation: Incarnation) -> None:
@@ -128,5 +125,6 @@
 
     def completed_scans(self, result: JobResult) -> list[tuple[Scan, tuple[Record, ...] | None]]:
         """Return each scan with its records, or with None if the job failed before it."""
-        missing = len(self.scans) - len(result.scan_results)
-        return list(zip(self.scans, [*result.scan_results, *[None] * missing], strict=True))
+        missing_count = len(self.scans) - len(result.scan_results)
+        missing = [None] * missing_count
+        return list(zip(self.scans, [*result.scan_results, *missing], strict=True))
--- a/meadowpulley/ledger/client.py
+++ b/meadowpulley/ledger/client.py
@@ -10,40 +10,39 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from enum import Enum
 
 from meadowpulley.interface import SetTimer, Timer
-from meadowpulley.ledger.background_jobs import (
-    BackgroundRunner,
-    JobResult,
-    LedgerJob,
-    PollRequest,
-    WorkerThread,
-)
-from meadowpulley.ledger.commit_batches import CommitQueue
+from meadowpulley.ledger.background_jobs import BackgroundRunner, JobResult, LedgerJob, WorkerThread
 from meadowpulley.ledger.config import LedgerSettings, read_settings
+from meadowpulley.ledger.errors import LedgerError, LedgerUnusableError
 from meadowpulley.ledger.gateway_context import GatewayContext, ReactorThreads
-from meadowpulley.ledger.lease_manager import LEASE_TIMER, LeaseManager, Stage
-from meadowpulley.ledger.model import (
-    Changes,
+from meadowpulley.ledger.lease_manager import LEASE_TIMER, LeaseManager
+from meadowpulley.ledger.messages import (
     Commit,
     CommitCompleted,
-    Incarnation,
     LedgerChanged,
-    LedgerError,
     LedgerRecovered,
     LedgerUnavailable,
-    LedgerUnusableError,
     Scan,
     ScanCompleted,
-    Store,
-    TransactionOutcome,
-    TransactionResult,
     WatchRequest,
 )
+from meadowpulley.ledger.pending_work import PendingWork
+from meadowpulley.ledger.poll_cursor import PollCursor
+from meadowpulley.ledger.records import Changes, Incarnation
+from meadowpulley.ledger.recovery_probe import RecoveryProbe
+from meadowpulley.ledger.stage import LedgerStage
+from meadowpulley.ledger.store import Store
+from meadowpulley.ledger.transactions import TransactionOutcome, TransactionResult
+
+
+class ClientPhase(Enum):
+    """The phase of the own incarnation, as the client sees it: ACTIVE, perhaps RELEASING, perhaps FENCED."""
 
-# An unavailable ledger has recovered once a frame as long as the one that failed can be written: a frame
-# shorter than a block of the file system may still fit the log's last block, and a longer one find no room.
-MIN_PROBE_BYTES, MAX_PROBE_BYTES = 4096, 1 << 16
+    ACTIVE = "active"
+    RELEASING = "releasing"  # in a graceful shutdown: commits are written, and no more polls made
+    FENCED = "fenced"  # its incarnation has ended: nothing can be committed
 
 
 class LedgerClient:
@@ -57,40 +56,49 @@
         settings: LedgerSettings,
         runner: BackgroundRunner,
     ) -> None:
-        self._gateway, self._store, self.incarnation = gateway, store, incarnation
-        self._settings, self._runner = settings, runner
-        self._get_prefixes: Callable[[], tuple[str, ...]] = tuple
-        self._prefixes: tuple[str, ...] = ()
-        self._commit_queue, self._pending_scans = CommitQueue(), list[Scan]()
-        self._current_job: LedgerJob | None = None
-        self._poll_due = self._job_scheduled = False
-        self._version = 0
-        self._watched_names: tuple[str, ...] | None = ()
-        self.unavailable = self.fenced = self._releasing = False
-        self._probe_bytes, self._next_probe_at = MIN_PROBE_BYTES, 0.0
+        self._gateway = gateway
+        self._store = store
+        self.incarnation = incarnation
+        self._settings = settings
+        self._runner = runner
+        self.phase = ClientPhase.ACTIVE
+        self.unavailable = False
+        self._probe = RecoveryProbe(settings.timeout_ms)
         self.lease_manager: LeaseManager | None = None
+        self._cursor = PollCursor()
+        self._pending = PendingWork()
+        self._poll_due = False
+        self._current_job: LedgerJob | None = None
+        self._job_scheduled = False
         gateway.register_action(Commit, self.commit)
         gateway.register_action(Scan, self.scan)
         gateway.register_action(WatchRequest, self._set_watched_names)
 
+    @property
+    def fenced(self) -> bool:
+        """Whether the own incarnation has ended, so that nothing can be committed."""
+        return self.phase is ClientPhase.FENCED
+
     def holds_lease(self, now: float) -> bool:
         """Return what `LeaseManager.holds_lease` does, for stages that are created before it."""
         return self.lease_manager is not None and self.lease_manager.holds_lease(now)
 
-    def wrap(self, inner: Stage, get_prefixes: Callable[[], tuple[str, ...]]) -> LeaseManager:
+    def wrap(self, inner: LedgerStage, get_prefixes: Callable[[], tuple[str, ...]]) -> LeaseManager:
         """Return the outermost stage, round the stages that rest on the ledger.
 
         `get_prefixes` returns the prefixes of the keys whose changes they must be told of now; when they
         change, the next poll reads a snapshot (`Changes.is_snapshot`).
         """
-        self._get_prefixes = get_prefixes
+        self._cursor.get_prefixes = get_prefixes
         self.lease_manager = LeaseManager(self.incarnation, self._settings.timings, inner)
         return self.lease_manager
 
     def start(self) -> None:
-        """Renew the lease for the first time, and start to poll."""
-        assert self.lease_manager is not None
-        for action in self.lease_manager.start(self._gateway.deadlines.now()):
+        """Renew the lease for the first time, and start to poll.
+
+        Raises `LedgerError` unless `wrap` was called before.
+        """
+        for action in self._wrapped().start(self._gateway.deadlines.now()):
             if isinstance(action, SetTimer):
                 self._gateway.deadlines.after(
                     action.delay_ms, lambda: self._gateway.dispatch(Timer(LEASE_TIMER))
@@ -100,13 +108,22 @@
         self._poll()
 
     def release_lease(self) -> None:
-        """Release the lease at a graceful shutdown, after the stages have committed what they hand over."""
-        assert self.lease_manager is not None
-        self._releasing = True
-        for action in self.lease_manager.release_lease():
+        """Release the lease at a graceful shutdown, after the stages have committed what they hand over.
+
+        Raises `LedgerError` unless `wrap` was called before.
+        """
+        lease_manager = self._wrapped()
+        if self.phase is ClientPhase.ACTIVE:
+            self.phase = ClientPhase.RELEASING
+        for action in lease_manager.release_lease():
             if isinstance(action, Commit):
                 self.commit(action)
 
+    def _wrapped(self) -> LeaseManager:
+        if self.lease_manager is None:
+            raise LedgerError(f"ledger: {self.incarnation} has no stages: call `wrap` first")
+        return self.lease_manager
+
     def close(self) -> None:
         """Write what is left at the end of the process; take no longer than one time-out for it.
 
@@ -115,7 +132,7 @@
         while True:
             self._current_job = None
             self._start_job()
-            if not len(self._commit_queue):
+            if not len(self._pending.commits):
                 break
         if self._runner.close(self._settings.timeout_ms):
             self._store.close()
@@ -129,7 +146,7 @@
             results = (TransactionResult(outcome),) * len(action.transactions)
             self._dispatch_completions([CommitCompleted(action.ticket, results, action.owner)])
             return
-        self._commit_queue.add(action)
+        self._pending.commits.add(action)
         self._schedule_job()
 
     def scan(self, action: Scan) -> None:
@@ -137,11 +154,11 @@
         if self.fenced or self.unavailable:
             self._gateway.dispatch(ScanCompleted(action.ticket, None, action.owner))
             return
-        self._pending_scans.append(action)
+        self._pending.scans.append(action)
         self._schedule_job()
 
     def _set_watched_names(self, action: WatchRequest) -> None:
-        self._watched_names = action.names
+        self._cursor.watched_names = action.names
 
     # Jobs
 
@@ -152,14 +169,14 @@
             self._gateway.deadlines.after(0.0, self._start_job)
 
     def _poll(self) -> None:
-        if self.fenced or self._releasing:
+        if self.phase is not ClientPhase.ACTIVE:
             return
         now = self._gateway.deadlines.now()
         if self._has_job_timed_out(now):
-            self._mark_unavailable(
+            self._handle_failure(
                 f"ledger: {self._settings.folder}: no answer for {self._settings.timeout_ms:g} ms"
             )
-        self._poll_due = not self.unavailable or now >= self._next_probe_at
+        self._poll_due = not self.unavailable or self._probe.is_due(now)
         self._start_job()
         self._gateway.deadlines.after(self._settings.poll_interval_ms, self._poll)
 
@@ -172,14 +189,17 @@
         self._job_scheduled = False
         if self._current_job is not None:
             return
-        batch, scans, poll_due = self._commit_queue.next_batch(), tuple(self._pending_scans), self._poll_due
+        batch = self._pending.commits.next_batch()
+        scans = self._pending.take_scans()
+        poll_due = self._poll_due
         if batch is None and not scans and not poll_due:
             return
-        self._pending_scans, self._poll_due = [], False
+        self._poll_due = False
         if batch is not None:
             self._gateway.counters.add("ledger.groups")
-        self._current_job = job = LedgerJob(self._gateway.deadlines.now(), batch, scans)
-        self._update_prefixes()
+        job = LedgerJob(self._gateway.deadlines.now(), batch, scans)
+        self._current_job = job
+        self._cursor.refresh_prefixes()
         if poll_due:
             self._add_poll(job)
         self._runner(
@@ -187,39 +207,36 @@
             lambda result: self._finish_job(job, result),
         )
 
-    def _update_prefixes(self) -> None:
-        prefixes = self._get_prefixes()
-        if prefixes != self._prefixes:
-            self._prefixes, self._version = prefixes, 0
-
     def _add_poll(self, job: LedgerJob) -> None:
-        job.poll = PollRequest(self._version, self._prefixes, self._watched_names)
+        job.poll = self._cursor.request()
         if self.unavailable:
-            # Not at every poll: a disk that takes a frame and can't make it durable grows the log by it.
-            job.probe_bytes = self._probe_bytes
-            self._next_probe_at = job.started_at + self._settings.timeout_ms
+            job.probe_bytes = self._probe.size_bytes
+            self._probe.record_start(job.started_at)
 
     def _finish_job(self, job: LedgerJob, result: JobResult) -> None:
         self._current_job = None
-        for warning in result.warnings:
-            self._gateway.log.warning("ledger_warning", line=warning)
+        for skipped in result.skipped_frames:
+            self._gateway.log.warning(
+                "ledger_log_frame_skipped",
+                folder=self._settings.folder,
+                file=skipped.file_name,
+                offset=skipped.offset,
+            )
         if not job.timed_out:
             self._dispatch_results(job, result)
         if result.error:
             if job.batch is not None and result.transaction_results is None:
-                self._probe_bytes = max(self._probe_bytes, min(job.batch.size_bytes, MAX_PROBE_BYTES))
-            self._mark_unavailable(result.error)
+                self._probe.record_failed_write(job.batch.size_bytes)
+            self._handle_failure(result.error)
         elif result.changes is not None:
             self._handle_changes(job, result.changes)
         self._start_job()
 
     def _dispatch_results(self, job: LedgerJob, result: JobResult) -> None:
-        if job.batch is not None:
-            self._dispatch_completions(
-                job.batch.completions(result.transaction_results)
-                if result.transaction_results is not None
-                else job.batch.unknown_completions()
-            )
+        if job.batch is not None and result.transaction_results is not None:
+            self._dispatch_completions(job.batch.completions(result.transaction_results))
+        elif job.batch is not None:
+            self._dispatch_completions(job.batch.unknown_completions())
         for scan, records in job.completed_scans(result):
             self._gateway.dispatch(ScanCompleted(scan.ticket, records, scan.owner))
 
@@ -228,7 +245,7 @@
             for result in completion.results:
                 self._gateway.counters.add(f"ledger.{result.outcome.value}")
             if any(result.outcome is TransactionOutcome.FENCED for result in completion.results):
-                self._mark_fenced()
+                self._handle_fenced()
             self._gateway.dispatch(completion)
 
     # The state of the ledger
@@ -236,65 +253,56 @@
     def _handle_changes(self, job: LedgerJob, changes: Changes) -> None:
         own = [member for member in changes.members if member.incarnation.name == self.incarnation.name]
         if any(member.fenced or member.incarnation != self.incarnation for member in own):
-            self._mark_fenced()
+            self._handle_fenced()
         elif self.unavailable:
             if not job.probe_bytes:
                 return  # started before the failure: it shows nothing of writes; the next poll reads it too
-            self._mark_recovered()
-        self._version = changes.version
+            self._handle_recovery()
+        self._cursor.version = changes.version
         self._gateway.dispatch(LedgerChanged(changes, job.started_at))
 
-    def _mark_recovered(self) -> None:
-        self.unavailable, self._probe_bytes, self._next_probe_at = False, MIN_PROBE_BYTES, 0.0
+    def _handle_recovery(self) -> None:
+        self.unavailable = False
+        self._probe.reset()
         self._gateway.log.info("ledger_recovered", folder=self._settings.folder)
         self._gateway.dispatch(LedgerRecovered())
 
-    def _mark_fenced(self) -> None:
-        if not self.fenced and not self._releasing:
-            line = f"ledger: {self.incarnation} was ended by another: serving on without it: start anew"
-            self._gateway.log.error("ledger_fenced", line=line)
-        self.fenced = True
+    def _handle_fenced(self) -> None:
+        """Stop using the ledger; an end that the gateway asked for itself is not reported."""
+        if self.phase is ClientPhase.ACTIVE:
+            self._gateway.log.error(
+                "ledger_fenced", folder=self._settings.folder, incarnation=str(self.incarnation)
+            )
+        self.phase = ClientPhase.FENCED
 
-    def _mark_unavailable(self, reason: str) -> None:
+    def _handle_failure(self, reason: str) -> None:
         """Answer whatever waits as unknown; report the failure unless it was reported already."""
-        completions, scans = self._take_unanswered()
+        unanswered = self._pending.give_up(self._current_job)
         if not self.unavailable:
             self.unavailable = True
             self._gateway.counters.add("ledger.lost_times")
-            self._gateway.log.error("ledger_unavailable", line=f"{reason}; serving on without it")
+            self._gateway.log.error("ledger_unavailable", folder=self._settings.folder, reason=reason)
             self._gateway.dispatch(LedgerUnavailable(reason))
-        self._dispatch_completions(completions)
-        for scan in scans:
+        self._dispatch_completions(unanswered.completions)
+        for scan in unanswered.scans:
             self._gateway.dispatch(ScanCompleted(scan.ticket, None, scan.owner))
 
-    def _take_unanswered(self) -> tuple[list[CommitCompleted], list[Scan]]:
-        """Remove everything that waits for an answer, in the order in which it was asked for."""
-        completions, scans = list[CommitCompleted](), list[Scan]()
-        job = self._current_job
-        if job is not None and not job.timed_out:
-            job.timed_out = True
-            scans += job.scans
-            if job.batch is not None:
-                completions += job.batch.unknown_completions()
-        while (batch := self._commit_queue.next_batch()) is not None:
-            completions += batch.unknown_completions()
-        scans += self._pending_scans
-        self._pending_scans = []
-        return completions, scans
-
 
 def start_ledger(
     gateway: GatewayContext, name: str, environ: Mapping[str, str], reactor: ReactorThreads
 ) -> LedgerClient | None:
     """Open the ledger with a new incarnation of that name, or return None if no ledger is configured.
 
-    It blocks: call it before the reactor runs, and `close` the client after. Raises `LedgerUnusableError`
-    with one line of text if the gateway can't start with these settings.
+    It blocks: call it before the reactor runs, and `close` the client after.
+
+    Raises:
+        LedgerUnusableError: the gateway can't start with these settings.
     """
     settings = read_settings(environ)
     if settings is None:
         return None
-    from meadowpulley.ledger.disk import DiskStore  # it needs msgspec
+    # Imported here, since it needs msgspec, which a gateway without a ledger does not have.
+    from meadowpulley.ledger.disk import DiskStore
 
     store = DiskStore(
         settings.folder,
--- a/meadowpulley/ledger/commit_batches.py
+++ b/meadowpulley/ledger/commit_batches.py
@@ -5,15 +5,16 @@
 from collections import deque
 from collections.abc import Sequence
 from dataclasses import dataclass
+from itertools import chain
 
-from meadowpulley.ledger.model import (
-    Commit,
-    CommitCompleted,
+from meadowpulley.ledger.messages import Commit, CommitCompleted
+from meadowpulley.ledger.transactions import (
     Create,
     Replace,
     Transaction,
     TransactionOutcome,
     TransactionResult,
+    Write,
 )
 
 MAX_BATCH_TRANSACTIONS = 512
@@ -23,9 +24,16 @@
 
 def estimate_bytes(commit: Commit) -> int:
     """Return about how many bytes a commit takes in the log."""
-    writes = [write for transaction in commit.transactions for write in transaction.writes]
-    payload_bytes = sum(len(w.value) + len(w.key) for w in writes if isinstance(w, Create | Replace))
-    return payload_bytes + WRITE_OVERHEAD_BYTES * len(writes)
+    total_bytes = 0
+    for transaction in commit.transactions:
+        total_bytes += sum(map(_estimate_write_bytes, transaction.writes))
+    return total_bytes
+
+
+def _estimate_write_bytes(write: Write) -> int:
+    if isinstance(write, Create | Replace):
+        return WRITE_OVERHEAD_BYTES + len(write.key) + len(write.value)
+    return WRITE_OVERHEAD_BYTES
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,11 +50,12 @@
     @property
     def transactions(self) -> list[Transaction]:
         """The transactions of all commits, in their order."""
-        return [transaction for commit in self.commits for transaction in commit.transactions]
+        return list(chain.from_iterable(commit.transactions for commit in self.commits))
 
     def completions(self, results: Sequence[TransactionResult]) -> list[CommitCompleted]:
         """Return the event for each commit; `results` has one result for each of `transactions`."""
-        completed, start = [], 0
+        completed = list[CommitCompleted]()
+        start = 0
         for commit in self.commits:
             end = start + len(commit.transactions)
             completed.append(CommitCompleted(commit.ticket, tuple(results[start:end]), commit.owner))
@@ -55,7 +64,8 @@
 
     def unknown_completions(self) -> list[CommitCompleted]:
         """Return the event for each commit of a batch that was not answered."""
-        return self.completions([TransactionResult(TransactionOutcome.UNKNOWN)] * len(self.transactions))
+        unknown = TransactionResult(TransactionOutcome.UNKNOWN)
+        return self.completions([unknown] * len(self.transactions))
 
 
 class CommitQueue:
@@ -67,8 +77,9 @@
     def __init__(
         self, max_transactions: int = MAX_BATCH_TRANSACTIONS, max_bytes: int = MAX_BATCH_BYTES
     ) -> None:
-        self._max_transactions, self._max_bytes = max_transactions, max_bytes
-        self._queue: deque[tuple[Commit, int]] = deque()
+        self._max_transactions = max_transactions
+        self._max_bytes = max_bytes
+        self._queue: deque[tuple[Commit, int]] = deque()  # with the estimated bytes of each
         self.queued_bytes = 0
 
     def __len__(self) -> int:
@@ -82,7 +93,9 @@
 
     def next_batch(self) -> CommitBatch | None:
         """Remove and return the next batch, or return None if the queue is empty."""
-        commits, transaction_count, batch_bytes = list[Commit](), 0, 0
+        commits = list[Commit]()
+        transaction_count = 0
+        batch_bytes = 0
         while self._queue:
             commit, commit_bytes = self._queue[0]
             transaction_count += len(commit.transactions)
--- a/meadowpulley/ledger/config.py
+++ b/meadowpulley/ledger/config.py
@@ -5,12 +5,13 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from meadowpulley.ledger.errors import FailpointSyntaxError, LedgerUnusableError
 from meadowpulley.ledger.failpoints import FAILPOINTS_VARIABLE, FailpointHook, parse_failpoints
-from meadowpulley.ledger.lease_manager import LeaseTimings
-from meadowpulley.ledger.model import LedgerUnusableError
+from meadowpulley.ledger.lease_timings import LeaseTimings
 
 LEDGER_VARIABLE = "MEADOWPULLEY_LEDGER"
 DEFAULT_TERM_MS = 2000.0
@@ -43,7 +44,8 @@
 def read_settings(environ: Mapping[str, str]) -> LedgerSettings | None:
     """Return the settings, or None if no ledger is configured.
 
-    Raises `LedgerUnusableError` with one line that says what is wrong, where, and what to do.
+    Raises:
+        LedgerUnusableError: a setting can't be used.
     """
     folder = environ.get(LEDGER_VARIABLE, "")
     if not folder:
@@ -68,8 +70,8 @@
     try:
         value = float(text)
     except ValueError:
-        value = float("nan")
-    if not minimum <= value < float("inf"):
+        value = math.nan
+    if not minimum <= value < math.inf:
         raise LedgerUnusableError(
             f"{LEDGER_VARIABLE}_{name}: '{text}' is no number from {minimum:g}: set it, or leave it out"
         )
@@ -88,7 +90,7 @@
 def _read_failpoints(environ: Mapping[str, str]) -> FailpointHook:
     try:
         return parse_failpoints(environ.get(FAILPOINTS_VARIABLE, ""))
-    except ValueError as error:
+    except FailpointSyntaxError as error:
         raise LedgerUnusableError(str(error)) from None
 
 
--- a/meadowpulley/ledger/disk.py
+++ b/meadowpulley/ledger/disk.py
@@ -15,23 +15,22 @@
 from contextlib import contextmanager
 from dataclasses import replace
 
+from meadowpulley.ledger.errors import LedgerError, LedgerUnusableError
 from meadowpulley.ledger.failpoints import FailpointHook, no_failpoint
 from meadowpulley.ledger.lease_files import LeaseFiles
 from meadowpulley.ledger.log_entries import RENEWED_SINCE
-from meadowpulley.ledger.model import (
-    Changes,
+from meadowpulley.ledger.records import Changes, Incarnation, Member, Record
+from meadowpulley.ledger.shared_log import LogSettings, SharedLog, read_boot_id
+from meadowpulley.ledger.store import SkippedFrame
+from meadowpulley.ledger.transactions import (
     Fence,
-    Incarnation,
-    LedgerError,
-    LedgerUnusableError,
-    Member,
-    Record,
     RenewLease,
     Transaction,
     TransactionOutcome,
     TransactionResult,
+    Write,
+    check_writes,
 )
-from meadowpulley.ledger.shared_log import LogSettings, SharedLog, read_boot_id
 
 DEFAULT_MAX_LOG_BYTES = 32 << 20
 VALID_NAME = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9._-]{0,63}")
@@ -44,7 +43,8 @@
     process, and a crash of the machine resets the ledger to its incarnations. `installation` names the one
     that the folder must belong to (empty: any), `machine_boot_id` the machine's present run (empty: read it).
 
-    Raises `LedgerUnusableError` if the folder can't be used.
+    Raises:
+        LedgerUnusableError: the folder can't be used.
     """
 
     def __init__(
@@ -56,7 +56,8 @@
         machine_boot_id: str = "",
         failpoint: FailpointHook = no_failpoint,
     ) -> None:
-        self._path, self._failpoint = path, failpoint
+        self._path = path
+        self._failpoint = failpoint
         try:
             self._folder_fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         except OSError as error:
@@ -78,10 +79,11 @@
         """Name of the installation that the ledger belongs to."""
         return self._log.header.installation
 
-    def take_warnings(self) -> list[str]:
-        """Return lines that the operator should read, each of them once."""
-        warnings, self._log.torn_frame_warnings = self._log.torn_frame_warnings, []
-        return warnings
+    def take_skipped_frames(self) -> list[SkippedFrame]:
+        """Return the torn frames that were skipped since the last call."""
+        skipped = self._log.skipped_frames
+        self._log.skipped_frames = []
+        return skipped
 
     @contextmanager
     def _os_errors_translated(self) -> Iterator[None]:
@@ -104,8 +106,7 @@
             yield
 
     def _check_folder(self) -> None:
-        path_status, folder_status = os.stat(self._path), os.fstat(self._folder_fd)
-        if not os.path.samestat(path_status, folder_status):
+        if not os.path.samestat(os.stat(self._path), os.fstat(self._folder_fd)):
             raise LedgerError(f"ledger: {self._path} is another folder now: put it back, or start again")
 
     def register(self, name: str, term_ms: float) -> Incarnation:
@@ -143,8 +144,7 @@
                 if RenewLease() not in transaction.writes:
                     pending.append(transaction)
                     continue
-                if len(transaction.writes) > 1:
-                    raise ValueError("RenewLease must be the only write of its transaction")
+                check_writes(transaction)
                 results += self._propose(incarnation, pending)
                 pending = []
                 results.append(self._renew(incarnation))
@@ -170,12 +170,10 @@
 
     def _with_renewals_stopped(self, incarnation: Incarnation, transaction: Transaction) -> Transaction:
         """Make the first move of each fence in a transaction."""
-        return Transaction(
-            tuple(
-                self._stop_renewals(incarnation, write) if isinstance(write, Fence) else write
-                for write in transaction.writes
-            )
-        )
+        writes = list[Write]()
+        for write in transaction.writes:
+            writes.append(self._stop_renewals(incarnation, write) if isinstance(write, Fence) else write)
+        return Transaction(tuple(writes))
 
     def _stop_renewals(self, incarnation: Incarnation, fence: Fence) -> Fence:
         """End the renewals of an incarnation that is to be fenced; return the fence to propose.
@@ -218,8 +216,10 @@
             state = self._log.state
             changes = state.changes(after_version, prefixes, ())
             names = {member.incarnation.name for member in changes.members}
-            known_names = state.members_by_name.keys()
-            names.update(known_names if watched_names is None else known_names & set(watched_names))
+            if watched_names is None:
+                names.update(state.members_by_name)
+            else:
+                names.update(name for name in watched_names if name in state.members_by_name)
             members = tuple(self._current_member(name) for name in sorted(names))
             dead = tuple(member.incarnation for member in members if self._is_dead(member))
             return replace(changes, members=members, dead_incarnations=dead)
--- a/meadowpulley/ledger/failpoints.py
+++ b/meadowpulley/ledger/failpoints.py
@@ -15,6 +15,9 @@
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TypeAlias
+
+from meadowpulley.ledger.errors import FailpointSyntaxError
 
 FAILPOINTS_VARIABLE = "MEADOWPULLEY_FAILPOINTS"
 FAILPOINT_NAMES = (
@@ -33,7 +36,7 @@
     "roll.opened",
 )
 SLOW_CALL_S = 2.0
-FailpointHook = Callable[[str], None]
+FailpointHook: TypeAlias = Callable[[str], None]
 
 
 def no_failpoint(name: str) -> None:
@@ -41,6 +44,7 @@
 
 
 def _raise_os_error(code: int) -> None:
+    """Fail as the kernel does."""
     raise OSError(code, os.strerror(code))
 
 
@@ -70,23 +74,29 @@
             self.action()
 
 
+def _parse_trigger(part: str) -> tuple[str, _Trigger]:
+    """Return the name and the trigger of one failpoint, written `NAME=ACTION@COUNT`."""
+    name, _, definition = part.strip().partition("=")
+    action, _, count = definition.partition("@")
+    repeats = count.endswith("+")
+    count = count.removesuffix("+") or "1"
+    if name not in FAILPOINT_NAMES or action not in ACTIONS or not count.isdecimal():
+        known = ", ".join(FAILPOINT_NAMES)
+        raise FailpointSyntaxError(
+            f"{FAILPOINTS_VARIABLE}: '{part}': write STEP=ACTION@COUNT with one of {known}"
+        )
+    return name, _Trigger(ACTIONS[action], int(count), repeats)
+
+
 def parse_failpoints(text: str) -> FailpointHook:
     """Return the hook for a list of failpoints.
 
-    Raises ValueError if the text names an unknown place or action.
+    Raises:
+        FailpointSyntaxError: the text names an unknown place or action.
     """
     if not text:
         return no_failpoint
-    triggers: dict[str, _Trigger] = {}
-    for part in text.split(","):
-        name, _, definition = part.strip().partition("=")
-        action, _, count = definition.partition("@")
-        repeats = count.endswith("+")
-        count = count.removesuffix("+") or "1"
-        if name not in FAILPOINT_NAMES or action not in ACTIONS or not count.isdecimal():
-            known = ", ".join(FAILPOINT_NAMES)
-            raise ValueError(f"{FAILPOINTS_VARIABLE}: '{part}': write STEP=ACTION@COUNT with one of {known}")
-        triggers[name] = _Trigger(ACTIONS[action], int(count), repeats)
+    triggers = dict(_parse_trigger(part) for part in text.split(","))
 
     def hit(name: str) -> None:
         """Act as the failpoint of that name says."""
--- a/meadowpulley/ledger/framing.py
+++ b/meadowpulley/ledger/framing.py
@@ -15,9 +15,17 @@
 from zlib import crc32
 
 # The header of a frame, in hexadecimal: the length of the escaped payload, its checksum, and a checksum of
-# these two, eight digits each.
-HEADER_LENGTH = 24
-CHECKED_HEADER_LENGTH = 16
+# these two.
+FIELD_DIGITS = 8
+CHECKED_HEADER_LENGTH = 2 * FIELD_DIGITS
+HEADER_LENGTH = 3 * FIELD_DIGITS
+HEX_DIGITS = b"0123456789abcdef"
+
+# A payload is escaped, so that no line end is inside a frame.
+ESCAPE = b"\x1b"
+LINE_END = b"\n"
+ESCAPED_ESCAPE = b"\x1b\x01"
+ESCAPED_LINE_END = b"\x1b\x02"
 
 
 class CorruptFrame(Enum):
@@ -36,23 +44,27 @@
 
 def encode_frame(payload: bytes) -> bytes:
     """Return the frame of a payload, with the line ends round it."""
-    body = payload.replace(b"\x1b", b"\x1b\x01").replace(b"\n", b"\x1b\x02")
+    body = payload.replace(ESCAPE, ESCAPED_ESCAPE).replace(LINE_END, ESCAPED_LINE_END)
     checked_header = b"%08x%08x" % (len(body), crc32(body))
     return b"\n%b%08x%b\n" % (checked_header, crc32(checked_header), body)
 
 
 def decode_frame(frame: bytes) -> bytes | CorruptFrame:
     """Return the payload of a frame, given without the line ends round it."""
-    checked_header, body = frame[:CHECKED_HEADER_LENGTH], frame[HEADER_LENGTH:]
+    checked_header = frame[:CHECKED_HEADER_LENGTH]
+    body = frame[HEADER_LENGTH:]
     if frame[CHECKED_HEADER_LENGTH:HEADER_LENGTH] != b"%08x" % crc32(checked_header):
         # A torn header; a file system may leave zeros, too, after a crash of the machine.
-        is_partial_header = len(frame) < HEADER_LENGTH and not frame.strip(b"0123456789abcdef")
+        is_partial_header = len(frame) < HEADER_LENGTH and not frame.strip(HEX_DIGITS)
         is_zeros = not frame.strip(b"\0")
         return CorruptFrame.TORN if is_partial_header or is_zeros else CorruptFrame.DAMAGED
-    length = int(checked_header[:8], 16)
-    if len(body) != length or crc32(body) != int(checked_header[8:], 16):
+    length = int(checked_header[:FIELD_DIGITS], base=16)
+    checksum = int(checked_header[FIELD_DIGITS:], base=16)
+    if len(body) != length or crc32(body) != checksum:
         return CorruptFrame.TORN if len(body) < length else CorruptFrame.DAMAGED
-    return body.replace(b"\x1b\x02", b"\n").replace(b"\x1b\x01", b"\x1b") if b"\x1b" in body else body
+    if ESCAPE not in body:
+        return body
+    return body.replace(ESCAPED_LINE_END, LINE_END).replace(ESCAPED_ESCAPE, ESCAPE)
 
 
 class FrameReader:
@@ -69,7 +81,7 @@
 
     def feed(self, data: bytes) -> Iterator[Frame]:
         """Yield each frame that ends in `data`."""
-        parts = (self._partial + data).split(b"\n")
+        parts = (self._partial + data).split(LINE_END)
         self._partial = parts.pop()
         for part in parts:
             start = self._frame_start
--- a/meadowpulley/ledger/gateway_context.py
+++ b/meadowpulley/ledger/gateway_context.py
@@ -3,7 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol, TypeAlias, TypeVar
+
+from meadowpulley.interface import Timer
+from meadowpulley.ledger.messages import LedgerEvent
+
+ActionT = TypeVar("ActionT")
+ClientEvent: TypeAlias = LedgerEvent | Timer  # what the ledger's client dispatches
 
 
 class DeadlineQueue(Protocol):
@@ -19,13 +25,13 @@
 class EventLogger(Protocol):
     """The gateway's structured log."""
 
-    def info(self, event: str, **fields: Any) -> object:
+    def info(self, event: str, **fields: object) -> object:
         """Log an ordinary event."""
 
-    def warning(self, event: str, **fields: Any) -> object:
+    def warning(self, event: str, **fields: object) -> object:
         """Log an event that the operator should look at."""
 
-    def error(self, event: str, **fields: Any) -> object:
+    def error(self, event: str, **fields: object) -> object:
         """Log an event that the operator must act on."""
 
 
@@ -37,10 +43,7 @@
 
 
 class GatewayContext(Protocol):
-    """The gateway of a ledger client.
-
-    Each stage has events and actions of its own, so their types are open.
-    """
+    """The gateway of a ledger client."""
 
     @property
     def deadlines(self) -> DeadlineQueue:
@@ -54,17 +57,17 @@
     def counters(self) -> CounterSet:
         """The counters."""
 
-    def dispatch(self, event: Any) -> None:
+    def dispatch(self, event: ClientEvent, /) -> None:
         """Give an event to the outermost stage, and run the actions that it returns."""
 
-    def register_action(self, kind: type, handler: Callable[[Any], None]) -> None:
+    def register_action(self, action_type: type[ActionT], handler: Callable[[ActionT], None], /) -> None:
         """Run every action of that type by `handler` from now on."""
 
 
 class ReactorThreads(Protocol):
     """What a worker thread needs of Twisted's reactor."""
 
-    def callFromThread(  # noqa: N802 (Twisted's name)
+    def callFromThread(  # noqa: N802  # Twisted's name
         self, function: Callable[..., object], /, *arguments: object
     ) -> object:
         """Call a function from the reactor's thread."""
--- a/meadowpulley/ledger/lease_files.py
+++ b/meadowpulley/ledger/lease_files.py
@@ -13,8 +13,9 @@
 import time
 from typing import NamedTuple
 
+from meadowpulley.ledger.errors import LedgerUnusableError
 from meadowpulley.ledger.failpoints import FailpointHook
-from meadowpulley.ledger.model import Incarnation, LedgerUnusableError, Member
+from meadowpulley.ledger.records import Incarnation, Member
 
 # Names on the disk are a stored format: they stay as they are.
 LEASES_FOLDER = "lives"
@@ -34,8 +35,9 @@
     """The leases in a ledger's folder, given by its descriptor."""
 
     def __init__(self, folder_fd: int, failpoint: FailpointHook) -> None:
-        self._folder_fd, self._failpoint = folder_fd, failpoint
-        self._locks: dict[Incarnation, int] = {}
+        self._folder_fd = folder_fd
+        self._failpoint = failpoint
+        self._locks: dict[Incarnation, int] = {}  # descriptors of the locked folders
         self._own_renewals: dict[Incarnation, int] = {}
         with contextlib.suppress(FileExistsError):
             os.mkdir(LEASES_FOLDER, 0o700, dir_fd=folder_fd)
@@ -48,7 +50,8 @@
 
     def _rename(self, incarnation: Incarnation, old_name: str, new_name: str) -> bool:
         """Rename a file of a lease; return False if it has another name by now."""
-        old_path, new_path = self._path(incarnation, old_name), self._path(incarnation, new_name)
+        old_path = self._path(incarnation, old_name)
+        new_path = self._path(incarnation, new_name)
         try:
             os.rename(old_path, new_path, src_dir_fd=self._folder_fd, dst_dir_fd=self._folder_fd)
         except FileNotFoundError:
--- a/meadowpulley/ledger/log_entries.py
+++ b/meadowpulley/ledger/log_entries.py
@@ -11,18 +11,17 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
-from typing import Any
+from typing import TypeAlias
 
 import msgspec
 
+from meadowpulley.ledger.errors import LogEntryError
 from meadowpulley.ledger.memory import MemoryStore
-from meadowpulley.ledger.model import (
+from meadowpulley.ledger.records import Incarnation, Member, Record
+from meadowpulley.ledger.transactions import (
     CheckVersion,
     Create,
     Fence,
-    Incarnation,
-    Member,
-    Record,
     ReleaseLease,
     Remove,
     Replace,
@@ -31,7 +30,8 @@
     Write,
 )
 
-FORMAT_NAME, FORMAT_VERSION = "meadowpulley-ledger", 1
+FORMAT_NAME = "meadowpulley-ledger"
+FORMAT_VERSION = 1
 
 COMMIT_TAG = "steps"
 REGISTER_TAG = "begin"
@@ -39,6 +39,13 @@
 HEADER_TAG = "head"
 STATE_TAG = "state"
 
+CREATE_TAG = "c"
+REPLACE_TAG = "r"
+REMOVE_TAG = "d"
+CHECK_VERSION_TAG = "u"
+FENCE_TAG = "s"
+RELEASE_LEASE_TAG = "l"
+
 # `Fence.renewal` of a fence that fails, since the incarnation has renewed its lease in the meantime.
 RENEWED_SINCE = -1
 
@@ -76,41 +83,52 @@
     """Ends a generation of the log."""
 
 
-Proposal = CommitEntry | RegisterEntry
-LogEntry = Proposal | EndEntry | GenerationHeader | MemoryStore
+Proposal: TypeAlias = CommitEntry | RegisterEntry
+LogEntry: TypeAlias = Proposal | EndEntry | GenerationHeader | MemoryStore
+
+# The arrays that are stored, as msgpack gives them back.
+RawWrite: TypeAlias = Sequence[str | bytes | int]  # tag, fields
+RawRecord: TypeAlias = tuple[str, bytes, int, str, int]  # key, value, version, writer's name and epoch
+# Name, epoch, renewal, fenced, term, version of the member, version of its registration or fence.
+RawMember: TypeAlias = tuple[str, int, int, bool, float, int, int]
+RawState: TypeAlias = tuple[int, list[RawRecord], list[RawMember], dict[str, int], int]
 
-_WRITE_DECODERS: dict[str, Callable[..., Write]] = {
-    "c": Create,
-    "r": Replace,
-    "d": Remove,
-    "u": CheckVersion,
-    "s": lambda name, epoch, renewal: Fence(Incarnation(name, epoch), renewal),
-    "l": ReleaseLease,
+_WRITE_DECODERS: dict[str | bytes | int, Callable[..., Write]] = {
+    CREATE_TAG: Create,
+    REPLACE_TAG: Replace,
+    REMOVE_TAG: Remove,
+    CHECK_VERSION_TAG: CheckVersion,
+    FENCE_TAG: lambda name, epoch, renewal: Fence(Incarnation(name, epoch), renewal),
+    RELEASE_LEASE_TAG: ReleaseLease,
 }
 
 
-def _encode_write(write: Write) -> tuple[Any, ...]:
+def _encode_write(write: Write) -> RawWrite:
     match write:
         case Create(key, value):
-            return ("c", key, value)
+            return (CREATE_TAG, key, value)
         case Replace(key, value, version):
-            return ("r", key, value, version)
+            return (REPLACE_TAG, key, value, version)
         case Remove(key, version):
-            return ("d", key, version)
+            return (REMOVE_TAG, key, version)
         case CheckVersion(key, version):
-            return ("u", key, version)
+            return (CHECK_VERSION_TAG, key, version)
         case Fence(incarnation, renewal):
-            return ("s", incarnation.name, incarnation.epoch, renewal)
+            return (FENCE_TAG, incarnation.name, incarnation.epoch, renewal)
         case _:
-            return ("l",)
+            return (RELEASE_LEASE_TAG,)
+
+
+def _encode_transaction(transaction: Transaction) -> list[RawWrite]:
+    return [_encode_write(write) for write in transaction.writes]
 
 
 def encode(entry: LogEntry) -> bytes:
     """Return the payload of an entry; a `MemoryStore` is the state at the start of a generation."""
-    raw: tuple[Any, ...]
+    raw: tuple[object, ...]
     match entry:
         case CommitEntry(writer, proposal_id, transactions):
-            raw_transactions = [[_encode_write(write) for write in each.writes] for each in transactions]
+            raw_transactions = [_encode_transaction(transaction) for transaction in transactions]
             raw = (COMMIT_TAG, writer.name, writer.epoch, proposal_id, raw_transactions)
         case RegisterEntry(incarnation, proposal_id, term_ms):
             raw = (REGISTER_TAG, incarnation.name, incarnation.epoch, proposal_id, term_ms)
@@ -124,73 +142,106 @@
 
 
 def decode(payload: bytes) -> LogEntry:
-    """Return the entry of a payload. Raises ValueError if it is no entry of a ledger of this format."""
+    """Return the entry of a payload.
+
+    Raises:
+        ValueError: it is no entry of a ledger of this format (`LogEntryError`, where that is known).
+    """
     try:
         tag, *fields = msgspec.msgpack.decode(payload)
         decoder = _ENTRY_DECODERS[tag]
         return decoder(*fields)
     except (msgspec.DecodeError, TypeError, KeyError, IndexError) as error:
-        raise ValueError(f"no entry of a ledger: {error}") from None
+        raise LogEntryError(f"no entry of a ledger: {error}") from None
 
 
-def _decode_commit(name: str, epoch: int, proposal_id: str, raw_transactions: Sequence[Any]) -> CommitEntry:
-    transactions = tuple(
-        Transaction(tuple(_WRITE_DECODERS[tag](*fields) for tag, *fields in writes))
-        for writes in raw_transactions
-    )
+def _decode_commit(
+    name: str, epoch: int, proposal_id: str, raw_transactions: Sequence[Sequence[RawWrite]]
+) -> CommitEntry:
+    transactions = tuple(_decode_transaction(raw_writes) for raw_writes in raw_transactions)
     return CommitEntry(Incarnation(name, epoch), proposal_id, transactions)
 
 
+def _decode_transaction(raw_writes: Sequence[RawWrite]) -> Transaction:
+    return Transaction(tuple(_WRITE_DECODERS[tag](*fields) for tag, *fields in raw_writes))
+
+
 def _decode_registration(
     name: str, epoch: int, proposal_id: str, term_ms: float, *_: object
 ) -> RegisterEntry:
     return RegisterEntry(Incarnation(name, epoch), proposal_id, term_ms)
 
 
-def _decode_header(format_name: str, format_version: int, *fields: Any) -> GenerationHeader:
+def _decode_header(format_name: str, format_version: int, *fields: object) -> GenerationHeader:
+    """Return the header; the fields of another format may be others, so they are read after the check."""
     if format_name != FORMAT_NAME or format_version != FORMAT_VERSION:
-        raise ValueError(
+        raise LogEntryError(
             f"it is of format {format_name} {format_version}, not {FORMAT_NAME} {FORMAT_VERSION}"
         )
-    return GenerationHeader(*fields)
+    return _make_header(*fields)
+
+
+_make_header: Callable[..., GenerationHeader] = GenerationHeader
 
 
-def _encode_state(state: MemoryStore) -> tuple[Any, ...]:
-    records = [(r.key, r.value, r.version, r.writer.name, r.writer.epoch) for r in state.records.values()]
+def _encode_state(state: MemoryStore) -> RawState:
+    records = [_encode_record(record) for record in state.records.values()]
     members = [
-        (
-            member.incarnation.name,
-            member.incarnation.epoch,
-            member.renewal,
-            member.fenced,
-            member.term_ms,
-            member.version,
-            state.membership_versions[name],
-        )
+        _encode_member(member, state.membership_versions[name])
         for name, member in state.members_by_name.items()
     ]
     return (state.version, records, members, state.tombstones, state.compacted_version)
 
 
+def _encode_record(record: Record) -> RawRecord:
+    return (record.key, record.value, record.version, record.writer.name, record.writer.epoch)
+
+
+def _encode_member(member: Member, membership_version: int) -> RawMember:
+    return (
+        member.incarnation.name,
+        member.incarnation.epoch,
+        member.renewal,
+        member.fenced,
+        member.term_ms,
+        member.version,
+        membership_version,
+    )
+
+
 def _decode_state(
     version: int,
-    records: Sequence[Any],
-    members: Sequence[Any],
+    records: Sequence[RawRecord],
+    members: Sequence[RawMember],
     tombstones: dict[str, int],
     compacted_version: int,
 ) -> MemoryStore:
     state = MemoryStore()
-    state.version, state.tombstones, state.compacted_version = version, tombstones, compacted_version
-    for key, value, record_version, name, epoch in records:
-        state.records[key] = Record(key, value, record_version, Incarnation(name, epoch))
-    for name, epoch, renewal, fenced, term_ms, member_version, membership_version in members:
-        incarnation = Incarnation(name, epoch)
-        state.members_by_name[name] = Member(incarnation, renewal, fenced, term_ms, member_version)
-        state.membership_versions[name] = membership_version
+    state.version = version
+    state.tombstones = tombstones
+    state.compacted_version = compacted_version
+    for raw_record in records:
+        record = _decode_record(raw_record)
+        state.records[record.key] = record
+    for raw_member in members:
+        member, membership_version = _decode_member(raw_member)
+        state.members_by_name[member.incarnation.name] = member
+        state.membership_versions[member.incarnation.name] = membership_version
     state.membership_versions = dict(sorted(state.membership_versions.items(), key=lambda item: item[1]))
     return state
 
 
+def _decode_record(raw_record: RawRecord) -> Record:
+    key, value, version, name, epoch = raw_record
+    return Record(key, value, version, Incarnation(name, epoch))
+
+
+def _decode_member(raw_member: RawMember) -> tuple[Member, int]:
+    """Return a member, and the version of its registration or fence."""
+    name, epoch, renewal, fenced, term_ms, version, membership_version = raw_member
+    return Member(Incarnation(name, epoch), renewal, fenced, term_ms, version), membership_version
+
+
 _ENTRY_DECODERS: dict[str, Callable[..., LogEntry]] = {
     COMMIT_TAG: _decode_commit,
     REGISTER_TAG: _decode_registration,
@@ -237,7 +288,8 @@
 def state_after_machine_crash(state: MemoryStore) -> MemoryStore:
     """Return what remains of a state that was not made durable: its incarnations, fenced, and no record."""
     remaining = MemoryStore()
-    remaining.version = remaining.compacted_version = state.version + 1
+    remaining.version = state.version + 1
+    remaining.compacted_version = remaining.version
     for name, member in state.members_by_name.items():
         remaining.members_by_name[name] = replace(member, fenced=True, version=remaining.version)
         remaining.membership_versions[name] = remaining.version
--- a/meadowpulley/ledger/log_generations.py
+++ b/meadowpulley/ledger/log_generations.py
@@ -11,20 +11,23 @@
 import re
 import uuid
 
+from meadowpulley.ledger.errors import LedgerUnusableError
 from meadowpulley.ledger.failpoints import FailpointHook
 from meadowpulley.ledger.framing import encode_frame
 from meadowpulley.ledger.lease_files import LEASES_FOLDER
 from meadowpulley.ledger.log_entries import GenerationHeader, encode
 from meadowpulley.ledger.memory import MemoryStore
-from meadowpulley.ledger.model import LedgerUnusableError
 
-GENERATION_PREFIX, DRAFT_PREFIX = "log.", "draft."
+GENERATION_PREFIX = "log."
+DRAFT_PREFIX = "draft."
 GENERATION_PATTERN = re.compile(r"log\.\d{8}")
 
 
 def write_all(fd: int, data: bytes) -> None:
     """Write `data` by one system call. Raises OSError if the disk has no room for all of it."""
-    if (written := os.write(fd, data)) < len(data):
+    written = os.write(fd, data)
+    if written < len(data):
+        # The kernel reports a full disk as a short write, and as an error only at the next one.
         raise OSError(errno.ENOSPC, f"{written} of {len(data)} bytes written")
 
 
@@ -40,7 +43,9 @@
     """
 
     def __init__(self, folder_fd: int, path: str, failpoint: FailpointHook) -> None:
-        self._folder_fd, self._path, self._failpoint = folder_fd, path, failpoint
+        self._folder_fd = folder_fd
+        self._path = path
+        self._failpoint = failpoint
 
     def list_generations(self) -> list[int]:
         """Return the numbers of the generations, rising.
@@ -63,7 +68,7 @@
         except FileNotFoundError:
             return None
         if self.list_generations()[-1:] != [generation]:
-            os.close(fd)  # one that a late process linked again, or one that has just ended
+            os.close(fd)  # a late process has linked it again, or it has just ended
             return None
         return fd
 
--- a/meadowpulley/ledger/memory.py
+++ b/meadowpulley/ledger/memory.py
@@ -10,27 +10,24 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from meadowpulley.ledger.model import (
-    Changes,
+from meadowpulley.ledger.errors import LedgerError, LedgerUnusableError
+from meadowpulley.ledger.records import Changes, Incarnation, Member, Record
+from meadowpulley.ledger.store import SkippedFrame
+from meadowpulley.ledger.transactions import (
     CheckVersion,
     Create,
     Fence,
-    Incarnation,
-    LedgerError,
-    LedgerUnusableError,
-    Member,
-    Record,
     ReleaseLease,
     Remove,
-    RenewLease,
     Replace,
     Transaction,
     TransactionOutcome,
     TransactionResult,
     Write,
+    check_writes,
 )
 
-NO_MEMBER = Member(Incarnation("", 0), 0, True, 0.0, 0)
+NO_MEMBER = Member(Incarnation("", 0), renewal=0, fenced=True, term_ms=0.0, version=0)
 MAX_TOMBSTONES = 4096  # removed keys that a reader of an old version is still told one by one
 
 
@@ -47,7 +44,9 @@
     __slots__ = ("changed_members", "members", "records", "store", "version", "writer")
 
     def __init__(self, store: MemoryStore, writer: Incarnation) -> None:
-        self.store, self.writer, self.version = store, writer, store.version
+        self.store = store
+        self.writer = writer
+        self.version = store.version
         self.records: dict[str, Record | None] = {}
         self.members: dict[str, Member] = {}
         self.changed_members: list[str] = []
@@ -121,7 +120,7 @@
         self.compacted_version = 0  # removals up to this version are forgotten
         # Whose process is known to have ended: a backend on one machine knows it, a test sets it.
         self.dead_incarnations: set[Incarnation] = set()
-        self.fault = ""  # while it is set, every call fails with this text
+        self.fault = ""  # set by tests: while it is, every call fails with this text
 
     def _check_fault(self) -> None:
         if self.fault:
@@ -160,8 +159,7 @@
         member = self.members_by_name.get(incarnation.name)
         if member is None or member.incarnation != incarnation or member.fenced:
             return TransactionResult(TransactionOutcome.FENCED)
-        if RenewLease() in transaction.writes and len(transaction.writes) > 1:
-            raise ValueError("RenewLease must be the only write of its transaction")
+        check_writes(transaction)
         pending = _PendingTransaction(self, incarnation)
         for index, write in enumerate(transaction.writes):
             conflict = pending.apply(write)
@@ -195,7 +193,8 @@
     def scan(self, prefix: str) -> list[Record]:
         """Return the records whose keys start with `prefix`, sorted by key."""
         self._check_fault()
-        return [self.records[key] for key in sorted(k for k in self.records if k.startswith(prefix))]
+        keys = [key for key in self.records if key.startswith(prefix)]
+        return [self.records[key] for key in sorted(keys)]
 
     def members(self) -> list[Member]:
         """Return the last incarnation of every name, sorted by name."""
@@ -208,7 +207,8 @@
         """Return what changed after a version; see `Store.changes`."""
         self._check_fault()
         is_snapshot = after_version < self.compacted_version or not after_version
-        key_prefixes, since_version = tuple(prefixes), 0 if is_snapshot else after_version
+        since_version = 0 if is_snapshot else after_version
+        key_prefixes = tuple(prefixes)
         return Changes(
             self.version,
             is_snapshot,
@@ -248,8 +248,8 @@
                 names.add(name)
         return tuple(self.members_by_name[name] for name in sorted(names))
 
-    def take_warnings(self) -> list[str]:
-        """Return no warnings: there is nothing to warn of in memory."""
+    def take_skipped_frames(self) -> list[SkippedFrame]:
+        """Return no frames: there is no log in memory."""
         return []
 
     def close(self) -> None:
--- a/meadowpulley/ledger/rendezvous.py
+++ b/meadowpulley/ledger/rendezvous.py
@@ -5,14 +5,16 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-from meadowpulley.ledger.model import Incarnation
+from meadowpulley.ledger.records import Incarnation
 
 WEIGHT_BYTES = 8
+RING_KEY = "ring"
 
 
 def weight(key: str, incarnation: Incarnation) -> int:
     """Return the 64-bit weight of an incarnation for a key, the same in every process on every machine."""
-    return int.from_bytes(blake2b(f"{key}\0{incarnation}".encode(), digest_size=WEIGHT_BYTES).digest())
+    digest = blake2b(f"{key}\0{incarnation}".encode(), digest_size=WEIGHT_BYTES).digest()
+    return int.from_bytes(digest)
 
 
 def rendezvous_order(key: str, incarnations: Iterable[Incarnation]) -> list[Incarnation]:
@@ -26,4 +28,4 @@
 
 def ring_position(incarnation: Incarnation) -> int:
     """Return the position of an incarnation on the ring on which each watches its predecessors."""
-    return weight("ring", incarnation)
+    return weight(RING_KEY, incarnation)
--- a/meadowpulley/ledger/shared_log.py
+++ b/meadowpulley/ledger/shared_log.py
@@ -11,11 +11,11 @@
 import contextlib
 import os
 import uuid
-from collections.abc import Sequence
-from dataclasses import dataclass
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass, field
 from pathlib import Path
-from typing import NamedTuple
 
+from meadowpulley.ledger.errors import LedgerError, LedgerUnusableError
 from meadowpulley.ledger.failpoints import FailpointHook
 from meadowpulley.ledger.framing import CorruptFrame, Frame, FrameReader, encode_frame
 from meadowpulley.ledger.log_entries import (
@@ -32,26 +32,24 @@
 )
 from meadowpulley.ledger.log_generations import GenerationFolder, generation_file_name, write_all
 from meadowpulley.ledger.memory import MemoryStore
-from meadowpulley.ledger.model import (
-    Incarnation,
-    LedgerError,
-    LedgerUnusableError,
-    Transaction,
-    TransactionResult,
-)
+from meadowpulley.ledger.records import Incarnation
+from meadowpulley.ledger.store import SkippedFrame
+from meadowpulley.ledger.transactions import Transaction, TransactionResult
 
 READ_CHUNK_BYTES = 1 << 20
 MAX_GROWTH_FACTOR = 4  # a generation ends at this many times the size it began with, or at `max_bytes`
 MAX_OPEN_ATTEMPTS = 100  # to open the newest generation while other processes begin newer ones
 
-ProposalResult = list[TransactionResult] | bool
+PROCESS_ID_LENGTH = 12  # of the random part of a proposal's id
 
 
-class AppliedProposal(NamedTuple):
+@dataclass(slots=True)
+class AppliedProposal:
     """What became of a proposal: the results of its transactions, or whether it was registered."""
 
     proposal_id: str
-    result: ProposalResult
+    results: list[TransactionResult] = field(default_factory=list)
+    registered: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,18 +74,24 @@
 class SharedLog:
     """The log, and the state of the ledger at its end.
 
-    `folder_fd` is the descriptor of the ledger's folder, `path` its name for messages. Raises
-    `LedgerUnusableError` where the folder holds no log of this installation and format.
+    `folder_fd` is the descriptor of the ledger's folder, `path` its name for messages.
+
+    Raises:
+        LedgerUnusableError: the folder holds no log of this installation and format.
     """
 
     def __init__(self, folder_fd: int, path: str, settings: LogSettings, failpoint: FailpointHook) -> None:
-        self._path, self._settings, self._failpoint = path, settings, failpoint
+        self._path = path
+        self._settings = settings
+        self._failpoint = failpoint
         self._folder = GenerationFolder(folder_fd, path, failpoint)
-        self._fd, self.file_name = -1, ""
-        self.torn_frame_warnings: list[str] = []  # where torn frames were skipped, not reported yet
+        self._fd = -1
+        self.file_name = ""
+        self.skipped_frames: list[SkippedFrame] = []  # not reported yet
         self.state = MemoryStore()
         self.header = GenerationHeader("", 0, settings.sync, settings.boot_id)
-        self._proposal_count, self._process_id = 0, uuid.uuid4().hex[:12]
+        self._process_id = uuid.uuid4().hex[:PROCESS_ID_LENGTH]
+        self._proposal_count = 0
         self._open_newest()
         if self.header.boot_id != settings.boot_id:
             self._end_generation()
@@ -120,8 +124,11 @@
 
     def _read_generation(self, fd: int, file_name: str) -> None:
         self.close()
-        self._fd, self.file_name, self._reader = fd, file_name, FrameReader()
-        self._generation_ended = self._state_loaded = False
+        self._fd = fd
+        self.file_name = file_name
+        self._reader = FrameReader()
+        self._state_loaded = False
+        self._generation_ended = False
         self._read_error = ""
         self._size_bytes = 0
         try:
@@ -130,7 +137,7 @@
                 raise LedgerUnusableError(
                     f"ledger: {self._path}/{file_name} holds no ledger: name another folder"
                 )
-        except BaseException:
+        except BaseException:  # whatever interrupts the reading, the descriptor is not leaked
             self.close()
             raise
 
@@ -164,33 +171,29 @@
     def register(self, incarnation: Incarnation, term_ms: float) -> bool:
         """Propose a new incarnation, always durably; return whether it was registered."""
         entry = RegisterEntry(incarnation, self._next_proposal_id(), term_ms)
-        result = self._propose(entry, sync=True)
-        assert isinstance(result, bool)
-        return result
+        return self._propose(entry, sync=True).registered
 
     def commit(
         self, incarnation: Incarnation, transactions: Sequence[Transaction]
     ) -> list[TransactionResult]:
         """Propose transactions, as durably as the installation wants it; return their results."""
         entry = CommitEntry(incarnation, self._next_proposal_id(), tuple(transactions))
-        result = self._propose(entry, sync=self._settings.sync)
-        assert not isinstance(result, bool)
-        return result
+        return self._propose(entry, sync=self._settings.sync).results
 
     def _next_proposal_id(self) -> str:
         self._proposal_count += 1
         return f"{self._process_id}.{self._proposal_count}"
 
-    def _propose(self, entry: Proposal, sync: bool) -> ProposalResult:
+    def _propose(self, entry: Proposal, sync: bool) -> AppliedProposal:
         """Append an entry, again in each next generation, until it was met at its place in the log."""
         data = encode_frame(encode(entry))
         while True:
             self._append(data, sync)
-            result = self.read_new_entries(entry.proposal_id)
+            applied = self.read_new_entries(entry.proposal_id)
             self._failpoint("log.read")
-            if result is not None:
+            if applied is not None:
                 self._end_generation_if_grown()
-                return result
+                return applied
             if not self._generation_ended:
                 raise LedgerError(
                     f"ledger: {self._path}/{self.file_name} has lost an entry: put a new one there"
@@ -214,25 +217,33 @@
 
     # Entries
 
-    def read_new_entries(self, proposal_id: str = "") -> ProposalResult | None:
+    def read_new_entries(self, proposal_id: str = "") -> AppliedProposal | None:
         """Apply what was appended since the last call.
 
         Returns what became of the proposal with that id, or None if it was not met.
         """
-        result: ProposalResult | None = None
+        own: AppliedProposal | None = None
         if self._read_error:
             raise LedgerUnusableError(self._read_error)
         while not self._generation_ended and (data := self._read_chunk()):
             try:
-                for frame in self._reader.feed(data):
-                    applied = None if self._generation_ended else self._apply_frame(frame)
-                    if proposal_id and applied is not None and applied.proposal_id == proposal_id:
-                        result = applied.result
-            except Exception as error:
-                self._read_error = str(error)  # nothing after a frame that could not be read may count
+                for applied in self._apply_chunk(data):
+                    if proposal_id and applied.proposal_id == proposal_id:
+                        own = applied
+            except Exception as error:  # any failure: nothing after a frame that could not be read may count
+                self._read_error = str(error)
                 raise
             self._size_bytes = self._reader.offset
-        return result
+        return own
+
+    def _apply_chunk(self, data: bytes) -> Iterator[AppliedProposal]:
+        """Apply the frames that end in `data`, up to the end of the generation; yield the proposals."""
+        for frame in self._reader.feed(data):
+            if self._generation_ended:
+                continue  # the reader still counts its bytes
+            applied = self._apply_frame(frame)
+            if applied is not None:
+                yield applied
 
     def _read_chunk(self) -> bytes:
         return os.pread(self._fd, READ_CHUNK_BYTES, self._reader.offset)
@@ -251,38 +262,44 @@
             self.catch_up()
 
     def _apply_frame(self, frame: Frame) -> AppliedProposal | None:
-        location = f"{self._path}/{self.file_name}, byte {frame.start}"
         if isinstance(frame.payload, CorruptFrame):
-            self._skip_corrupt_frame(frame.payload, location)
+            self._skip_corrupt_frame(frame.payload, frame.start)
             return None
         try:
             entry = decode(frame.payload)
         except ValueError as error:
-            raise LedgerUnusableError(f"ledger: {location}: {error}: name another folder") from None
+            raise LedgerUnusableError(
+                f"ledger: {self._location(frame.start)}: {error}: name another folder"
+            ) from None
         if isinstance(entry, GenerationHeader):
             self._check_header(entry)
         elif isinstance(entry, MemoryStore):
-            self.state, self._state_loaded, self._initial_size = entry, True, self._reader.offset
+            self.state = entry
+            self._state_loaded = True
+            self._initial_size = self._reader.offset
         elif isinstance(entry, EndEntry):
             self._generation_ended = True
         elif self._state_loaded:
             return self._apply_proposal(entry)
         return None
 
+    def _location(self, offset: int) -> str:
+        return f"{self._path}/{self.file_name}, byte {offset}"
+
     def _apply_proposal(self, entry: Proposal) -> AppliedProposal:
         if isinstance(entry, RegisterEntry):
-            return AppliedProposal(entry.proposal_id, apply_registration(self.state, entry))
+            return AppliedProposal(entry.proposal_id, registered=apply_registration(self.state, entry))
         return AppliedProposal(entry.proposal_id, apply_commit(self.state, entry))
 
-    def _skip_corrupt_frame(self, reason: CorruptFrame, location: str) -> None:
+    def _skip_corrupt_frame(self, reason: CorruptFrame, offset: int) -> None:
         """Skip a torn frame; a damaged one is tolerated only where nothing was to outlive the machine."""
         if reason is CorruptFrame.TORN:
-            self.torn_frame_warnings.append(f"ledger: {location}: a line cut short is passed over")
+            self.skipped_frames.append(SkippedFrame(self.file_name, offset))
         elif self._state_loaded and self._lost_by_machine_crash():
             self._generation_ended = True
         else:
             raise LedgerUnusableError(
-                f"ledger: {location}: damaged: put it aside and start with an empty folder"
+                f"ledger: {self._location(offset)}: damaged: put it aside and start with an empty folder"
             )
 
     def _check_header(self, header: GenerationHeader) -> None:
--- a/meadowpulley/ledger/store.py
+++ b/meadowpulley/ledger/store.py
@@ -3,12 +3,21 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 from typing import Protocol, runtime_checkable
 
 from meadowpulley.ledger.records import Changes, Incarnation, Member, Record
 from meadowpulley.ledger.transactions import Transaction, TransactionResult
 
 
+@dataclass(frozen=True, slots=True)
+class SkippedFrame:
+    """Where in the log a torn frame was skipped: a write that was cut short, and never answered."""
+
+    file_name: str
+    offset: int  # of its first byte
+
+
 @runtime_checkable
 class Store(Protocol):
     """A backend of the ledger. Its calls may block: a reactor calls them from a thread.
@@ -49,8 +58,8 @@
         watched ones as they are now. So the renewals that a fleet reads grow linearly with it.
         """
 
-    def take_warnings(self) -> list[str]:
-        """Return lines that the operator should read, each of them once."""
+    def take_skipped_frames(self) -> list[SkippedFrame]:
+        """Return the torn frames that were skipped since the last call."""
 
     def close(self) -> None:
         """Release the resources of the store."""
--- a/meadowpulley/ledger/transactions.py
+++ b/meadowpulley/ledger/transactions.py
@@ -12,6 +12,7 @@
 from enum import Enum
 from typing import TypeAlias
 
+from meadowpulley.ledger.errors import InvalidTransactionError
 from meadowpulley.ledger.records import Incarnation, Record
 
 
@@ -83,6 +84,12 @@
     writes: tuple[Write, ...]
 
 
+def check_writes(transaction: Transaction) -> None:
+    """Check that a renewal is the only write of its transaction. Raises `InvalidTransactionError`."""
+    if RenewLease() in transaction.writes and len(transaction.writes) > 1:
+        raise InvalidTransactionError("RenewLease must be the only write of its transaction")
+
+
 class TransactionOutcome(Enum):
     """How a transaction ended. The values are the suffixes of the counters `ledger.*`."""
 
--- a/tests/processes/test_ledger.py
+++ b/tests/processes/test_ledger.py
@@ -180,7 +180,7 @@
     assert "see to that disk" in full.receive()["error"]
     assert other.call("count", 5) == ["won"] * 5
     store = DiskStore(str(tmp_path))
-    assert "cut short" in "".join(store.take_warnings())
+    assert store.take_skipped_frames()
     record = store.read("common")
     assert record is not None and int(record.value) == len(store.scan("full.1/")) + 5
     with pytest.raises(LedgerUnusableError):
--- a/tests/test_ledger_client.py
+++ b/tests/test_ledger_client.py
@@ -35,19 +35,20 @@
 from meadowpulley.ledger.commit_batches import MAX_BATCH_TRANSACTIONS
 from meadowpulley.ledger.config import LedgerSettings, read_settings
 from meadowpulley.ledger.log_entries import CommitEntry, encode
+from meadowpulley.ledger.store import SkippedFrame
 from meadowpulley.net.counters import Counters
 
 
 class LogRecorder:
-    """A log that keeps the names of events, and the line of each event that has one."""
+    """A log that keeps the names and the fields of events."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
-        self.lines: list[str] = []
+        self.fields: list[dict[str, Any]] = []
 
     def info(self, event: str, **fields: Any) -> None:
         self.events.append(event)
-        self.lines.append(fields.get("line", event))
+        self.fields.append(fields)
 
     def warning(self, event: str, **fields: Any) -> None:
         self.info(event, **fields)
@@ -189,9 +190,8 @@
         len(fixture.gateway.events_of(CommitCompleted)) == len(fixture.gateway.events_of(ScanCompleted)) == 50
         and len(fixture.gateway.events_of(LedgerUnavailable)) == 1
     )
-    assert [line for line in fixture.gateway.log.lines if "No space" in line] == [
-        f"{fixture.store.fault}; serving on without it"
-    ]
+    assert fixture.gateway.log.events == ["ledger_unavailable"]
+    assert fixture.gateway.log.fields == [{"folder": "/l", "reason": fixture.store.fault}]
     assert not fixture.client.holds_lease(fixture.gateway.time)
     fixture.store.fault = ""
     fixture.gateway.run(1000.0)
@@ -296,21 +296,28 @@
     assert [c.results[0].outcome for c in fixture.gateway.events_of(CommitCompleted)] == [
         TransactionOutcome.FENCED
     ] * 2
-    assert (
-        sum("was ended by another" in line for line in fixture.gateway.log.lines) == 1
-        and not fixture.runner.jobs
-    )
+    assert not fixture.runner.jobs
     assert fixture.gateway.log.events == ["ledger_fenced"]
+    assert fixture.gateway.log.fields == [{"folder": "/l", "incarnation": "n.1"}]
     assert fixture.gateway.forwarded_events.count(Fenced()) == 1
 
 
+def test_a_torn_frame_is_logged_with_its_place() -> None:
+    """A process died while it wrote to the log. The next reader skips the torn frame and says where it is."""
+    fixture = ClientFixture()
+    skipped = [SkippedFrame("log.00000001", 99)]
+    fixture.store.take_skipped_frames = lambda: [skipped.pop()] if skipped else []  # type: ignore[method-assign]  # a stub
+    fixture.gateway.run(200.0)
+    assert fixture.gateway.log.events == ["ledger_log_frame_skipped"]
+    assert fixture.gateway.log.fields == [{"folder": "/l", "file": "log.00000001", "offset": 99}]
+
+
 def test_graceful_shutdown_releases_the_lease_silently() -> None:
     fixture = ClientFixture()
     fixture.commit(1, "x/last")
     fixture.client.release_lease()
     fixture.client.close()
     assert fixture.store.members_by_name["n"].fenced and fixture.store.read("x/last") is not None
-    assert not any("ended" in line for line in fixture.gateway.log.lines)
     assert not fixture.gateway.log.events
 
 
--- a/tests/test_ledger_disk.py
+++ b/tests/test_ledger_disk.py
@@ -21,6 +21,7 @@
 from meadowpulley.ledger.disk import DiskStore
 from meadowpulley.ledger.failpoints import parse_failpoints
 from meadowpulley.ledger.log_entries import encode
+from meadowpulley.ledger.store import SkippedFrame
 
 LOG = "log.00000001"
 
@@ -53,7 +54,10 @@
         assert reopened.register("b", 1.0) == Incarnation("b", 1)  # the next frame ends the torn one
         frame_complete = cut >= len(frame) - 1  # only its last byte was missing
         assert (reopened.read("last") is not None) == frame_complete
-        assert bool(reopened.take_warnings()) == (cut > 1 and not frame_complete)
+        is_torn = cut > 1 and not frame_complete
+        torn_frame = SkippedFrame(LOG, offset=len(data) + 1)  # after the line end that begins the frame
+        assert reopened.take_skipped_frames() == ([torn_frame] if is_torn else [])
+        assert reopened.take_skipped_frames() == [], "each is reported once"
         reopened.close()
 
 
