--- a/meadowpulley/stage_pipeline.py
+++ b/meadowpulley/stage_pipeline.py
@@ -9,14 +9,18 @@
 import sys
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from itertools import chain
+from typing import TYPE_CHECKING, Protocol
 
 from meadowpulley.ledger import LEDGER_EVENTS, Commit, LedgerUnusableError, Stage
 from meadowpulley.ledger.client import LedgerClient, start_ledger
+from meadowpulley.ledger.gateway_context import ReactorThreads
+from meadowpulley.ledger.stage import StageAction, StageEvent
 from meadowpulley.settings.types import Settings
 
 if TYPE_CHECKING:
     from meadowpulley.lending import QuotaPlan
+    from meadowpulley.net.gateway import Gateway
     from meadowpulley.placement import Experiment, PlacementStage
     from meadowpulley.takeover import TakeoverSettings
 
@@ -36,7 +40,7 @@
     def __init__(self, policy: Stage) -> None:
         self.policy = policy
 
-    def handle(self, now: float, event: Any) -> list[Any]:
+    def handle(self, now: float, event: StageEvent) -> list[StageAction]:
         """Handle one event; return the actions to carry out."""
         return [] if isinstance(event, LEDGER_EVENTS) else self.policy.handle(now, event)
 
@@ -44,17 +48,32 @@
 class GracefulStage(Protocol):
     """A stage that has something to write when its gateway shuts down."""
 
-    def shut_down(self, now: float) -> list[Any]:
+    def shut_down(self, now: float) -> Sequence[object]:
         """Return the last actions of the stage, of which only commits are carried out."""
 
 
+class SharedLedger(Protocol):
+    """What the end of a pipeline needs of the ledger's client."""
+
+    def commit(self, action: Commit) -> None:
+        """Commit transactions in the next batch."""
+
+    def release_lease(self) -> None:
+        """Release the lease, after all earlier commits."""
+
+    def close(self) -> None:
+        """Write what is left, and stop the ledger's thread."""
+
+
 class StagePipeline:
-    """The stages and the ledger of a running gateway, for its shutdown."""
+    """The stages and the ledger of a running gateway, for its shutdown; `now` is the gateway's clock (ms)."""
 
     def __init__(
-        self, ledger: LedgerClient, graceful_stages: Sequence[GracefulStage], now: Callable[[], float]
+        self, ledger: SharedLedger, graceful_stages: Sequence[GracefulStage], now: Callable[[], float]
     ) -> None:
-        self.ledger, self.graceful_stages, self.now = ledger, graceful_stages, now
+        self.ledger = ledger
+        self.graceful_stages = graceful_stages
+        self.now = now
 
     def shut_down(self) -> None:
         """Commit what the stages write last, and release the lease, once no response is owed any more."""
@@ -117,8 +136,10 @@
 class _PipelineBuilder:
     """Wraps one stage round the other, from the policy outwards, and installs them at the gateway."""
 
-    def __init__(self, gateway: Any, ledger: LedgerClient, seed: int) -> None:
-        self.gateway, self.ledger, self.seed = gateway, ledger, seed
+    def __init__(self, gateway: Gateway, ledger: LedgerClient, seed: int) -> None:
+        self.gateway = gateway
+        self.ledger = ledger
+        self.seed = seed
         self.settings: Settings = gateway.config.settings
         self.stage: Stage = PolicyStage(gateway.pipeline)
         self.graceful_stages: list[GracefulStage] = []
@@ -129,18 +150,19 @@
         """Add the stage that assigns requests to the arms of an experiment."""
         from meadowpulley.placement.gateway import install_stage
 
-        now = self.gateway.deadlines.now()
-        self.stage = self.placement_stage = install_stage(
+        stage = install_stage(
             self.stage,
             self.gateway.pipeline,
             experiment,
             self.settings,
             self.ledger.incarnation,
             self.seed,
-            now,
+            self.gateway.deadlines.now(),
         )
-        self.prefix_sources.append(self.placement_stage.watched_prefixes)
-        self.graceful_stages.append(self.placement_stage)
+        self.stage = stage
+        self.placement_stage = stage
+        self.prefix_sources.append(stage.watched_prefixes)
+        self.graceful_stages.append(stage)
 
     def add_lending(self, plan: QuotaPlan) -> None:
         """Add the stage that lends quota between tenants."""
@@ -155,13 +177,21 @@
         """Add the takeover stage if it is on, and the lease manager; make them the gateway's pipeline."""
         if takeover_settings is None:
             self.gateway.pipeline = self.ledger.wrap(self.stage, self._watched_prefixes)
-            return
+        else:
+            self._install_takeover(takeover_settings)
+
+    def _install_takeover(self, takeover_settings: TakeoverSettings) -> None:
         from meadowpulley.takeover.extension import TakeoverExtension
         from meadowpulley.takeover.records import WATCHED_PREFIXES
         from meadowpulley.takeover.stage import TakeoverStage
 
-        incarnation, holds_lease = self.ledger.incarnation, self.ledger.holds_lease
-        stage = TakeoverStage(self.settings, self.stage, incarnation, holds_lease, takeover_settings)
+        stage = TakeoverStage(
+            self.settings,
+            self.stage,
+            self.ledger.incarnation,
+            self.ledger.holds_lease,
+            takeover_settings,
+        )
         self.stage = stage
         self.prefix_sources.append(lambda: WATCHED_PREFIXES)
         if self.placement_stage is not None:
@@ -169,22 +199,27 @@
 
             self.placement_stage.origins = TakeoverOrigins(stage)
         lease_manager = self.ledger.wrap(stage, self._watched_prefixes)
-        extension = TakeoverExtension(self.gateway, stage, lease_manager, self._shutdown_grace_ms())
-        self.gateway.pipeline = extension
+        self.gateway.pipeline = TakeoverExtension(
+            self.gateway, stage, lease_manager, self._shutdown_grace_ms()
+        )
 
     def _watched_prefixes(self) -> tuple[str, ...]:
-        return tuple(prefix for source in self.prefix_sources for prefix in source())
+        return tuple(chain.from_iterable(source() for source in self.prefix_sources))
 
     def _shutdown_grace_ms(self) -> float:
-        longest_deadline_ms = max((c.deadline_ms for c in self.settings.classes), default=0.0)
-        return max(longest_deadline_ms, MIN_SHUTDOWN_GRACE_MS)
+        deadlines_ms = [request_class.deadline_ms for request_class in self.settings.classes]
+        return max([MIN_SHUTDOWN_GRACE_MS, *deadlines_ms])
 
 
-def start_pipeline(gateway: Any, environ: Mapping[str, str], seed: int, reactor: Any) -> StagePipeline:
+def start_pipeline(
+    gateway: Gateway, environ: Mapping[str, str], seed: int, reactor: ReactorThreads
+) -> StagePipeline:
     """Wrap the stages round the gateway's policy and start the ledger, before the reactor runs.
 
-    The caller shuts the returned pipeline down, and closes it, at the end. Raises `LedgerUnusableError` with
-    one line that says what is wrong, where, and what to do.
+    The caller shuts the returned pipeline down, and closes it, at the end.
+
+    Raises:
+        LedgerUnusableError: a setting, the ledger's folder or the gateway's name can't be used.
     """
     # All that can be refused comes before an incarnation is registered.
     parts = _read_part_settings(gateway.config.settings, environ)
