--- a/meadowpulley/rules/__init__.py
+++ b/meadowpulley/rules/__init__.py
@@ -1,8 +1,9 @@
 """The five rules as invariants over a trace, for the emulator, the loopback test bed and the model checker.
 
-Reading order: `trace` (the records), `parameters` (limits of the rules), `violations`, `observations` and
-`checker` (invariants of each gateway), `shared_state` (invariants across gateways that take over each other's
-requests).
+Reading order: `trace` (the records), `parameters` (limits of the rules), `violations`, `observations` (what
+follows from the records), `checker` with `response_rule`, `effect_rule`, `endpoint_rule` and `exposure_rule`
+(invariants of each gateway), `shared_state` (invariants across gateways that take over each other's
+requests), `errors`.
 """
 
 from meadowpulley.rules.checker import TraceChecker
--- /dev/null
+++ b/meadowpulley/rules/errors.py
@@ -0,0 +1,13 @@
+"""The errors of the rules: each is one line that says what is wrong and where."""
+
+from __future__ import annotations
+
+from meadowpulley.errors import MeadowpulleyError
+
+
+class RulesError(MeadowpulleyError):
+    """The base of this package's errors."""
+
+
+class TraceFormatError(RulesError, ValueError):
+    """A line of a trace file is no record."""
--- a/meadowpulley/rules/observations.py
+++ b/meadowpulley/rules/observations.py
@@ -8,6 +8,7 @@
 
 from meadowpulley.interface import DeduplicationScope
 from meadowpulley.rules.trace import RequestReceived, RolloutUpdated
+from meadowpulley.rules.violations import NO_GATEWAY
 
 
 @dataclass(slots=True)
@@ -20,7 +21,7 @@
     may_have_executed: bool = True  # executed, may have executed, or is outstanding
     cell: int = 0
     site: int = 0
-    gateway: int = -1
+    gateway: int = NO_GATEWAY
 
 
 @dataclass(slots=True)
@@ -47,11 +48,13 @@
 
 def group_member(group: DeduplicationScope, location: ObservedAttempt | KnownServer) -> int:
     """Return the index of the group of servers that know the same idempotency keys."""
-    return {
-        DeduplicationScope.ALL: 0,
-        DeduplicationScope.ZONE: location.site,
-        DeduplicationScope.CELL: location.cell,
-    }[group]
+    match group:
+        case DeduplicationScope.ALL:
+            return 0
+        case DeduplicationScope.ZONE:
+            return location.site
+        case DeduplicationScope.CELL:
+            return location.cell
 
 
 class GatewayState:
--- a/meadowpulley/rules/parameters.py
+++ b/meadowpulley/rules/parameters.py
@@ -13,8 +13,8 @@
     """The rules' view of a request class."""
 
     effect: Effect
-    group: DeduplicationScope
-    window_ms: float
+    group: DeduplicationScope  # the servers that know the same idempotency keys
+    window_ms: float  # for which they know a key
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,14 +22,14 @@
     """Limits of the rules. On sockets all times are extended by `slack_ms`."""
 
     classes: tuple[ClassRules, ...]
-    drain_grace_ms: float
-    answer_slack_ms: float
-    window_ms: float
-    free_attempts: float
-    first_cap: float
-    per_class: bool
-    guarded_stages: int
-    one_way: bool
+    drain_grace_ms: float  # for which a delisted server may still be sent requests
+    answer_slack_ms: float  # by which a final response may exceed its deadline
+    window_ms: float  # over which exposure is counted
+    free_attempts: float  # at a build on trial, whatever its cap
+    first_cap: float  # share of requests for a build of which no stage is known yet
+    per_class: bool  # whether the requests of each class are counted by themselves
+    guarded_stages: int  # first stages of a trial in which no request with an effect may go to the build
+    one_way: bool  # whether a key that a newer build answered may go to no older one
     slack_ms: float = 0.0
     extra_attempts: float = 0.0  # attempts allowed beyond the cap
     extra_share: float = 0.0  # share of requests allowed beyond the cap
@@ -41,8 +41,12 @@
         rollout = settings.rollout
         return cls(
             classes=tuple(
-                ClassRules(c.effect, c.deduplication_scope, c.deduplication_window_ms)
-                for c in settings.classes
+                ClassRules(
+                    request_class.effect,
+                    request_class.deduplication_scope,
+                    request_class.deduplication_window_ms,
+                )
+                for request_class in settings.classes
             ),
             drain_grace_ms=settings.rules.drain_grace_ms,
             answer_slack_ms=settings.rules.response_slack_ms,
--- a/meadowpulley/rules/trace.py
+++ b/meadowpulley/rules/trace.py
@@ -14,6 +14,7 @@
 from msgspec import Struct, field
 
 from meadowpulley.interface import Phase, ServerState
+from meadowpulley.rules.errors import TraceFormatError
 
 StateName: TypeAlias = Literal["ready", "draining", "gone"]
 PhaseName: TypeAlias = Literal["trial", "going_back", "released", "withdrawn"]
@@ -68,9 +69,8 @@
     class_index: int = field(name="cls")
     key: int
     deadline: float  # when the client's time is over
-    request_id: str = field(
-        default="", name="id"
-    )  # the client's id, the same for each of its retries; empty without shared state
+    # The client's id, the same for each of its retries; empty without shared state.
+    request_id: str = field(default="", name="id")
 
 
 class AttemptSent(Struct, frozen=True, tag="sent"):
@@ -268,9 +268,13 @@
 
 
 def read_trace(lines: Iterable[bytes], file_name: str) -> Iterator[Record]:
-    """Decode the records of a trace file. Raises ValueError that names the first bad line."""
+    """Decode the records of a trace file.
+
+    Raises:
+        TraceFormatError: a line is no record; the text names the first such line.
+    """
     for number, line in enumerate(lines, 1):
         try:
             yield _decode(line)
         except msgspec.MsgspecError as error:
-            raise ValueError(f"{file_name}: line {number}: {error}") from None
+            raise TraceFormatError(f"{file_name}: line {number}: {error}") from None
--- a/meadowpulley/rules/violations.py
+++ b/meadowpulley/rules/violations.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Literal
+from typing import Literal, TypeAlias
 
-RuleName = Literal[
+RuleName: TypeAlias = Literal[
     "answers",
     "effects",
     "drains",
@@ -18,12 +18,14 @@
     "admissions",
     "counts",
 ]
-ReportViolation = Callable[[RuleName, float, int, str], None]  # rule, time, gateway, text
+NO_GATEWAY = -1  # in place of a gateway's number, where no single gateway caused a violation
+MS_PER_SECOND = 1000.0
+ReportViolation: TypeAlias = Callable[[RuleName, float, int, str], None]  # rule, time, gateway, text
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One violation of a rule; `gateway` is -1 where no single gateway caused it."""
+    """One violation of a rule, by a gateway or by NO_GATEWAY; `at` is in milliseconds."""
 
     rule: RuleName
     at: float
@@ -32,4 +34,4 @@
 
     def __str__(self) -> str:
         origin = f" gateway {self.gateway}" if self.gateway >= 0 else ""
-        return f"{self.at / 1000:.3f} s{origin}: {self.rule}: {self.text}"
+        return f"{self.at / MS_PER_SECOND:.3f} s{origin}: {self.rule}: {self.text}"
