--- a/meadowpulley/model_checking/shared_state_mutants.py
+++ b/meadowpulley/model_checking/shared_state_mutants.py
@@ -5,9 +5,11 @@
 from meadowpulley.model_checking.mutant_builders import shared_state_mutant
 
 MEMORY, LEASE_MANAGER = "meadowpulley.ledger.memory", "meadowpulley.ledger.lease_manager"
-REQUEST_JOURNAL, ADOPTION = "meadowpulley.takeover.request_journal", "meadowpulley.takeover.adoption"
-ORPHAN_CLAIMS, LEDGER_VIEW = "meadowpulley.takeover.orphan_claims", "meadowpulley.takeover.ledger_view"
-DUPLICATE_WAITERS, STAGE = "meadowpulley.takeover.duplicate_waiters", "meadowpulley.takeover.stage"
+REQUEST_JOURNAL = "meadowpulley.takeover.request_journal"
+ADOPTION = "meadowpulley.takeover.adoption"
+CLAIM = "meadowpulley.takeover.claim"
+LEDGER_VIEW = "meadowpulley.takeover.ledger_view"
+DUPLICATE_WAITERS = "meadowpulley.takeover.duplicate_waiters"
 ALLOCATOR, QUOTA_CLIENT = "meadowpulley.lending.allocator", "meadowpulley.lending.quota_client"
 
 
@@ -95,9 +97,8 @@
         REQUEST_JOURNAL,
         (
             (
-                "        entry.pending_sends[attempt] = PendingSend(send, self.builder.now + "
-                "self.settings.grant_timeout_ms)\n"
-                "        self._wake_at(entry.pending_sends[attempt].expires_at_ms, entry)\n"
+                "        entry.pending_sends[attempt] = PendingSend(send, expires_at_ms)\n"
+                "        self.wakeups.schedule(expires_at_ms, entry.request.request)\n"
             ),
             (
                 "        entry.outstanding_attempts.add(len(entry.dispatched_attempts))\n"
@@ -112,7 +113,7 @@
         "lease",
         "answers",
         REQUEST_JOURNAL,
-        (" or not self.holds_lease(now):", ":"),
+        ("        return self.holds_lease(now)\n", "        return True\n"),
     ),
     shared_state_mutant(
         "told-unrecorded",
@@ -121,10 +122,10 @@
         "lives",
         REQUEST_JOURNAL,
         (
-            "            self._wake_at(entry.hold_until_ms, entry)\n",
+            "        self.wakeups.schedule(entry.hold_until_ms, entry.request.request)\n",
             (
-                "            self._wake_at(entry.hold_until_ms, entry)\n"
-                "            self._send_final_response(entry)\n"
+                "        self.wakeups.schedule(entry.hold_until_ms, entry.request.request)\n"
+                "        self.answers.answer_once(entry, entry.final_response.action)\n"
             ),
         ),
         time_advances=4,
@@ -158,8 +159,7 @@
         "clients",
         REQUEST_JOURNAL,
         (
-            "elif record.state is RequestState.REJECTED and not record.grants and "
-            "entry.final_response is None:",
+            "elif record.was_never_executed and entry.final_response is None:",
             "elif entry.final_response is None:",
         ),
     ),
@@ -171,10 +171,10 @@
         REQUEST_JOURNAL,
         (
             (
-                "                self._answer_once(entry, Fail(entry.request.request))\n"
-                "                self._withdraw(entry)\n"
+                "        for entry in self.table.owned():\n"
+                "            self.answers.answer_once(entry, Fail(entry.request.request))\n"
             ),
-            "                self._withdraw(entry)\n",
+            "        for entry in self.table.owned():\n",
         ),
     ),
     # Taking over
@@ -237,9 +237,9 @@
         "a claim forgets which attempts may have run",
         "effects",
         "keyed",
-        ORPHAN_CLAIMS,
+        CLAIM,
         (
-            "MAX_DURATION_MS),\n            grants=claim.grants,\n",
+            "MAX_DURATION_MS),\n            grants=self.grants,\n",
             "MAX_DURATION_MS),\n            grants=(),\n",
         ),
     ),
@@ -248,7 +248,7 @@
         "a claim does not count",
         "one-adopter",
         "lives",
-        ORPHAN_CLAIMS,
+        CLAIM,
         ("owner_count=record.owner_count + 1,", "owner_count=record.owner_count,"),
     ),
     shared_state_mutant(
@@ -256,8 +256,8 @@
         "work that ends by a claim is left as it was",
         "work-ends timers",
         "lives",
-        ORPHAN_CLAIMS,
-        ("            state=claim.target_state,\n", ""),
+        CLAIM,
+        ("            state=self.target_state,\n", ""),
     ),
     # Lending
     shared_state_mutant(
--- a/meadowpulley/takeover/adoption.py
+++ b/meadowpulley/takeover/adoption.py
@@ -17,6 +17,9 @@
 from meadowpulley.takeover.records import RequestRecord, RequestState
 from meadowpulley.takeover.settings import TakeoverSettings
 
+MS_PER_S = 1000.0
+BURSTS_PER_S = 10  # a tenth of a second's adoptions may begin at once
+
 
 def remaining_ms(observed: ObservedRequest, now: float, settings: TakeoverSettings) -> float:
     """Return a lower bound of the time to the client's deadline; -inf where the record's age has no bound.
@@ -49,10 +52,18 @@
     if record.grants and request_class.effect is Effect.NON_IDEMPOTENT:
         return RequestState.FAILED
     if slack_ms < settings.min_remaining_ms:
-        return RequestState.FAILED if record.grants else RequestState.REJECTED
+        return state_of_unadopted(record)
     return RequestState.OPEN
 
 
+def state_of_unadopted(record: RequestRecord) -> RequestState:
+    """Return the state in which an orphan ends that cannot be adopted in time.
+
+    A rejection says that nothing was executed, so it must not follow a grant.
+    """
+    return RequestState.FAILED if record.grants else RequestState.REJECTED
+
+
 @dataclass(frozen=True, slots=True)
 class AdoptionCandidate:
     """An orphan that this gateway may adopt now."""
@@ -68,14 +79,17 @@
     """Choose what to adopt: nearest deadline first, and least weight left out where time is short.
 
     `available` candidates may begin at once and `rate_per_s` after that. The choice is optimal for requests
-    of equal length (Moore 1968, with weights Sahni 1976); how long each takes is not known. Returns the
-    candidates to adopt, in order, and those that cannot begin in time.
+    of equal length (Moore 1968, with weights Sahni 1976); how long each takes is not known.
+
+    Returns:
+        The candidates to adopt, in order, and those that cannot begin in time.
     """
     selected: list[tuple[float, int]] = []  # a heap, least weight first
     by_deadline = sorted(candidates, key=_deadline_order)
     for index, candidate in enumerate(by_deadline):
         heapq.heappush(selected, (candidate.priority_weight, index))
-        if len(selected) > available + rate_per_s * max(candidate.slack_ms, 0.0) / 1000.0:
+        begun_in_time = available + rate_per_s * max(candidate.slack_ms, 0.0) / MS_PER_S
+        if len(selected) > begun_in_time:
             heapq.heappop(selected)
     chosen_indexes = {index for _, index in selected}
     chosen = [candidate for index, candidate in enumerate(by_deadline) if index in chosen_indexes]
@@ -91,14 +105,16 @@
     """A token bucket for adoptions: `adoptions_per_s`, and a tenth of a second's worth at once."""
 
     def __init__(self, settings: TakeoverSettings) -> None:
-        self.settings = settings
-        self.burst = max(settings.adoptions_per_s / 10, 1.0)
-        self._tokens, self._updated_at_ms = self.burst, -math.inf
+        """Begin with a full bucket."""
+        self.rate_per_s = settings.adoptions_per_s
+        self.burst = max(settings.adoptions_per_s / BURSTS_PER_S, 1.0)
+        self._tokens = self.burst
+        self._updated_at_ms = -math.inf
 
     def available(self, now: float) -> float:
         """Return how many adoptions may begin now."""
         if self._updated_at_ms > -math.inf:
-            gained = (now - self._updated_at_ms) * self.settings.adoptions_per_s / 1000.0
+            gained = (now - self._updated_at_ms) * self.rate_per_s / MS_PER_S
             self._tokens = min(self._tokens + gained, self.burst)
         self._updated_at_ms = now
         return self._tokens
@@ -109,4 +125,5 @@
 
     def wait_ms(self, now: float) -> float:
         """Return the time until the next adoption may begin."""
-        return max(1.0 - self.available(now), 0.0) * 1000.0 / self.settings.adoptions_per_s
+        missing_tokens = max(1.0 - self.available(now), 0.0)
+        return missing_tokens * MS_PER_S / self.rate_per_s
--- a/meadowpulley/takeover/duplicate_waiters.py
+++ b/meadowpulley/takeover/duplicate_waiters.py
@@ -4,13 +4,8 @@
 
 import math
 
-from meadowpulley.interface import (
-    Action,
-    Fail,
-    LedgerRecordIgnored,
-    Reject,
-)
-from meadowpulley.ledger import CheckVersion, Transaction, TransactionOutcome, TransactionResult
+from meadowpulley.interface import Action, Fail, LedgerRecordIgnored, Reject
+from meadowpulley.ledger import CheckVersion, Record, Transaction, TransactionOutcome, TransactionResult
 from meadowpulley.takeover.ledger_view import LedgerView
 from meadowpulley.takeover.messages import Deliver
 from meadowpulley.takeover.records import (
@@ -32,11 +27,22 @@
     return Reject(request) if state is RequestState.REJECTED else Fail(request)
 
 
+def _decode_response(builder: TransactionBuilder, found: Record) -> RecordedResponse | None:
+    """Return a recorded response; None, and a log event, if it can't be decoded."""
+    try:
+        return decode_recorded_response(found.value)
+    except RecordError as error:
+        builder.actions.append(LedgerRecordIgnored(STAGE_NAME, found.key, str(error)))
+        return None
+
+
 class DuplicateWaiters:
     """The waiting duplicates by the client's id; each is answered once, at its own deadline at the latest."""
 
     def __init__(self, settings: TakeoverSettings, view: LedgerView) -> None:
-        self.settings, self.view = settings, view
+        """Let duplicates wait for requests whose ends `view` shows."""
+        self.settings = settings
+        self.view = view
         self.by_id: dict[str, dict[int, float]] = {}  # deadline of each waiting request, by its handle
         self.id_by_request: dict[int, str] = {}
         self.reading: set[str] = set()  # ids whose responses are being read
@@ -82,8 +88,8 @@
         if request_id not in self.by_id:
             return
         finished = self.view.finished.get(request_id)
-        if finished is not None and finished[0] >= version:
-            state = finished[1]
+        if finished is not None and finished.version >= version:
+            state = finished.state
         if state is RequestState.SERVED:
             self._read_response(builder, request_id)
         elif state in (RequestState.FAILED, RequestState.REJECTED):
@@ -113,16 +119,12 @@
             return
         response = None
         if result.existing is not None:
-            try:
-                response = decode_recorded_response(result.existing.value)
-            except RecordError as error:
-                ignored = LedgerRecordIgnored(STAGE_NAME, result.existing.key, str(error))
-                builder.actions.append(ignored)
+            response = _decode_response(builder, result.existing)
         self.answer_all(builder, request_id, RequestState.SERVED, response)
 
     def due_at_ms(self) -> float:
         """Return when the next read is to be repeated."""
-        return min(self.reread_at_ms.values()) if self.reread_at_ms else math.inf
+        return min(self.reread_at_ms.values(), default=math.inf)
 
     def on_timer(self, builder: TransactionBuilder) -> None:
         """Repeat the reads that are due."""
--- a/meadowpulley/takeover/entry_factory.py
+++ b/meadowpulley/takeover/entry_factory.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Self
 
-from meadowpulley.interface import Request, Settings
+from meadowpulley.interface import Request, RequestClass, Settings
 from meadowpulley.ledger import Incarnation
 from meadowpulley.takeover import adoption
+from meadowpulley.takeover.claim import Claim
 from meadowpulley.takeover.journaled_request import JournaledRequest
 from meadowpulley.takeover.messages import ClientRequest
-from meadowpulley.takeover.orphan_claims import Claim
 from meadowpulley.takeover.records import MAX_DURATION_MS, RECORD_FORMAT, Origin, RequestContent
 
 
@@ -20,17 +21,24 @@
     Records name classes and tenants; the policy knows them by their index.
     """
 
-    gateway_settings: Settings
+    classes: tuple[RequestClass, ...]
+    tenant_names: tuple[str, ...]
     incarnation: Incarnation
 
+    @classmethod
+    def of_gateway(cls, gateway_settings: Settings, incarnation: Incarnation) -> Self:
+        """Make the factory of a gateway."""
+        tenant_names = tuple(tenant.name for tenant in gateway_settings.tenants)
+        return cls(gateway_settings.classes, tenant_names, incarnation)
+
     def from_client(self, event: ClientRequest, digest: bytes, sequence: int, now: float) -> JournaledRequest:
         """Make the entry of a request that a client has just sent."""
-        request, tenants = event.request, self.gateway_settings.tenants
+        request = event.request
         return JournaledRequest(
             request=request,
             request_id=event.request_id,
-            request_class=self.gateway_settings.classes[request.class_index],
-            tenant_name=tenants[request.tenant].name if request.tenant < len(tenants) else "",
+            request_class=self.classes[request.class_index],
+            tenant_name=self._tenant_name(request.tenant),
             content=RequestContent(RECORD_FORMAT, event.method, event.target, event.headers, event.body),
             digest=digest,
             sequence=sequence,
@@ -45,7 +53,7 @@
         return JournaledRequest(
             request=request,
             request_id=claim.observed.request_id,
-            request_class=self.gateway_settings.classes[request.class_index],
+            request_class=self.classes[request.class_index],
             tenant_name=record.tenant_name,
             content=content,
             digest=record.digest,
@@ -60,6 +68,12 @@
             has_client=False,
         )
 
+    def _tenant_name(self, tenant_index: int) -> str:
+        """Return the name of a tenant; empty for an unknown one."""
+        if tenant_index >= len(self.tenant_names):
+            return ""
+        return self.tenant_names[tenant_index]
+
     def _adopted_request(self, handle: int, claim: Claim) -> Request:
         record = claim.observed.record
         return Request(
@@ -78,10 +92,11 @@
 
     def _class_index(self, class_name: str) -> int:
         """Return the index of a class; an orphan of an unknown class is never adopted."""
-        names = [request_class.name for request_class in self.gateway_settings.classes]
+        names = [request_class.name for request_class in self.classes]
         return names.index(class_name)
 
     def _tenant_index(self, tenant_name: str) -> int:
         """Return the index of a tenant; the number of tenants stands for an unknown one."""
-        names = [tenant.name for tenant in self.gateway_settings.tenants]
-        return names.index(tenant_name) if tenant_name in names else len(names)
+        if tenant_name not in self.tenant_names:
+            return len(self.tenant_names)
+        return self.tenant_names.index(tenant_name)
--- a/meadowpulley/takeover/ledger_view.py
+++ b/meadowpulley/takeover/ledger_view.py
@@ -37,6 +37,22 @@
     grants_not_before_ms: tuple[float, ...] = ()  # each grant was committed no earlier than this
 
 
+@dataclass(frozen=True, slots=True)
+class FinishedRequest:
+    """The end of a request as of one version of its record."""
+
+    version: int
+    state: RequestState
+
+
+@dataclass(frozen=True, slots=True)
+class AbandonedRequest:
+    """A finished request of an ended incarnation, which nobody else removes from the ledger."""
+
+    request_id: str
+    version: int
+
+
 @dataclass(slots=True)
 class ViewDelta:
     """What one poll has changed in the view."""
@@ -44,16 +60,16 @@
     changed_ids: list[str] = field(default_factory=list)  # requests whose records are new or removed
     ignored_records: list[LedgerRecordIgnored] = field(default_factory=list)  # those that cannot be decoded
     ended_incarnations: list[Incarnation] = field(default_factory=list)
-    # Finished requests of ended incarnations, with their versions: nobody removes their records.
-    abandoned: list[tuple[str, int]] = field(default_factory=list)
+    abandoned: list[AbandonedRequest] = field(default_factory=list)
 
 
 class LedgerView:
     """The open requests, the last finished ones, and the members, as of the last poll."""
 
     def __init__(self) -> None:
+        """Begin with nothing seen."""
         self.open_requests: dict[str, ObservedRequest] = {}
-        self.finished: dict[str, tuple[int, RequestState]] = {}  # version and state of the last ones
+        self.finished: dict[str, FinishedRequest] = {}  # the last ones, oldest first
         self.members: dict[str, Member] = {}  # the latest incarnation of each name
         # For incarnations that were seen to start: the version of the view before that.
         self.started_after_version: dict[Incarnation, int] = {}
@@ -68,7 +84,7 @@
             delta.ended_incarnations += self.update_member(member)
         delta.changed_ids = self._remove_missing(changes)
         for record in changes.records:
-            self._apply_record(record, changes.is_snapshot, delta)
+            self._apply_record(record, delta, is_snapshot=changes.is_snapshot)
         self._version = max(self._version, changes.version)
         self._last_poll_started_ms = poll_started_ms
         return delta
@@ -89,7 +105,7 @@
         was_open = self.open_requests.pop(request_id, None) is not None
         return was_open or self.finished.pop(request_id, None) is not None
 
-    def _apply_record(self, record: Record, is_snapshot: bool, delta: ViewDelta) -> None:
+    def _apply_record(self, record: Record, delta: ViewDelta, *, is_snapshot: bool) -> None:
         if not record.key.startswith(RECORD_PREFIX):
             return
         request_id = record.key[len(RECORD_PREFIX) :]
@@ -103,14 +119,14 @@
             return
         delta.changed_ids.append(request_id)
         if is_snapshot and request_id in self.finished and self.has_ended(record.writer):
-            delta.abandoned.append((request_id, record.version))
+            delta.abandoned.append(AbandonedRequest(request_id, record.version))
 
     def _store(self, request_id: str, record: Record) -> None:
         request_record = decode_request_record(record.value)
         previous = self.open_requests.pop(request_id, None)
         self.finished.pop(request_id, None)
         if request_record.is_final:
-            self.finished[request_id] = (record.version, request_record.state)
+            self.finished[request_id] = FinishedRequest(record.version, request_record.state)
             if len(self.finished) > MAX_FINISHED:
                 del self.finished[next(iter(self.finished))]
             return
@@ -131,41 +147,43 @@
         self, record: RequestRecord, version: int, previous: ObservedRequest | None
     ) -> tuple[float, ...]:
         """Return the time before which each grant was not committed; the previous observation knows some."""
-        known_times: dict[int, float] = {}
+        known_times_ms: dict[int, float] = {}
         if previous is not None:
-            for grant, not_before_ms in zip(
-                previous.record.grants, previous.grants_not_before_ms, strict=True
-            ):
-                known_times[grant.granted_version or previous.version] = not_before_ms
-        granted_versions = [grant.granted_version or version for grant in record.grants]
-        return tuple(
-            known_times[granted] if granted in known_times else self._not_before_ms(granted)
-            for granted in granted_versions
-        )
+            previous_grants = zip(previous.record.grants, previous.grants_not_before_ms, strict=True)
+            for grant, not_before_ms in previous_grants:
+                known_times_ms[grant.granted_version or previous.version] = not_before_ms
+        times_ms: list[float] = []
+        for grant in record.grants:
+            granted_version = grant.granted_version or version
+            known_time_ms = known_times_ms.get(granted_version)
+            if known_time_ms is None:
+                known_time_ms = self._not_before_ms(granted_version)
+            times_ms.append(known_time_ms)
+        return tuple(times_ms)
 
     def version_of(self, request_id: str) -> int:
         """Return the version of the last record seen of this request; 0: none."""
         if request_id in self.open_requests:
             return self.open_requests[request_id].version
-        return self.finished[request_id][0] if request_id in self.finished else 0
+        return self.finished[request_id].version if request_id in self.finished else 0
 
     def update_member(self, member: Member) -> list[Incarnation]:
         """Apply a member unless something newer is known; return the incarnations that ended by it."""
-        incarnation, known = member.incarnation, self.members.get(member.incarnation.name)
-        known_state = (0, False, -1)
-        if known is not None:
-            known_state = (known.incarnation.epoch, known.fenced, known.renewal)
-        if (incarnation.epoch, member.fenced, member.renewal) <= known_state:
+        incarnation = member.incarnation
+        known = self.members.get(incarnation.name)
+        if known is not None and _member_age(member) <= _member_age(known):
             return []
         self.members[incarnation.name] = member
-        if known is None or known.incarnation != incarnation:
-            self.started_after_version[incarnation] = self._version
         if member.renewal > self.expired_renewals.get(incarnation, member.renewal):
             del self.expired_renewals[incarnation]
         ended = [incarnation] if member.fenced else []
-        if known is not None and known.incarnation != incarnation:
+        is_new = known is None or known.incarnation != incarnation
+        if is_new:
+            self.started_after_version[incarnation] = self._version
+        if is_new and known is not None:
             self.started_after_version.pop(known.incarnation, None)
-            ended += [] if known.fenced else [known.incarnation]
+            if not known.fenced:
+                ended.append(known.incarnation)
         return ended
 
     def open_ids_of(self, incarnation: Incarnation) -> list[str]:
@@ -174,7 +192,7 @@
             observed.request_id for observed in self.open_requests.values() if observed.owner == incarnation
         ]
 
-    def mark_lease_expired(self, member: Member) -> list[Incarnation]:
+    def record_lease_expiry(self, member: Member) -> list[Incarnation]:
         """Note an expired lease or a fence; return the incarnations that ended by it."""
         ended = self.update_member(member)
         if not member.fenced:
@@ -201,3 +219,8 @@
             and member.incarnation not in self.expired_renewals
             and member.incarnation != excluded
         ]
+
+
+def _member_age(member: Member) -> tuple[int, bool, int]:
+    """Return what grows with every change of the member of one name."""
+    return member.incarnation.epoch, member.fenced, member.renewal
--- a/meadowpulley/takeover/messages.py
+++ b/meadowpulley/takeover/messages.py
@@ -6,9 +6,9 @@
 from typing import TypeAlias
 
 from meadowpulley.interface import Request
-from meadowpulley.takeover.records import Headers
+from meadowpulley.takeover.records import STAGE_NAME, Headers
 
-COMMIT_OWNER = "takeover"  # names this stage as the owner of its commits
+COMMIT_OWNER = STAGE_NAME  # names this stage as the owner of its commits
 TIMER_TOKEN = 2  # of this stage's one timer; other timers are passed on
 
 # Events
--- /dev/null
+++ b/meadowpulley/takeover/pending_claims.py
@@ -0,0 +1,186 @@
+"""The claims of this gateway that are under way, from the first write to a slot or an end.
+
+A claim is one compare-and-set of the record. What the client sent is read with it, so that a claim that is
+committed can go on at once.
+"""
+
+from __future__ import annotations
+
+import math
+
+from meadowpulley.interface import AdoptionFailed, LedgerRecordIgnored, Settings
+from meadowpulley.ledger import (
+    CheckVersion,
+    Record,
+    Replace,
+    Transaction,
+    TransactionOutcome,
+    TransactionResult,
+)
+from meadowpulley.takeover.claim import Claim
+from meadowpulley.takeover.context import StageContext
+from meadowpulley.takeover.ledger_view import ObservedRequest
+from meadowpulley.takeover.messages import AdoptRequest
+from meadowpulley.takeover.records import (
+    CONTENT_PREFIX,
+    RECORD_PREFIX,
+    STAGE_NAME,
+    RecordError,
+    RequestContent,
+    RequestState,
+    decode_request_content,
+    decode_request_record,
+    encode_record,
+)
+from meadowpulley.takeover.response_cache import CachedResponse, ResponseCache
+from meadowpulley.takeover.transaction_builder import TransactionBuilder, TransactionIntent, TransactionKind
+
+
+class PendingClaims:
+    """Writes claims, finishes those that end at once, and asks for a slot for those that are adopted."""
+
+    def __init__(self, context: StageContext, response_cache: ResponseCache) -> None:
+        """Claim for the incarnation of `context`; finished requests go to `response_cache`."""
+        self.incarnation = context.incarnation
+        self.settings = context.settings
+        self.class_indexes = _class_indexes(context.gateway_settings)
+        self.response_cache = response_cache
+        self.by_id: dict[str, Claim] = {}
+
+    def adopting_count(self) -> int:
+        """Return how many claims are under way whose requests are to be adopted."""
+        return sum(claim.target_state is RequestState.OPEN for claim in self.by_id.values())
+
+    def next_retry_at_ms(self) -> float:
+        """Return when the next claim is to be repeated; infinity: none is."""
+        return min((claim.retry_at_ms for claim in self.by_id.values()), default=math.inf)
+
+    def begin(
+        self,
+        builder: TransactionBuilder,
+        observed: ObservedRequest,
+        target_state: RequestState,
+        deadline_ms: float,
+    ) -> None:
+        """Claim an orphan: to adopt it where `target_state` is OPEN, else to end it in that state."""
+        claim = Claim(observed, target_state, deadline_ms, builder.next_sequence())
+        self.by_id[claim.request_id] = claim
+        self._submit(builder, claim)
+
+    def retry_due(self, builder: TransactionBuilder) -> None:
+        """Repeat the claims that are due."""
+        for claim in list(self.by_id.values()):
+            if claim.retry_at_ms <= builder.now:
+                claim.retry_at_ms = math.inf
+                self._submit(builder, claim)
+
+    def _submit(self, builder: TransactionBuilder, claim: Claim) -> None:
+        """Write the claim unless it is committed already, and read what the client sent."""
+        request_id = claim.request_id
+        if not claim.record_version:
+            value = encode_record(claim.to_record(builder.now))
+            write = Replace(RECORD_PREFIX + request_id, value, claim.observed.version)
+            builder.add(Transaction((write,)), TransactionIntent(TransactionKind.CLAIM, request_id))
+        read = CheckVersion(CONTENT_PREFIX + request_id, 0)
+        builder.add(Transaction((read,)), TransactionIntent(TransactionKind.READ_CONTENT, request_id))
+
+    # Results
+
+    def on_claim_result(self, request_id: str, result: TransactionResult) -> Claim | None:
+        """Note whether a claim was committed; return and forget one that another gateway has won."""
+        claim = self.by_id.get(request_id)
+        if claim is None:
+            return None
+        if result.outcome is TransactionOutcome.COMMITTED:
+            claim.record_version = result.version
+        elif result.outcome is TransactionOutcome.UNKNOWN:
+            claim.uncertain = True
+        elif claim.uncertain and result.existing is not None and self._is_own(claim, result.existing):
+            claim.record_version = result.existing.version  # an earlier attempt was committed after all
+        else:
+            return self.by_id.pop(request_id)
+        return None
+
+    def _is_own(self, claim: Claim, found: Record) -> bool:
+        if found.writer != self.incarnation:
+            return False
+        return decode_request_record(found.value).sequence == claim.sequence
+
+    def on_content_read(
+        self, builder: TransactionBuilder, request_id: str, result: TransactionResult
+    ) -> float:
+        """Continue a committed claim with what the client sent: finish it, or ask for a slot.
+
+        Returns:
+            When the claim is to be repeated; infinity where it goes on.
+        """
+        claim = self.by_id.get(request_id)
+        if claim is None:
+            return math.inf
+        if result.outcome is TransactionOutcome.UNKNOWN or not claim.record_version:
+            claim.retry_at_ms = builder.now + self.settings.retry_delay_ms
+            return claim.retry_at_ms
+        if result.existing is not None:
+            _store_content(builder, claim, result.existing)
+        if claim.target_state is not RequestState.OPEN:
+            self._finish(builder, claim)
+        elif claim.content is None:
+            builder.actions.append(AdoptionFailed(request_id))
+            self._change_target(builder, claim, RequestState.FAILED)
+        else:
+            builder.actions.append(self._adopt_action(claim, claim.content))
+        return math.inf
+
+    def on_adoption_result(
+        self, builder: TransactionBuilder, request_id: str, *, has_slot: bool
+    ) -> Claim | None:
+        """Return the claim whose request has a slot now; without one the request is released."""
+        claim = self.by_id.get(request_id)
+        if claim is None:
+            return None
+        if has_slot:
+            return self.by_id.pop(request_id)
+        self._change_target(builder, claim, RequestState.RELEASED)
+        return None
+
+    def _adopt_action(self, claim: Claim, content: RequestContent) -> AdoptRequest:
+        return AdoptRequest(
+            claim.request_id,
+            self.class_indexes[claim.observed.record.class_name],
+            claim.deadline_ms,
+            content.method,
+            content.target,
+            content.headers,
+            content.body,
+        )
+
+    def _change_target(self, builder: TransactionBuilder, claim: Claim, target_state: RequestState) -> None:
+        """Finish a request that was claimed for adoption, or release it as if it had not been claimed."""
+        self.begin(
+            builder, claim.as_observed(self.incarnation, target_state), target_state, claim.deadline_ms
+        )
+
+    def _finish(self, builder: TransactionBuilder, claim: Claim) -> None:
+        del self.by_id[claim.request_id]
+        if claim.target_state is RequestState.RELEASED:
+            return
+        finished = CachedResponse(
+            claim.request_id,
+            builder.now + self.settings.response_retention_ms,
+            claim.record_version,
+            content_version=claim.content_version,
+        )
+        self.response_cache.add(builder, finished)
+
+
+def _class_indexes(gateway_settings: Settings) -> dict[str, int]:
+    """Return the policy's index of each class, by the name that records have for it."""
+    return {request_class.name: index for index, request_class in enumerate(gateway_settings.classes)}
+
+
+def _store_content(builder: TransactionBuilder, claim: Claim, found: Record) -> None:
+    claim.content_version = found.version
+    try:
+        claim.content = decode_request_content(found.value)
+    except RecordError as error:
+        builder.actions.append(LedgerRecordIgnored(STAGE_NAME, found.key, str(error)))
--- a/meadowpulley/takeover/records.py
+++ b/meadowpulley/takeover/records.py
@@ -17,20 +17,37 @@
 
 import msgspec
 
+from meadowpulley.takeover.errors import TakeoverError
+
 STAGE_NAME = "takeover"  # as the log and the owners of commits name this stage
-RECORD_PREFIX, CONTENT_PREFIX, RESPONSE_PREFIX = "takeover/work/", "takeover/content/", "takeover/answer/"
+RECORD_PREFIX = "takeover/work/"
+CONTENT_PREFIX = "takeover/content/"
+RESPONSE_PREFIX = "takeover/answer/"
 WATCHED_PREFIXES = (RECORD_PREFIX,)  # the prefixes whose changes the stage must be notified of
 MAX_BODY_BYTES = 64 * 1024  # a request with a longer body is not journaled
 RECORD_FORMAT: Final[Literal[2]] = 2  # format 1 did not name the origin of a request
 MAX_DURATION_MS = 1e9  # the longest duration a record can hold
+DIGEST_BYTES = 16
+LENGTH_PREFIX_BYTES = 8  # before each part of what is digested
 
 DurationMs = Annotated[float, msgspec.Meta(ge=0, le=MAX_DURATION_MS)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Headers: TypeAlias = tuple[tuple[str, str], ...]
 
 
-class RecordError(Exception):
-    """A record is damaged or has another format."""
+class RecordError(TakeoverError):
+    """A record is damaged or has another format.
+
+    Attributes:
+        record_type: what the record should be, by the name of its class.
+        reason: what is wrong with it.
+    """
+
+    def __init__(self, record_type: str, reason: str) -> None:
+        """Make the error of a record that is no `record_type`."""
+        super().__init__(f"not a {record_type} of format {RECORD_FORMAT}: {reason}")
+        self.record_type = record_type
+        self.reason = reason
 
 
 class RequestState(Enum):
@@ -89,6 +106,11 @@
         """Whether the request is finished."""
         return self.state in (RequestState.SERVED, RequestState.FAILED, RequestState.REJECTED)
 
+    @property
+    def was_never_executed(self) -> bool:
+        """Whether the request was rejected, and none of its attempts may have been executed."""
+        return self.state is RequestState.REJECTED and not self.grants
+
 
 class RequestContent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What the client sent."""
@@ -117,21 +139,33 @@
     try:
         return msgspec.msgpack.decode(value, type=record_type)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise RecordError(f"not a {record_type.__name__} of format {RECORD_FORMAT}: {error}") from None
+        raise RecordError(record_type.__name__, str(error)) from None
 
 
 def decode_request_record(value: bytes) -> RequestRecord:
-    """Decode the state of a request. Raises `RecordError` unless it is a complete record of this format."""
+    """Decode the state of a request.
+
+    Raises:
+        RecordError: it is no complete record of this format.
+    """
     return _decode(value, RequestRecord)
 
 
 def decode_request_content(value: bytes) -> RequestContent:
-    """Decode what a client sent. Raises `RecordError` unless it is a complete record of this format."""
+    """Decode what a client sent.
+
+    Raises:
+        RecordError: it is no complete record of this format.
+    """
     return _decode(value, RequestContent)
 
 
 def decode_recorded_response(value: bytes) -> RecordedResponse:
-    """Decode a response. Raises `RecordError` unless it is a complete record of this format."""
+    """Decode a response.
+
+    Raises:
+        RecordError: it is no complete record of this format.
+    """
     return _decode(value, RecordedResponse)
 
 
@@ -140,7 +174,7 @@
 
     Headers are left out: the remaining time differs each time a client repeats a request.
     """
-    hasher = hashlib.blake2b(digest_size=16)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method.encode(), target.encode(), body):
-        hasher.update(len(part).to_bytes(8, "big") + part)
+        hasher.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big") + part)
     return hasher.digest()
--- a/meadowpulley/takeover/response_cache.py
+++ b/meadowpulley/takeover/response_cache.py
@@ -9,6 +9,7 @@
 
 from meadowpulley.ledger import CheckVersion, Remove, Transaction, TransactionOutcome, TransactionResult
 from meadowpulley.takeover.journaled_request import FinalResponse, JournaledRequest
+from meadowpulley.takeover.ledger_view import AbandonedRequest
 from meadowpulley.takeover.records import CONTENT_PREFIX, RECORD_PREFIX, RESPONSE_PREFIX
 from meadowpulley.takeover.settings import TakeoverSettings
 from meadowpulley.takeover.transaction_builder import TransactionBuilder, TransactionIntent, TransactionKind
@@ -48,10 +49,14 @@
         The records stay, so that a duplicate of a request without its body is not executed again.
         """
         previous = self.entries.pop(entry.request_id, None)
-        self.size_bytes += entry.size_bytes - (previous.size_bytes if previous is not None else 0)
+        if previous is not None:
+            self.size_bytes -= previous.size_bytes
+        self.size_bytes += entry.size_bytes
         self.entries[entry.request_id] = entry
-        if self.size_bytes <= self.settings.response_cache_bytes:
-            return
+        if self.size_bytes > self.settings.response_cache_bytes:
+            self._remove_oldest_bodies(builder)
+
+    def _remove_oldest_bodies(self, builder: TransactionBuilder) -> None:
         for oldest in self.entries.values():
             if self.size_bytes <= self.settings.response_cache_bytes:
                 break
@@ -78,24 +83,29 @@
         removal = Remove(RESPONSE_PREFIX + entry.request_id, entry.response_version)
         builder.add(Transaction((removal,)), TransactionIntent(TransactionKind.REMOVE))
         self.size_bytes -= entry.size_bytes
-        entry.response_version = entry.size_bytes = 0
+        entry.response_version = 0
+        entry.size_bytes = 0
 
-    def inherit(self, now: float, abandoned: Iterable[tuple[str, int]]) -> None:
-        """Take over finished records, by id and version, that an ended incarnation has left."""
+    def inherit(self, now: float, abandoned: Iterable[AbandonedRequest]) -> None:
+        """Take over the finished requests that ended incarnations have left."""
         expires_at_ms = now + self.settings.response_retention_ms
-        for request_id, version in abandoned:
-            if request_id not in self.entries:
-                entry = CachedResponse(request_id, expires_at_ms, version, inherited=True)
-                self.entries[request_id] = entry
+        for left in abandoned:
+            if left.request_id not in self.entries:
+                entry = CachedResponse(left.request_id, expires_at_ms, left.version, inherited=True)
+                self.entries[left.request_id] = entry
 
     def due_at_ms(self) -> float:
-        """Return when the next entry expires."""
-        return next(iter(self.entries.values())).expires_at_ms if self.entries else math.inf
+        """Return when the next entry expires; infinity: there is none."""
+        if not self.entries:
+            return math.inf
+        oldest = next(iter(self.entries.values()))
+        return oldest.expires_at_ms
 
     def on_timer(self, builder: TransactionBuilder) -> None:
         """Remove expired entries, some of them for each event."""
         oldest = islice(self.entries.values(), MAX_REMOVALS_PER_TURN)
-        for entry in [entry for entry in oldest if entry.expires_at_ms <= builder.now]:
+        expired = [entry for entry in oldest if entry.expires_at_ms <= builder.now]
+        for entry in expired:
             del self.entries[entry.request_id]
             self.size_bytes -= entry.size_bytes
             if entry.inherited:
@@ -108,23 +118,23 @@
         self.reading_inherited[entry.request_id] = entry
         for prefix in (RESPONSE_PREFIX, CONTENT_PREFIX):
             key = prefix + entry.request_id
-            builder.add(
-                Transaction((CheckVersion(key, 0),)), TransactionIntent(TransactionKind.READ_INHERITED, key)
-            )
+            read = Transaction((CheckVersion(key, 0),))
+            builder.add(read, TransactionIntent(TransactionKind.READ_INHERITED, key))
 
     def on_inherited_read(self, builder: TransactionBuilder, key: str, result: TransactionResult) -> None:
         """Note the version that was read, and remove the records once both are known.
 
         Where a read fails, the records stay until the next gateway starts.
         """
-        prefix = RESPONSE_PREFIX if key.startswith(RESPONSE_PREFIX) else CONTENT_PREFIX
-        request_id = key[len(prefix) :]
+        is_response = key.startswith(RESPONSE_PREFIX)
+        prefix = RESPONSE_PREFIX if is_response else CONTENT_PREFIX
+        request_id = key.removeprefix(prefix)
         entry = self.reading_inherited.get(request_id)
         if entry is None or result.outcome is TransactionOutcome.UNKNOWN:
             self.reading_inherited.pop(request_id, None)
             return
         version = result.existing.version if result.existing is not None else 0
-        if prefix is RESPONSE_PREFIX:
+        if is_response:
             entry.response_version = version
         else:
             entry.content_version = version
--- a/meadowpulley/takeover/stage.py
+++ b/meadowpulley/takeover/stage.py
@@ -16,21 +16,15 @@
 
 from __future__ import annotations
 
-import heapq
 import math
 from collections.abc import Callable
-from typing import Any
+from typing import TypeVar, cast
 
 from meadowpulley.interface import (
     ClientDisconnected,
-    Effect,
     EndpointUpdate,
-    EndpointUpdateKind,
-    Fail,
     Outcome,
-    Request,
     ResponseStarted,
-    ServerState,
     SetTimer,
     Settings,
     Timer,
@@ -48,7 +42,7 @@
     TransactionOutcome,
     TransactionResult,
 )
-from meadowpulley.takeover import records
+from meadowpulley.takeover.context import StageContext
 from meadowpulley.takeover.duplicate_waiters import DuplicateWaiters
 from meadowpulley.takeover.entry_factory import EntryFactory
 from meadowpulley.takeover.ledger_view import LedgerView
@@ -64,13 +58,16 @@
 )
 from meadowpulley.takeover.orphan_claims import OrphanClaims
 from meadowpulley.takeover.records import Origin
+from meadowpulley.takeover.request_intake import RequestIntake
 from meadowpulley.takeover.request_journal import RequestJournal
 from meadowpulley.takeover.response_cache import ResponseCache
-from meadowpulley.takeover.settings import JournalScope, TakeoverSettings
+from meadowpulley.takeover.settings import TakeoverSettings
 from meadowpulley.takeover.transaction_builder import TransactionBuilder, TransactionIntent, TransactionKind
 
 TIMER_TOLERANCE_MS = 1.0  # clocks may run a timer early by this
 
+EventT = TypeVar("EventT")
+
 
 class TakeoverStage:
     """Journals, deduplicates, adopts and releases requests round the next stage.
@@ -87,77 +84,75 @@
         holds_lease: Callable[[float], bool],
         settings: TakeoverSettings | None = None,
     ) -> None:
-        self.gateway_settings, self.settings = gateway_settings, settings or TakeoverSettings()
-        self.builder, self.view = TransactionBuilder(), LedgerView()
+        """Stand before `inner`, the next stage, at the gateway whose incarnation is given."""
+        self.settings = settings if settings is not None else TakeoverSettings()
+        self.builder = TransactionBuilder()
+        self.view = LedgerView()
         self.waiters = DuplicateWaiters(self.settings, self.view)
         self.response_cache = ResponseCache(self.settings)
-        self.journal = RequestJournal(
-            gateway_settings,
-            inner,
-            incarnation,
-            holds_lease,
-            self.settings,
-            self.builder,
-            self.waiters,
-            self.response_cache,
-        )
-        self.entries = EntryFactory(gateway_settings, incarnation)
-        self.orphans = OrphanClaims(
-            gateway_settings, incarnation, self.settings, self.view, self.response_cache
-        )
+        context = StageContext(gateway_settings, self.settings, incarnation, holds_lease, self.builder)
+        self.journal = RequestJournal(context, inner, self.waiters, self.response_cache)
+        self.entries = EntryFactory.of_gateway(gateway_settings, incarnation)
+        self.intake = RequestIntake(context, self.journal, self.entries)
+        self.orphans = OrphanClaims(context, self.view, self.response_cache)
         self.shutting_down = False
         self.release_at_ms = math.inf  # when the requests still in flight are released, in a shutdown
-        # Until then clients may repeat requests that gateways without a ledger have served unjournaled.
-        self.unjournaled_until_ms = -math.inf
         self.timer_at_ms = math.inf
         self.last_ticket = 0
         self.intents_by_ticket: dict[int, list[TransactionIntent]] = {}
-        self.handlers = self._event_handlers()
-
-    def _event_handlers(self) -> dict[type, Callable[[Any], None]]:
-        return {
-            ClientRequest: self._on_client_request,
-            ResponseReady: self.journal.on_response_ready,
-            ClientDetached: self._on_client_detached,
-            AdoptionResult: self._on_adoption_result,
-            ShutdownNotice: self._on_shutdown_notice,
-            Outcome: self.journal.on_outcome,
-            ResponseStarted: self.journal.on_response_started,
-            ClientDisconnected: self._on_client_disconnected,
-            EndpointUpdate: self._on_endpoint_update,
-            Timer: self._on_timer,
-            CommitCompleted: self._on_committed,
-            LedgerChanged: self._on_changed,
-            LeaseExpired: self._on_lease_expired,
-            Fenced: self._on_fenced,
-            LedgerUnavailable: self._on_ledger_unavailable,
-            LedgerRecovered: self._on_ledger_recovered,
-        }
-
-    def handle(self, now: float, event: Any) -> list[Any]:
-        """Handle one event; return the actions to carry out, in order."""
-        builder = self.builder
-        builder.begin(now)
-        self.handlers.get(type(event), self.journal.forward)(event)
-        if self.orphans.due_at_ms <= now and self._ledger_usable():
+        self.handlers: dict[type, Callable[[object], None]] = {}
+        self._register_handlers()
+
+    def _register_handlers(self) -> None:
+        self._register(ClientRequest, self.intake.on_client_request)
+        self._register(ResponseReady, self.journal.on_response_ready)
+        self._register(ClientDetached, self._on_client_detached)
+        self._register(AdoptionResult, self._on_adoption_result)
+        self._register(ShutdownNotice, self._on_shutdown_notice)
+        self._register(Outcome, self.journal.on_outcome)
+        self._register(ResponseStarted, self.journal.on_response_started)
+        self._register(ClientDisconnected, self._on_client_disconnected)
+        self._register(EndpointUpdate, self.journal.on_endpoint_update)
+        self._register(Timer, self._on_timer)
+        self._register(CommitCompleted, self._on_committed)
+        self._register(LedgerChanged, self._on_changed)
+        self._register(LeaseExpired, self._on_lease_expired)
+        self._register(Fenced, self._on_fenced)
+        self._register(LedgerUnavailable, self._on_ledger_unavailable)
+        self._register(LedgerRecovered, self._on_ledger_recovered)
+
+    def _register(self, event_type: type[EventT], handler: Callable[[EventT], None]) -> None:
+        # The cast holds because `handle` looks each handler up by the type of its event.
+        self.handlers[event_type] = cast(Callable[[object], None], handler)
+
+    def handle(self, now: float, event: object) -> list[object]:
+        """Handle one event; return the actions to carry out, in order.
+
+        Events that this stage has no handler for, and actions that it does not know, pass through.
+        """
+        self.builder.begin(now)
+        handler = self.handlers.get(type(event), self.journal.forward)
+        handler(event)
+        if self.orphans.due_at_ms <= now and self.journal.ledger_usable:
             self._claim_due()
-        if builder.transactions:
-            self.last_ticket += 1
-            self.intents_by_ticket[self.last_ticket] = builder.intents
-            commit = Commit(self.last_ticket, tuple(builder.transactions), COMMIT_OWNER)
-            builder.actions.append(commit)
+        self._commit()
         self._set_timer()
-        return builder.actions
-
-    def _ledger_usable(self) -> bool:
-        return not (self.journal.fenced or self.journal.ledger_unavailable)
+        return self.builder.actions
 
     def _claim_due(self) -> None:
         if self.shutting_down:  # claims with an unknown outcome are still its own; the rest is left to others
             self.orphans.drop_unclaimed()
-        entries = self.journal.by_id.values()
-        adopted_count = sum(entry.request.adopted and not entry.answered for entry in entries)
-        self.orphans.claim_due(self.builder, adopted_count, self.journal.typical_latency_ms)
+        adopted_count = self.journal.table.adopted_count()
+        self.orphans.claim_due(self.builder, adopted_count, self.journal.latencies)
+
+    def _commit(self) -> None:
+        """Ask for one commit of the transactions that the event has led to."""
+        if not self.builder.transactions:
+            return
+        self.last_ticket += 1
+        self.intents_by_ticket[self.last_ticket] = self.builder.intents
+        transactions = tuple(self.builder.transactions)
+        self.builder.actions.append(Commit(self.last_ticket, transactions, COMMIT_OWNER))
 
     # Queries of the adapter and of inner stages
 
@@ -167,10 +162,7 @@
 
     def is_journaled_class(self, class_index: int, body_bytes: int) -> bool:
         """Return whether a request of this class with a body of this length is journaled."""
-        scope = self.settings.journal_scope
-        idempotent = self.gateway_settings.classes[class_index].effect is Effect.IDEMPOTENT
-        in_scope = scope is JournalScope.ALL or (scope is JournalScope.UNREPEATABLE and not idempotent)
-        return in_scope and body_bytes <= records.MAX_BODY_BYTES
+        return self.intake.is_journaled_class(class_index, body_bytes)
 
     def is_journaled(self, request: int) -> bool:
         """Return whether a request is or was journaled: then its response passes through this stage."""
@@ -188,62 +180,23 @@
         from when they get the request until its end.
         """
         entry = self.journal.by_request.get(request)
-        return (entry.origin, entry.received_at_ms) if entry is not None else None
+        if entry is None:
+            return None
+        return entry.origin, entry.received_at_ms
 
     def moved(self, request: int) -> bool | None:
         """Return whether a request that inner stages see as disconnected continues at another gateway.
 
-        False: its id was known, and it was never executed for itself. None: it ended with its client.
+        Returns:
+            False where its id was known, and it was never executed for itself; None where it ended with its
+            client.
         """
         entry = self.journal.by_request.get(request)
         if entry is None or not (entry.relinquished or entry.releasing):
             return None
         return entry.releasing or entry.write_uncertain or entry.record_version > 0
 
-    # Requests and clients
-
-    def _on_client_request(self, event: ClientRequest) -> None:
-        request, request_class = event.request, self.gateway_settings.classes[event.request.class_index]
-        idempotent = request_class.effect is Effect.IDEMPOTENT
-        if not self.is_journaled_class(request.class_index, len(event.body)):
-            self.journal.forward(request)
-            return
-        digest = records.request_digest(event.method, event.target, event.body)
-        known = self.journal.by_id.get(event.request_id)
-        if known is not None and known.digest == digest:
-            self.journal.add_waiter(event.request_id, request)
-            self.journal.answer_waiters(known)
-        elif known is not None:
-            self.builder.actions.append(Fail(request.request))
-        elif not self._ledger_usable():
-            self._handle_without_ledger(request, idempotent)
-        else:
-            sequence = self.builder.next_sequence()
-            entry = self.entries.from_client(event, digest, sequence, self.builder.now)
-            if request.client_retry and not idempotent and self.builder.now < self.unjournaled_until_ms:
-                self.journal.fail_if_unknown(entry)
-            else:
-                self.journal.start(entry)
-
-    def _handle_without_ledger(self, request: Request, idempotent: bool) -> None:
-        """Serve a request unjournaled, so that nobody adopts it, or fail it where it could be executed twice.
-
-        Whether a repeated one is in flight elsewhere cannot be known. And what a fenced incarnation executes
-        unjournaled, while the others have the ledger, would be executed again where its client repeats it.
-        """
-        fenced = self.journal.fenced
-        if request.client_retry or (fenced and not idempotent):
-            self.builder.actions.append(Fail(request.request))
-        else:
-            self.journal.forward(request)
-
-    def _on_endpoint_update(self, event: EndpointUpdate) -> None:
-        if event.kind is EndpointUpdateKind.FULL or event.kind is EndpointUpdateKind.CACHED:
-            self.journal.servers = {}
-        self.journal.servers |= {entry.server: entry for entry in event.entries}
-        for server in [entry.server for entry in event.entries if entry.state is ServerState.REMOVED]:
-            del self.journal.servers[server]
-        self.journal.forward(event)
+    # Clients
 
     def _on_client_detached(self, event: ClientDetached) -> None:
         entry = self.journal.by_request.get(event.request)
@@ -278,10 +231,11 @@
                 self._on_transaction_result(intent, result)
 
     def _on_transaction_result(self, intent: TransactionIntent, result: TransactionResult) -> None:
-        builder, subject = self.builder, intent.subject
+        builder = self.builder
+        subject = intent.subject
         match intent.kind:
             case TransactionKind.WRITE_RECORD:
-                self.journal.on_written(self.journal.by_request.get(intent.request), result)
+                self.journal.on_written(intent.request, result)
             case TransactionKind.READ_RESPONSE:
                 self.waiters.on_response_read(builder, subject, result)
             case TransactionKind.CLAIM:
@@ -320,12 +274,8 @@
 
     def _on_ledger_recovered(self, event: LedgerRecovered) -> None:
         self.journal.ledger_unavailable = False
-        # By then the last client of a request that was served unjournaled waits no longer.
-        deadlines = (
-            c.deadline_ms for c in self.gateway_settings.classes if c.effect is not Effect.IDEMPOTENT
-        )
-        self.unjournaled_until_ms = self.builder.now + max(deadlines, default=0.0)
-        for entry in list(self.journal.by_id.values()):
+        self.intake.on_ledger_recovered()
+        for entry in self.journal.table.owned():
             self.journal.flush(entry)
         self.journal.forward(event)
 
@@ -333,7 +283,7 @@
 
     def _on_adoption_result(self, event: AdoptionResult) -> None:
         has_slot = event.request is not None
-        claim = self.orphans.on_adoption_result(self.builder, event.request_id, has_slot)
+        claim = self.orphans.on_adoption_result(self.builder, event.request_id, has_slot=has_slot)
         if claim is None or claim.content is None or event.request is None:
             return
         if self.journal.fenced:
@@ -348,7 +298,7 @@
         self.shutting_down = True
         delay_ms = max(event.grace_ms - self.settings.shutdown_release_ms, 0.0)
         self.release_at_ms = self.builder.now + delay_ms
-        for entry in list(self.journal.by_id.values()):
+        for entry in self.journal.table.owned():
             if not entry.outstanding_attempts and not entry.pending_sends:
                 self.journal.release(entry)
 
@@ -361,25 +311,21 @@
         now = self.builder.now
         if now > self.timer_at_ms - TIMER_TOLERANCE_MS:
             self.timer_at_ms = math.inf
-        wakeups = self.journal.wakeups
-        while wakeups and wakeups[0][0] <= now:
-            self.journal.check_due(heapq.heappop(wakeups)[1])
+        self.journal.check_due_requests()
         if now >= self.release_at_ms:
             self.release_at_ms = math.inf
-            for entry in list(self.journal.by_id.values()):
+            for entry in self.journal.table.owned():
                 self.journal.release(entry)
         self.waiters.on_timer(self.builder)
-        if self._ledger_usable():
+        if self.journal.ledger_usable:
             self.response_cache.on_timer(self.builder)
 
     def _set_timer(self) -> None:
-        now, wakeups = self.builder.now, self.journal.wakeups
-        due_times = [self.waiters.due_at_ms(), self.release_at_ms]
-        if wakeups:
-            due_times.append(wakeups[0][0])
-        if self._ledger_usable():
-            due_times += [self.response_cache.due_at_ms(), self.orphans.due_at_ms]
-        due_at_ms = min(due_times)
+        """Ask for a timer unless one runs out by the time at which something is due."""
+        now = self.builder.now
+        due_at_ms = min(self.waiters.due_at_ms(), self.release_at_ms, self.journal.wakeups.next_at_ms())
+        if self.journal.ledger_usable:
+            due_at_ms = min(due_at_ms, self.response_cache.due_at_ms(), self.orphans.due_at_ms)
         if due_at_ms < self.timer_at_ms:
             self.timer_at_ms = max(due_at_ms, now)
             self.builder.actions.append(SetTimer(self.timer_at_ms - now, TIMER_TOKEN))
--- a/meadowpulley/takeover/transaction_builder.py
+++ b/meadowpulley/takeover/transaction_builder.py
@@ -4,7 +4,6 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
 
 from meadowpulley.ledger import Transaction
 
@@ -37,11 +36,12 @@
 class TransactionBuilder:
     """The output of the stage for one event, which `begin` starts anew.
 
-    `now` is the time of the event, in ms on the gateway's own clock.
+    `now` is the time of the event, in ms on the gateway's own clock. The actions are those of all stages
+    further in, too, so their types are open.
     """
 
     now: float = 0.0
-    actions: list[Any] = field(default_factory=list)
+    actions: list[object] = field(default_factory=list)
     transactions: list[Transaction] = field(default_factory=list)
     intents: list[TransactionIntent] = field(default_factory=list)  # one for each transaction
     last_sequence: int = 0
@@ -49,7 +49,9 @@
     def begin(self, now: float) -> None:
         """Start the output for the next event."""
         self.now = now
-        self.actions, self.transactions, self.intents = [], [], []
+        self.actions = []
+        self.transactions = []
+        self.intents = []
 
     def next_sequence(self) -> int:
         """Return a new sequence number for a request; a writer recognizes its own records by it."""
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -321,7 +321,7 @@
         unfinished = (
             g.stage.journal.by_id,
             g.stage.journal.by_request,
-            g.stage.orphans.claims,
+            g.stage.orphans.pending_claims.by_id,
             g.stage.waiters.by_id,
         )
         assert unfinished == ({}, {}, {}, {}) and g.stage.view.open_requests == {}
--- a/tests/test_takeover_adoption.py
+++ b/tests/test_takeover_adoption.py
@@ -117,7 +117,7 @@
     while fleet.now < max(deadlines_ms.values()):
         assert sum(h.request.adopted for h in fleet["b"].stage.journal.by_id.values()) <= 3
         fleet.advance(10)
-    assert not fleet["b"].stage.orphans.claimable_at_ms
+    assert not fleet["b"].stage.orphans.ranking.claimable_at_ms
     fleet.advance(500)
     assert fleet["b"].stage.view.open_requests == {} and max(fleet.executions.values()) == 1
     assert 10 <= len(adoptions) < 25
