--- a/meadowpulley/takeover/duplicate_waiters.py
+++ b/meadowpulley/takeover/duplicate_waiters.py
@@ -123,8 +123,10 @@
         self.answer_all(builder, request_id, RequestState.SERVED, response)
 
     def due_at_ms(self) -> float:
-        """Return when the next read is to be repeated."""
-        return min(self.reread_at_ms.values(), default=math.inf)
+        """Return when the next read is to be repeated; infinity: none is."""
+        if not self.reread_at_ms:
+            return math.inf
+        return min(self.reread_at_ms.values())
 
     def on_timer(self, builder: TransactionBuilder) -> None:
         """Repeat the reads that are due."""
--- a/meadowpulley/takeover/extension.py
+++ b/meadowpulley/takeover/extension.py
@@ -12,7 +12,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any, Protocol
+from typing import Protocol, TypeVar
 
 from meadowpulley.interface import Fail, Reject
 from meadowpulley.ledger import Stage
@@ -37,6 +37,8 @@
 STATUS_OK = 200
 STATUS_FAILED = 502
 
+ActionT = TypeVar("ActionT")
+
 
 class TakeoverGateway(Protocol):
     """What the extension needs of a gateway."""
@@ -48,38 +50,45 @@
     def dispatch(self, event: object) -> None:
         """Hand an event to the stages, and carry out what they decide."""
 
-    def register_action(self, action_type: type, handler: Callable[[Any], None]) -> None:
+    def register_action(self, action_type: type[ActionT], handler: Callable[[ActionT], None]) -> None:
         """Let `handler` carry out the actions of this type."""
 
 
 class TakeoverExtension:
-    """Connects a `TakeoverStage` to a gateway.
-
-    `outermost_stage` is the outermost of all stages, round which this object stands. The gateway is killed
-    `grace_ms` after it was told to stop.
-    """
+    """Connects a `TakeoverStage` to a gateway."""
 
     def __init__(
         self, gateway: TakeoverGateway, stage: TakeoverStage, outermost_stage: Stage, grace_ms: float
     ) -> None:
-        self.gateway, self.stage = gateway, stage
-        self.outermost_stage, self.grace_ms = outermost_stage, grace_ms
-        self.held_responses: dict[int, ReleaseResponse] = {}
+        """Make this the extension of a gateway.
+
+        Args:
+            gateway: whose extension it becomes.
+            stage: the takeover stage of the gateway.
+            outermost_stage: the outermost of all stages, round which this object stands.
+            grace_ms: after it was told to stop, the gateway is killed this much later.
+        """
+        self.gateway = gateway
+        self.stage = stage
+        self.outermost_stage = outermost_stage
+        self.grace_ms = grace_ms
+        self.pending_responses: dict[int, ReleaseResponse] = {}  # how to release each, by handle
         gateway.extension = self
         gateway.register_action(Deliver, self._deliver)
         gateway.register_action(Discard, self._discard)
         gateway.register_action(AdoptRequest, self._adopt)
 
-    def handle(self, now: float, event: Any) -> Sequence[Any]:
-        """Pass an event to the stages; end requests whose response is held by a `Deliver`."""
+    def handle(self, now: float, event: object) -> Sequence[object]:
+        """Pass an event to the stages; end requests whose response is not delivered yet by a `Deliver`."""
         actions = self.outermost_stage.handle(now, event)
-        if not self.held_responses:
+        if not self.pending_responses:
             return actions
-        return [self._replace_if_held(action) for action in actions]
+        return [self._as_delivery(action) for action in actions]
 
-    def _replace_if_held(self, action: Any) -> Any:
-        if isinstance(action, Reject | Fail) and action.request in self.held_responses:
-            return Deliver(action.request, STATUS_FAILED, (), b"")
+    def _as_delivery(self, action: object) -> object:
+        """Return the action that ends a request without its pending response; any other as it is."""
+        if isinstance(action, Reject | Fail) and action.request in self.pending_responses:
+            return _delivered_failure(action.request)
         return action
 
     # The extension of request admission
@@ -110,7 +119,7 @@
         if response.status != STATUS_OK or not self.stage.is_journaled(handle):
             release(response)
             return
-        self.held_responses[handle] = release
+        self.pending_responses[handle] = release
         headers = tuple(response.headers.items())
         self.gateway.dispatch(ResponseReady(handle, STATUS_OK, headers, response.body))
 
@@ -129,18 +138,18 @@
 
     def _deliver(self, action: Deliver) -> None:
         response = Response(action.status, dict(action.headers), action.body)
-        release = self.held_responses.pop(action.request, None)
+        release = self.pending_responses.pop(action.request, None)
         if release is not None:
             release(response)
         else:
             self.gateway.requests.complete(action.request, response)
 
     def _discard(self, action: Discard) -> None:
-        self._deliver(Deliver(action.request, STATUS_FAILED, (), b""))
+        self._deliver(_delivered_failure(action.request))
 
     def _adopt(self, action: AdoptRequest) -> None:
         message = Message(action.method, action.target, headers=dict(action.headers), body=action.body)
-        sink = DetachedResponseSink(lambda response: None)
+        sink = DetachedResponseSink(_drop_response)
         arrived_at = self.gateway.deadlines.now()
         accepted = AcceptedRequest(message, action.class_index, sink, arrived_at, action.deadline_ms)
         try:
@@ -150,3 +159,12 @@
             return
         sink.request = accepted
         self.gateway.dispatch(AdoptionResult(action.request_id, accepted.handle))
+
+
+def _delivered_failure(handle: int) -> Deliver:
+    """Return the action that answers a request as failed, though for the gateway it is over."""
+    return Deliver(handle, STATUS_FAILED, (), b"")
+
+
+def _drop_response(_response: Response) -> None:
+    """Receive the response of an adopted request: its client is not connected here."""
--- a/meadowpulley/takeover/request_intake.py
+++ b/meadowpulley/takeover/request_intake.py
@@ -45,7 +45,7 @@
             self.journal.forward(request)
             return
         digest = records.request_digest(event.method, event.target, event.body)
-        known = self.journal.by_id.get(event.request_id)
+        known = self.journal.table.by_id.get(event.request_id)
         if known is not None:
             self._on_duplicate(event, digest, known)
         elif not self.journal.ledger_usable:
--- a/meadowpulley/takeover/settings.py
+++ b/meadowpulley/takeover/settings.py
@@ -7,7 +7,7 @@
 
 
 class JournalScope(Enum):
-    """Which request classes are journaled."""
+    """Which request classes are journaled; the values are those of the setting."""
 
     NONE = "none"
     UNREPEATABLE = "unrepeatable"  # those that must not simply be sent again: all but the idempotent ones
@@ -18,22 +18,23 @@
 class TakeoverSettings:
     """Limits and time-outs of the takeover stage. Durations are milliseconds on the gateway's own clock.
 
-    `journal_scope`: which request classes are journaled.
-    `grant_timeout_ms`: an attempt whose grant takes longer to commit is cancelled, and the policy chooses
-    anew.
-    `response_hold_ms`: how long a final response is held back, at most, until it is recorded.
-    `retry_delay_ms`: pause before a write with an unknown outcome is repeated.
-    `claim_stagger_ms`: each gateway in the ranking of an orphan claims it this much later than the one
-    before.
-    `min_remaining_ms`: an orphan with less slack than this is finished instead of adopted.
-    `clock_drift`: largest relative difference in speed between two gateways' clocks.
-    `max_owners`: how many gateways may have owned a request, the first one included.
-    `max_adopted`: largest number of adopted requests in flight.
-    `adoptions_per_s`: largest rate of adoptions.
-    `response_retention_ms`: how long a finished record is kept for clients that repeat the request.
-    `response_cache_bytes`: total size of the response bodies that this gateway keeps; the oldest go first.
-    `shutdown_release_ms`: how long before SIGKILL the requests still in flight are released to other
-    gateways.
+    Attributes:
+        journal_scope: which request classes are journaled.
+        grant_timeout_ms: an attempt whose grant takes longer to commit is cancelled, and the policy chooses
+            anew.
+        response_hold_ms: how long a final response is held back, at most, until it is recorded.
+        retry_delay_ms: pause before a write with an unknown outcome is repeated.
+        claim_stagger_ms: each gateway in the ranking of an orphan claims it this much later than the one
+            before.
+        min_remaining_ms: an orphan with less slack than this is finished instead of adopted.
+        clock_drift: largest relative difference in speed between two gateways' clocks.
+        max_owners: how many gateways may have owned a request, the first one included.
+        max_adopted: largest number of adopted requests in flight.
+        adoptions_per_s: largest rate of adoptions.
+        response_retention_ms: how long a finished record is kept for clients that repeat the request.
+        response_cache_bytes: total size of the response bodies that this gateway keeps; the oldest go first.
+        shutdown_release_ms: how long before SIGKILL the requests still in flight are released to other
+            gateways.
     """
 
     journal_scope: JournalScope = JournalScope.UNREPEATABLE
--- a/meadowpulley/takeover/settings_reader.py
+++ b/meadowpulley/takeover/settings_reader.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+
+import msgspec
 
 from meadowpulley.ledger import LedgerUnusableError
 from meadowpulley.takeover.records import MAX_DURATION_MS
@@ -34,28 +36,36 @@
 def read_settings(environ: Mapping[str, str]) -> TakeoverSettings | None:
     """Read the settings; None where takeover is off.
 
-    Raises `LedgerUnusableError` with one line that says what is wrong, where, and what to do.
+    Raises:
+        LedgerUnusableError: a setting can't be read; one line says which, what is wrong, and what to do.
     """
     scope = environ.get(SCOPE_VARIABLE, "")
     if not scope:
         return None
-    choices = [choice.value for choice in JournalScope]
-    if scope not in choices:
-        text = f"'{scope}' is none of {', '.join(choices)}: set one of them, or leave it out"
-        raise LedgerUnusableError(f"{SCOPE_VARIABLE}: {text}")
-    values: dict[str, Any] = {}
+    values: dict[str, JournalScope | float] = {"journal_scope": _read_scope(scope)}
     for variable, setting in _NUMBER_SETTINGS.items():
-        if environ.get(variable, ""):
-            values[setting.field] = _read_number(variable, environ[variable], setting)
-    return TakeoverSettings(journal_scope=JournalScope(scope), **values)
+        text = environ.get(variable, "")
+        if text:
+            values[setting.field] = _read_number(variable, text, setting)
+    return msgspec.convert(values, TakeoverSettings)
+
+
+def _read_scope(text: str) -> JournalScope:
+    choices = [choice.value for choice in JournalScope]
+    if text not in choices:
+        raise _unusable(SCOPE_VARIABLE, f"'{text}' is none of {', '.join(choices)}: set one of them")
+    return JournalScope(text)
 
 
 def _read_number(variable: str, text: str, setting: _NumberSetting) -> float:
     try:
         value = float(text)
     except ValueError:
-        value = float("nan")
+        value = math.nan  # as a text that reads NaN, it is in no range
     if not setting.minimum <= value <= MAX_DURATION_MS:
-        problem = f"'{text}' is no number from {setting.minimum:g}: set it, or leave it out"
-        raise LedgerUnusableError(f"{variable}: {problem}")
+        raise _unusable(variable, f"'{text}' is no number from {setting.minimum:g}: set it")
     return int(value) if setting.is_integer else value
+
+
+def _unusable(variable: str, problem: str) -> LedgerUnusableError:
+    return LedgerUnusableError(f"{variable}: {problem}, or leave it out")
--- a/meadowpulley/takeover/stage.py
+++ b/meadowpulley/takeover/stage.py
@@ -135,7 +135,8 @@
         handler(event)
         if self.orphans.due_at_ms <= now and self.journal.ledger_usable:
             self._claim_due()
-        self._commit()
+        if self.builder.transactions:
+            self._commit()
         self._set_timer()
         return self.builder.actions
 
@@ -147,8 +148,6 @@
 
     def _commit(self) -> None:
         """Ask for one commit of the transactions that the event has led to."""
-        if not self.builder.transactions:
-            return
         self.last_ticket += 1
         self.intents_by_ticket[self.last_ticket] = self.builder.intents
         transactions = tuple(self.builder.transactions)
@@ -158,7 +157,7 @@
 
     def is_known(self, request_id: str) -> bool:
         """Return whether this id is in flight here, or waits here for a request in flight elsewhere."""
-        return request_id in self.journal.by_id or request_id in self.waiters.by_id
+        return request_id in self.journal.table.by_id or request_id in self.waiters.by_id
 
     def is_journaled_class(self, class_index: int, body_bytes: int) -> bool:
         """Return whether a request of this class with a body of this length is journaled."""
@@ -166,11 +165,11 @@
 
     def is_journaled(self, request: int) -> bool:
         """Return whether a request is or was journaled: then its response passes through this stage."""
-        return request in self.journal.by_request
+        return request in self.journal.table.by_request
 
     def continues_without_client(self, request: int) -> bool:
         """Return whether a request goes on without its client."""
-        entry = self.journal.by_request.get(request)
+        entry = self.journal.table.by_request.get(request)
         return entry is not None and not entry.relinquished
 
     def origin_of(self, request: int) -> tuple[Origin, float] | None:
@@ -179,7 +178,7 @@
         The time is on this gateway's clock. None for a request that is not journaled. Inner stages may ask
         from when they get the request until its end.
         """
-        entry = self.journal.by_request.get(request)
+        entry = self.journal.table.by_request.get(request)
         if entry is None:
             return None
         return entry.origin, entry.received_at_ms
@@ -191,7 +190,7 @@
             False where its id was known, and it was never executed for itself; None where it ended with its
             client.
         """
-        entry = self.journal.by_request.get(request)
+        entry = self.journal.table.by_request.get(request)
         if entry is None or not (entry.relinquished or entry.releasing):
             return None
         return entry.releasing or entry.write_uncertain or entry.record_version > 0
@@ -199,7 +198,7 @@
     # Clients
 
     def _on_client_detached(self, event: ClientDetached) -> None:
-        entry = self.journal.by_request.get(event.request)
+        entry = self.journal.table.by_request.get(event.request)
         if entry is not None and not entry.relinquished:
             entry.has_client = False  # the request goes on to its end, and its response is kept
         elif self.waiters.remove(event.request):
@@ -210,7 +209,7 @@
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         """Finish a request that the adapter has answered as failed, past its deadline."""
-        entry = self.journal.by_request.get(event.request)
+        entry = self.journal.table.by_request.get(event.request)
         if self.waiters.remove(event.request):
             return
         self.journal.forward(event)
@@ -252,10 +251,10 @@
         delta = self.view.apply(poll_started_ms, event.changes)
         self.builder.actions += delta.ignored_records
         for request_id in delta.changed_ids:
-            if request_id not in self.journal.by_id:
+            if request_id not in self.journal.table.by_id:
                 self.waiters.on_changed(self.builder, request_id)
         self.orphans.on_changed(
-            self.builder.now, delta.changed_ids, delta.ended_incarnations, self.journal.by_id
+            self.builder.now, delta.changed_ids, delta.ended_incarnations, self.journal.table.by_id
         )
         self.response_cache.inherit(self.builder.now, delta.abandoned)
         self.journal.forward(event)
@@ -323,9 +322,10 @@
     def _set_timer(self) -> None:
         """Ask for a timer unless one runs out by the time at which something is due."""
         now = self.builder.now
-        due_at_ms = min(self.waiters.due_at_ms(), self.release_at_ms, self.journal.wakeups.next_at_ms())
+        due_times_ms = [self.waiters.due_at_ms(), self.release_at_ms, self.journal.wakeups.next_at_ms()]
         if self.journal.ledger_usable:
-            due_at_ms = min(due_at_ms, self.response_cache.due_at_ms(), self.orphans.due_at_ms)
+            due_times_ms += [self.response_cache.due_at_ms(), self.orphans.due_at_ms]
+        due_at_ms = min(due_times_ms)
         if due_at_ms < self.timer_at_ms:
             self.timer_at_ms = max(due_at_ms, now)
             self.builder.actions.append(SetTimer(self.timer_at_ms - now, TIMER_TOKEN))
--- a/tests/test_takeover_extension.py
+++ b/tests/test_takeover_extension.py
@@ -82,7 +82,7 @@
     assert (
         b" 200 " in client.received_by_peer
         and not bench.deferred_commits
-        and not bench.extension.held_responses
+        and not bench.extension.pending_responses
     )
 
 
