--- a/tests/takeover_fleet.py
+++ b/tests/takeover_fleet.py
@@ -11,29 +11,24 @@
 from dataclasses import replace
 from enum import Enum
 from functools import partial
+from itertools import chain
 from typing import Any
 
 from meadowpulley.interface import (
     AdoptionFailed,
     Cancel,
-    ClientDisconnected,
     EndpointUpdate,
     EndpointUpdateKind,
     Fail,
     LedgerRecordIgnored,
-    Limits,
     Outcome,
     Reject,
     Request,
     Result,
-    Rollout,
-    Rules,
     Send,
     ServerEntry,
     ServerState,
     SetTimer,
-    Settings,
-    Tenant,
     Timer,
 )
 from meadowpulley.interface.log_wording import log_text
@@ -50,7 +45,6 @@
     TransactionResult,
     WatchRequest,
 )
-from meadowpulley.settings.types import DeduplicationScope, Effect, RequestClass
 from meadowpulley.takeover import (
     COMMIT_OWNER,
     WATCHED_PREFIXES,
@@ -64,28 +58,30 @@
     TakeoverSettings,
     TakeoverStage,
 )
+from tests.takeover_policy import CLASSES, NOT_EXECUTED_RESULTS, ORDER, PAY, READ, SETTINGS, ScriptedPolicy
+
+__all__ = [
+    "CLASSES",
+    "LEASE_TERM_MS",
+    "ORDER",
+    "PAY",
+    "READ",
+    "SETTINGS",
+    "STATUS_OK",
+    "Fleet",
+    "Gateway",
+    "LedgerFault",
+    "interrupt_at",
+]
 
 LEASE_TERM_MS = 1000.0
 POLL_INTERVAL_MS = 20.0
-NOT_EXECUTED_RESULTS = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
-CLASSES = (
-    RequestClass("read", 200.0, 4000.0, Effect.IDEMPOTENT),
-    RequestClass("order", 200.0, 4000.0, Effect.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, 3500.0, 2.0),
-    RequestClass("pay", 200.0, 6000.0, Effect.NON_IDEMPOTENT, priority_weight=3.0),
-)
-READ, ORDER, PAY = range(3)
-SETTINGS = Settings(
-    0,
-    3,
-    0,
-    ("z",),
-    10.0,
-    CLASSES,
-    (Tenant("t"),),
-    Rules(response_slack_ms=50.0),
-    Limits(max_attempts=3),
-    Rollout(),
-)
+COMMIT_MS = 1.0  # from a commit to the store, and from there back
+SLOW_COMMIT_MS = 400.0
+SETTLING_MS = 300.0  # in which the gateways of a new fleet learn of each other
+CLOCK_OFFSET_MS = 1e5  # between the clocks of one gateway and the next
+STATUS_OK = 200
+SERVER = ServerEntry(1, cell=0, zone=0, state=ServerState.READY, build=7, started_ms=0, kind=0, weight=1.0)
 
 
 class LedgerFault(Enum):
@@ -94,67 +90,16 @@
     NONE = "none"
     UNREACHABLE = "unreachable"  # nothing is committed, and the outcome is unknown
     UNCONFIRMED = "unconfirmed"  # commits of takeover are carried out, and the outcome is unknown
-    SLOW = "slow"
-
-
-class ScriptedPolicy:
-    """Sends each request to server 1, and again where prior attempts allow it, three times at most."""
-
-    def __init__(self) -> None:
-        self.in_flight: dict[int, Request] = {}
-        self.possible_executions: dict[int, dict[int, float]] = {}
-        self.attempt_counts: Counter[int] = Counter()
-        self.received: list[Request] = []
-        self.has_no_server = self.rejects = False
-        self.now = 0.0
-
-    def handle(self, now: float, event: Any) -> list[Any]:
-        self.now = now
-        if isinstance(event, Request):
-            if self.rejects:
-                return [Reject(event.request)]
-            self.in_flight[event.request] = event
-            self.received.append(event)
-            self.attempt_counts[event.request] = event.prior_attempt_count
-            self.possible_executions[event.request] = {
-                -1 - n: t.sent_ms for n, t in enumerate(event.prior_attempts)
-            }
-            return [] if self.has_no_server else self._next(event)
-        if isinstance(event, Outcome):
-            if event.result in NOT_EXECUTED_RESULTS:
-                del self.possible_executions[event.request][event.attempt]
-            if event.request_complete:
-                self.in_flight.pop(event.request, None)
-            elif event.request in self.in_flight:
-                return self._next(self.in_flight[event.request])
-        elif isinstance(event, ClientDisconnected) and event.request in self.in_flight:
-            del self.in_flight[event.request]
-            return [Cancel(event.request, n) for n in self.possible_executions[event.request] if n >= 0]
-        return []
-
-    def _next(self, request: Request) -> list[Any]:
-        request_class, possible = CLASSES[request.class_index], self.possible_executions[request.request]
-        outside_window = any(
-            self.now - sent >= request_class.deduplication_window_ms for sent in possible.values()
-        )
-        barred = possible and (
-            request_class.effect is Effect.NON_IDEMPOTENT
-            or (request_class.effect is Effect.IDEMPOTENT_WITH_KEY and outside_window)
-        )
-        if barred or self.attempt_counts[request.request] >= 3:
-            del self.in_flight[request.request]
-            return [Fail(request.request) if possible else Reject(request.request, 100.0)]
-        # Each owner numbers its own attempts from 0.
-        possible[self.attempt_counts[request.request] - request.prior_attempt_count] = self.now
-        self.attempt_counts[request.request] += 1
-        return [Send(request.request, 1)]
+    SLOW = "slow"  # commits are carried out `SLOW_COMMIT_MS` late
 
 
 class Gateway:
     """One gateway: the takeover stage and the lease manager round a `ScriptedPolicy`."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
-        self.fleet, self.name, self.clock_offset_ms = fleet, name, 1e5 * (len(fleet.gateways) + 1)
+        self.fleet = fleet
+        self.name = name
+        self.clock_offset_ms = CLOCK_OFFSET_MS * (len(fleet.gateways) + 1)
         self.incarnation = fleet.store.register(name, LEASE_TERM_MS)
         self.decisions = ScriptedPolicy()
         self.lease_manager = LeaseManager(self.incarnation, Lease(term_ms=LEASE_TERM_MS), self.decisions)
@@ -162,7 +107,10 @@
             SETTINGS, self.decisions, self.incarnation, self.lease_manager.holds_lease, fleet.settings
         )
         self.lease_manager.inner = self.stage
-        self.running, self.paused, self.seen_version, self.last_request = True, False, 0, 0
+        self.running = True
+        self.paused = False
+        self.seen_version = 0
+        self.last_request = 0
         self.deferred_calls: list[Callable[[], None]] = []
         self.watched_incarnations: tuple[str, ...] | None = ()
         self.requests_by_handle: dict[int, tuple[str, int, float]] = {}  # client's id, class, deadline
@@ -174,18 +122,14 @@
         self.ledger_fault = LedgerFault.NONE
         self.before_action: Callable[[Any], None] = lambda action: None
         self.carry_out_all(self.lease_manager.start(self.now))
-        self.dispatch(
-            EndpointUpdate(
-                EndpointUpdateKind.FULL, 1, (ServerEntry(1, 0, 0, ServerState.READY, 7, 0, 0, 1.0),)
-            )
-        )
+        self.dispatch(EndpointUpdate(EndpointUpdateKind.FULL, 1, (SERVER,)))
         self.poll()
 
     @property
     def now(self) -> float:
         return self.fleet.now + self.clock_offset_ms
 
-    def dispatch(self, event: Any) -> None:
+    def dispatch(self, event: object) -> None:
         self.carry_out_all(self.lease_manager.handle(self.now, event))
 
     def carry_out_all(self, actions: list[Any]) -> None:
@@ -208,7 +152,9 @@
         self.fleet.call_at(self.fleet.now + delay_ms, run_or_defer)
 
     def resume(self) -> None:
-        self.paused, deferred, self.deferred_calls = False, self.deferred_calls, []
+        deferred = self.deferred_calls
+        self.paused = False
+        self.deferred_calls = []
         for callback in deferred:
             callback()
 
@@ -226,7 +172,7 @@
             case WatchRequest():
                 self.watched_incarnations = action.names
             case Commit():  # with a fault that has passed, a later commit may be carried out before
-                delay_ms = 400.0 if self.ledger_fault is LedgerFault.SLOW else 1.0
+                delay_ms = SLOW_COMMIT_MS if self.ledger_fault is LedgerFault.SLOW else COMMIT_MS
                 self.fleet.call_at(self.fleet.now + delay_ms, lambda: self.commit(action))
             case Send():
                 self._send(action)
@@ -276,7 +222,7 @@
             if self.ledger_fault is LedgerFault.UNCONFIRMED and action.owner == COMMIT_OWNER:
                 results = unknown
         completed = CommitCompleted(action.ticket, tuple(results), action.owner)
-        self.call_later(1.0, lambda: self.dispatch(completed))
+        self.call_later(COMMIT_MS, lambda: self.dispatch(completed))
 
     def submit(
         self,
@@ -298,7 +244,8 @@
     """Gateways on one ledger. `settings`: those of takeover that differ from the default."""
 
     def __init__(self, names: str = "abc", **settings: Any) -> None:
-        self.now, self.last_call_number = 0.0, 0
+        self.now = 0.0
+        self.last_call_number = 0
         self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self.store = MemoryStore()
         self.settings = replace(TakeoverSettings(journal_scope=JournalScope.ALL), **settings)
@@ -315,7 +262,7 @@
         self.gateways: dict[str, Gateway] = {}
         for name in names:
             self.gateways[name] = Gateway(self, name)
-        self.advance(300.0)
+        self.advance(SETTLING_MS)
 
     def __getitem__(self, name: str) -> Gateway:
         return self.gateways[name]
@@ -361,17 +308,25 @@
         def finish() -> None:
             served = result is Result.OK
             if served:
-                gateway.dispatch(ResponseReady(request, 200, (), body))
+                gateway.dispatch(ResponseReady(request, STATUS_OK, (), body))
             gateway.dispatch(Outcome(request, attempt, 1, result, self.execution_ms, request_complete=served))
 
         gateway.call_later(self.execution_ms, finish)
 
     def responses(self, request_id: str) -> list[str]:
         """Return what the clients of this id got, at all gateways."""
-        return [word for g in self.gateways.values() for word in g.responses.get(request_id, [])]
+        found: list[str] = []
+        for gateway in self.gateways.values():
+            found += gateway.responses.get(request_id, [])
+        return found
+
+    def adopted_requests(self) -> list[Request]:
+        """Return the adopted requests that policies have received, by gateway."""
+        received = chain.from_iterable(g.decisions.received for g in self.gateways.values())
+        return [request for request in received if request.adopted]
 
     def record_keys(self, prefix: str = "takeover/") -> list[str]:
-        return [r.key for r in self.store.scan(prefix)]
+        return [record.key for record in self.store.scan(prefix)]
 
 
 def interrupt_at(
