--- a/meadowpulley/takeover/__init__.py
+++ b/meadowpulley/takeover/__init__.py
@@ -6,8 +6,9 @@
   the environment);
 - of one event: `transaction_builder` (the output), `context` (what the parts are constructed with);
 - requests of this gateway: `journaled_request` (one request), `record_writes` (its record in the ledger),
-  `journal_table` (all of them), `wakeups` (when to check each), `latency_estimates`, `client_answers`,
-  `request_journal` (holds sends until they are granted, and responses until they are recorded);
+  `journal_table` (all of them), `wakeups` (when to check each), `latency_estimates`, `server_locations`,
+  `client_answers`, `request_journal` (holds sends until they are granted, and responses until they are
+  recorded);
 - `duplicate_waiters` (clients that repeat a request), `response_cache` (finished requests that are kept);
 - requests of lost gateways: `ledger_view` (what was seen of the ledger), `adoption` (what a survivor may do,
   and which request first), `orphan_ranking` (which survivor first), `claim` (one claim), `pending_claims`
--- a/meadowpulley/takeover/request_journal.py
+++ b/meadowpulley/takeover/request_journal.py
@@ -15,7 +15,6 @@
     Cancel,
     ClientDisconnected,
     EndpointUpdate,
-    EndpointUpdateKind,
     Fail,
     LedgerRecordIgnored,
     Outcome,
@@ -23,8 +22,6 @@
     ResponseStarted,
     Result,
     Send,
-    ServerEntry,
-    ServerState,
 )
 from meadowpulley.ledger import Record, Stage, TransactionOutcome, TransactionResult
 from meadowpulley.takeover.client_answers import ClientAnswers
@@ -42,13 +39,13 @@
 from meadowpulley.takeover.record_writes import apply_commit, begin_write, reconcile
 from meadowpulley.takeover.records import (
     STAGE_NAME,
-    AttemptGrant,
     RecordError,
     RequestRecord,
     RequestState,
     decode_request_record,
 )
 from meadowpulley.takeover.response_cache import ResponseCache
+from meadowpulley.takeover.server_locations import ServerLocations
 from meadowpulley.takeover.transaction_builder import TransactionIntent, TransactionKind
 from meadowpulley.takeover.wakeups import Wakeups
 
@@ -71,7 +68,7 @@
         self.table = JournalTable()
         self.answers = ClientAnswers(context, self.table, waiters, response_cache, self.wakeups)
         self.latencies = LatencyEstimates()
-        self.servers: dict[int, ServerEntry] = {}
+        self.server_locations = ServerLocations()
         self.ledger_unavailable = False
         self.fenced = False
 
@@ -111,13 +108,7 @@
 
     def on_endpoint_update(self, event: EndpointUpdate) -> None:
         """Note where servers stand, for the grants, and forward the update."""
-        if event.kind in (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED):
-            self.servers = {}
-        for server in event.entries:
-            self.servers[server.server] = server
-        for server in event.entries:
-            if server.state is ServerState.REMOVED:
-                del self.servers[server.server]
+        self.server_locations.apply(event)
         self.forward(event)
 
     # New requests
@@ -157,18 +148,12 @@
 
     def _hold_send(self, entry: JournaledRequest, send: Send) -> None:
         """Hold an attempt until its grant is committed."""
-        attempt = entry.add_grant(self._grant_for(send.server))
+        attempt = entry.add_grant(self.server_locations.grant_for(send.server))
         expires_at_ms = self.builder.now + self.settings.grant_timeout_ms
         entry.pending_sends[attempt] = PendingSend(send, expires_at_ms)
         self.wakeups.schedule(expires_at_ms, entry.request.request)
         self.flush(entry)
 
-    def _grant_for(self, server_id: int) -> AttemptGrant:
-        server = self.servers.get(server_id)
-        if server is None:
-            return AttemptGrant(server_id, build=0, zone=0, cell=0)
-        return AttemptGrant(server_id, server.build, server.zone, server.cell)
-
     def _may_send(self, entry: JournaledRequest) -> bool:
         """Return whether an attempt whose grant is committed may be sent.
 
