--- a/meadowpulley/takeover/records.py
+++ b/meadowpulley/takeover/records.py
@@ -51,7 +51,19 @@
 
 
 class RequestState(Enum):
-    """What a record says of its request; the values are stored."""
+    """What a record says of its request; the values are stored.
+
+    | from | to | by |
+    | --- | --- | --- |
+    | none | OPEN | the first grant |
+    | none | FAILED, REJECTED | its owner, where an earlier write may yet be carried out |
+    | OPEN | SERVED | its owner |
+    | OPEN | FAILED, REJECTED | its owner; a gateway that claims it and does not adopt it |
+    | OPEN | OPEN | each further grant; a gateway that claims it to adopt it |
+    | OPEN | RELEASED | its owner in a shutdown; a gateway that has claimed it and has no slot |
+    | RELEASED | as from OPEN | a gateway that claims it; its owner until it knows of the release |
+    | REJECTED | OPEN | the first grant of a request under the same id |
+    """
 
     OPEN = "open"  # its owner works on it
     RELEASED = "free"  # its owner shuts down and has released it
--- a/tests/takeover_fleet.py
+++ b/tests/takeover_fleet.py
@@ -120,7 +120,7 @@
         self.adopted: set[int] = set()
         self.finished: set[int] = set()
         self.ledger_fault = LedgerFault.NONE
-        self.before_action: Callable[[Any], None] = lambda action: None
+        self.before_action: Callable[[Any], None] = lambda _action: None
         self.carry_out_all(self.lease_manager.start(self.now))
         self.dispatch(EndpointUpdate(EndpointUpdateKind.FULL, 1, (SERVER,)))
         self.poll()
@@ -254,7 +254,7 @@
         self.cancelled: list[tuple[str, int]] = []
         self.transaction_counts: Counter[str] = Counter()
         # Called for each committed transaction.
-        self.on_commit: Callable[[Gateway, Transaction], None] = lambda gateway, transaction: None
+        self.on_commit: Callable[[Gateway, Transaction], None] = lambda _gateway, _transaction: None
         self.lost_replacements = 0  # records that had changed when they were to be replaced
         self.adopted: list[tuple[str, str]] = []
         self.execution_ms = 30.0
--- a/tests/test_takeover_ledger_faults.py
+++ b/tests/test_takeover_ledger_faults.py
@@ -90,9 +90,11 @@
     states: list[RequestState] = []
 
     def on_commit(_gateway: Gateway, transaction: Transaction) -> None:
-        for write in transaction.writes:
-            if isinstance(write, Create | Replace) and RECORD_PREFIX in write.key:
-                states.append(decode_request_record(write.value).state)
+        states.extend(
+            decode_request_record(write.value).state
+            for write in transaction.writes
+            if isinstance(write, Create | Replace) and RECORD_PREFIX in write.key
+        )
 
     fleet.on_commit = on_commit
     return states
