--- a/meadowpulley/lending/allocator_election.py
+++ b/meadowpulley/lending/allocator_election.py
@@ -22,8 +22,10 @@
     ScanCompleted,
     Transaction,
     TransactionOutcome,
+    TransactionResult,
 )
-from meadowpulley.lending.allocator import Allocator
+from meadowpulley.lending.allocator import Allocator, GrantWrite
+from meadowpulley.lending.errors import RecordFormatError
 from meadowpulley.lending.plan import QuotaPlan
 from meadowpulley.lending.records import (
     ALLOCATOR_KEY,
@@ -39,6 +41,7 @@
     decode_report,
     encode_grant,
     encode_incarnation,
+    gateway_index_of,
     record_key,
     write_if_unchanged,
 )
@@ -49,7 +52,7 @@
 
 
 class LeaderState(Enum):
-    """A gateway's part in the election."""
+    """A gateway's part in the election: it goes from each state to the next, and from any to FOLLOWER."""
 
     FOLLOWER = 0
     CANDIDATE = 1  # its replacement of the lease record is in flight
@@ -61,13 +64,16 @@
     """One gateway's part in electing the allocator; while it leads, it runs the allocator's rounds."""
 
     def __init__(self, incarnation: Incarnation, plan: QuotaPlan, rng: Random) -> None:
-        self.incarnation, self.plan, self.rng = incarnation, plan, rng
+        self.incarnation = incarnation
+        self.plan = plan
+        self.rng = rng
         self.state = LeaderState.FOLLOWER
         self.lease_version = 0  # of the lease record; 0: none observed
         self.leader: Incarnation | None = None
         self.plan_version = 0  # of the plan's record; 0: none observed
         self.allocator = Allocator(plan)
-        self.ticket, self.pending_since = 0, -math.inf  # of the commit or scan in flight; 0: none
+        self.ticket = 0  # of the commit or scan in flight; 0: none
+        self.pending_since = -math.inf
         self.pending_grants: list[tuple[int, QuotaGrant]] = []
         self.jitter = rng.random()  # rounds added to the election time-out
         self.leader_changed_at = -math.inf
@@ -80,14 +86,18 @@
 
     def step_down(self, now: float) -> None:
         """Become a follower; forget what was observed as the allocator."""
-        self.state, self.ticket, self.pending_grants = LeaderState.FOLLOWER, 0, []
+        self.state = LeaderState.FOLLOWER
+        self.ticket = 0
+        self.pending_grants = []
         self.leader_changed_at = now
-        self.jitter, self.early_election_at = self.rng.random(), math.inf
+        self.jitter = self.rng.random()
+        self.early_election_at = math.inf
         self.allocator = Allocator(self.plan)
 
     def update_plan(self, plan: QuotaPlan, version: int) -> None:
         """Allocate by another plan, of that version of the ledger's record."""
-        self.plan, self.plan_version = plan, version
+        self.plan = plan
+        self.plan_version = version
         self.allocator.update_plan(plan)
 
     def on_lease_expired(self, now: float, event: LeaseExpired) -> None:
@@ -105,19 +115,16 @@
             self._observe_for_allocator(now, record)
 
     def _observe_for_allocator(self, now: float, record: Record) -> None:
-        prefix = REPORT_PREFIX if record.key.startswith(REPORT_PREFIX) else GRANT_PREFIX
-        suffix = record.key[len(prefix) :]
-        if not record.key.startswith(prefix) or not suffix.isdecimal():
-            return
-        gateway_index = int(suffix)
+        reporting_gateway = gateway_index_of(REPORT_PREFIX, record.key)
+        granted_gateway = gateway_index_of(GRANT_PREFIX, record.key)
         try:
-            if prefix == REPORT_PREFIX:
+            if reporting_gateway is not None:
                 report = decode_report(record.value)
-                self.allocator.observe_report(now, gateway_index, report, record.version)
-            else:
+                self.allocator.observe_report(now, reporting_gateway, report, record.version)
+            elif granted_gateway is not None:
                 grant = decode_grant(record.value)
-                self.allocator.observe_grant(now, gateway_index, grant, record.version)
-        except ValueError:
+                self.allocator.observe_grant(now, granted_gateway, grant, record.version)
+        except RecordFormatError:
             self.step_down(now)  # what can't be decoded can't be counted
 
     def _observe_lease(self, now: float, record: Record) -> None:
@@ -153,13 +160,18 @@
         if self.ticket:
             return []
         if self.state is LeaderState.FOLLOWER and self._must_stand(now, unanswered_since):
-            self.state, self.ticket, self.pending_since = LeaderState.CANDIDATE, ticket, now
+            self.state = LeaderState.CANDIDATE
+            self._wait_for(ticket, now)
             value = encode_incarnation(self.incarnation)
             return [conditional_write(ticket, ALLOCATOR_KEY, value, self.lease_version)]
         if self.state is LeaderState.LEADER:
             return self._run_round(now, ticket)
         return []
 
+    def _wait_for(self, ticket: int, now: float) -> None:
+        self.ticket = ticket
+        self.pending_since = now
+
     def _must_stand(self, now: float, unanswered_since: float) -> bool:
         if not self.plan_version:
             return False
@@ -173,14 +185,21 @@
         writes = self.allocator.run_round(now)
         if not writes:
             return []
-        self.ticket, self.pending_since = ticket, now
+        self._wait_for(ticket, now)
         self.pending_grants = [(write.gateway_index, write.grant) for write in writes]
-        fence = (CheckVersion(ALLOCATOR_KEY, self.lease_version), CheckVersion(PLAN_KEY, self.plan_version))
-        transactions = []
-        for write in writes:
-            key, value = record_key(GRANT_PREFIX, write.gateway_index), encode_grant(write.grant)
-            transactions.append(Transaction((*fence, write_if_unchanged(key, value, write.replaced_version))))
-        return [Commit(ticket, tuple(transactions), OWNER)]
+        transactions = tuple(self._fenced_transaction(write) for write in writes)
+        return [Commit(ticket, transactions, OWNER)]
+
+    def _fenced_transaction(self, write: GrantWrite) -> Transaction:
+        """Write a grant on the condition that this gateway still leads, and by the same plan."""
+        key = record_key(GRANT_PREFIX, write.gateway_index)
+        return Transaction(
+            (
+                CheckVersion(ALLOCATOR_KEY, self.lease_version),
+                CheckVersion(PLAN_KEY, self.plan_version),
+                write_if_unchanged(key, encode_grant(write.grant), write.replaced_version),
+            )
+        )
 
     # Results
 
@@ -198,10 +217,12 @@
     def _on_election_result(self, now: float, event: CommitCompleted) -> list[Scan]:
         result = event.results[0] if event.results else None
         if result is not None and result.outcome is TransactionOutcome.COMMITTED:
-            self.lease_version, self.leader = max(self.lease_version, result.version), self.incarnation
-            self.state, self.leader_changed_at = LeaderState.LOADING, now
+            self.lease_version = max(self.lease_version, result.version)
+            self.leader = self.incarnation
+            self.leader_changed_at = now
+            self.state = LeaderState.LOADING
             self.allocator = Allocator(self.plan)
-            self.ticket, self.pending_since = event.ticket, now
+            self._wait_for(event.ticket, now)
             return [Scan(event.ticket, KEY_PREFIX, OWNER)]
         self.step_down(now)
         if result is not None and result.existing is not None:
@@ -209,15 +230,17 @@
         return []
 
     def _on_grants_written(self, now: float, event: CommitCompleted) -> None:
-        pending, self.pending_grants = self.pending_grants, []
+        pending = self.pending_grants
+        self.pending_grants = []
         for (gateway_index, grant), result in zip(pending, event.results, strict=False):
             if result.outcome is TransactionOutcome.COMMITTED:
                 self.allocator.observe_grant(now, gateway_index, grant, result.version)
-            elif (
-                result.outcome is not TransactionOutcome.CONFLICT
-                or result.failed_write_index != PLAN_CHECK_INDEX
-            ):
+            elif not _met_another_plan(result):
                 self.step_down(now)  # it may yet be written: the next leader makes sure of that
                 return
         if len(event.results) != len(pending):
             self.step_down(now)
+
+
+def _met_another_plan(result: TransactionResult) -> bool:
+    return result.outcome is TransactionOutcome.CONFLICT and result.failed_write_index == PLAN_CHECK_INDEX
--- a/meadowpulley/lending/config.py
+++ b/meadowpulley/lending/config.py
@@ -9,7 +9,8 @@
 from collections.abc import Mapping
 
 from meadowpulley.interface import Settings
-from meadowpulley.lending.plan import Quota, QuotaPlan, QuotaPlanError, validate_plan
+from meadowpulley.lending.errors import QuotaPlanError
+from meadowpulley.lending.plan import DEFAULT_WEIGHT, Quota, QuotaPlan, validate_plan
 
 ENV_PREFIX = "MEADOWPULLEY_LENDING_"
 NUMERIC_SETTINGS = {  # variable, and the plan's field
@@ -21,7 +22,8 @@
     "WORK_MS": "work_ms",
 }
 OTHER_SETTINGS = ("CAPACITY", "VERSION", "UNIT", "SHARES", "WEIGHTS")
-MIN_TERM_MS = 400.0  # a round is an eighth of it: with less, gateways would report all the time
+MIN_TERM_MS = 400.0  # a round is a fraction of it: with less, gateways would report all the time
+MAX_NAMES_IN_ERROR = 5  # of known tenants, in the text of an error
 
 
 def read_plan(settings: Settings, values: Mapping[str, str]) -> QuotaPlan | None:
@@ -34,12 +36,12 @@
         for name, value in values.items()
         if name.startswith(ENV_PREFIX) and value != ""
     }
-    if "CAPACITY" not in given:
-        if given:
-            raise QuotaPlanError(
-                f"{ENV_PREFIX}CAPACITY is missing, though {ENV_PREFIX}{min(given)} is set: set it too"
-            )
+    if not given:
         return None
+    if "CAPACITY" not in given:
+        raise QuotaPlanError(
+            f"{ENV_PREFIX}CAPACITY is missing, though {ENV_PREFIX}{min(given)} is set: set it too"
+        )
     _refuse_unknown(given)
     capacity_per_s = _parse_number(given, "CAPACITY", 0.0)
     by_work = _counts_work(given)
@@ -49,7 +51,7 @@
         gateways=settings.gateway_count,
         tenants=_tenant_quotas(settings, given, capacity_per_s),
         by_work=by_work,
-        **{name: _parse_number(given, key, 0.0) for key, name in NUMERIC_SETTINGS.items() if key in given},
+        **_optional_numbers(given),
     )
     if plan.term_ms < MIN_TERM_MS:
         raise QuotaPlanError(f"{ENV_PREFIX}TERM_MS is {plan.term_ms:g}: at least {MIN_TERM_MS:g}")
@@ -63,6 +65,15 @@
         raise QuotaPlanError(f"{ENV_PREFIX}{unknown[0]}: no such setting: one of {known}")
 
 
+def _optional_numbers(given: Mapping[str, str]) -> dict[str, float]:
+    """Return the numbers that are set, by the plan's fields; the others keep the plan's defaults."""
+    numbers = {}
+    for key, field in NUMERIC_SETTINGS.items():
+        if key in given:
+            numbers[field] = _parse_number(given, key, 0.0)
+    return numbers
+
+
 def _counts_work(given: Mapping[str, str]) -> bool:
     unit = given.get("UNIT", "requests")
     if unit not in ("requests", "work"):
@@ -81,14 +92,13 @@
 def _parse_tenant_numbers(given: Mapping[str, str], key: str, names: set[str]) -> dict[str, float]:
     """Parse `TENANT=NUMBER,...`."""
     numbers: dict[str, float] = {}
-    for entry in given.get(key, "").split(","):
-        name, equals, text = entry.strip().partition("=")
-        if not entry.strip():
+    for part in given.get(key, "").split(","):
+        entry = part.strip()
+        if not entry:
             continue
+        name, equals, text = entry.partition("=")
         if not equals or name in numbers:
-            raise QuotaPlanError(
-                f"{ENV_PREFIX}{key}: '{entry.strip()}' is not one TENANT=NUMBER for each tenant"
-            )
+            raise QuotaPlanError(f"{ENV_PREFIX}{key}: '{entry}' is not one TENANT=NUMBER for each tenant")
         if name not in names:
             raise QuotaPlanError(
                 f"{ENV_PREFIX}{key}: unknown tenant '{name}': the settings name {_abbreviate(names)}"
@@ -100,7 +110,10 @@
 
 
 def _abbreviate(names: set[str]) -> str:
-    return ", ".join(sorted(names)[:5]) + (", ..." if len(names) > 5 else "")
+    shown = sorted(names)[:MAX_NAMES_IN_ERROR]
+    if len(names) > len(shown):
+        shown.append("...")
+    return ", ".join(shown)
 
 
 def _tenant_quotas(settings: Settings, given: Mapping[str, str], capacity_per_s: float) -> tuple[Quota, ...]:
@@ -118,15 +131,17 @@
     weights = _parse_tenant_numbers(given, "WEIGHTS", names)
     if not fractions:
         fractions = _fractions_of_settings(settings, capacity_per_s)
-    least = min((fraction for fraction in fractions.values() if fraction > 0), default=1.0)
+    smallest = min((fraction for fraction in fractions.values() if fraction > 0), default=DEFAULT_WEIGHT)
     quotas = []
     for tenant in settings.tenants:
         fraction = fractions.get(tenant.name, 0.0)
-        quotas.append(Quota(tenant.name, fraction, weights.get(tenant.name, fraction or least)))
+        weight = weights.get(tenant.name, fraction or smallest)
+        quotas.append(Quota(tenant.name, fraction, weight))
     return tuple(quotas)
 
 
 def _fractions_of_settings(settings: Settings, capacity_per_s: float) -> dict[str, float]:
+    """Return the tenants' shares; their rates as fractions of the capacity where no share is set."""
     has_shares = any(tenant.share for tenant in settings.tenants)
     if not has_shares and capacity_per_s > 0:
         return {tenant.name: tenant.quota_per_s / capacity_per_s for tenant in settings.tenants}
--- a/meadowpulley/lending/demand_estimator.py
+++ b/meadowpulley/lending/demand_estimator.py
@@ -7,14 +7,16 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from meadowpulley.lending.plan import MAX_TENANTS, QuotaPlan
+from meadowpulley.lending.plan import MAX_TENANTS, MS_PER_SECOND, QuotaPlan
 
 CLEAR_CHANGE_DEVIATIONS = 2.0  # standard deviations of Poisson arrivals that make a change clear
-MIN_TIME_CONSTANT, MAX_TIME_CONSTANT = 0.2, 5.0  # right after a clear rise and long after it, x `decay_ms`
+MIN_TIME_CONSTANT = 0.2  # x `decay_ms`, right after a clear rise
+MAX_TIME_CONSTANT = 5.0  # x `decay_ms`, long after it
 HEADROOM_FACTOR = 1.15  # demanded, of the estimated rate: arrivals are uneven
 HEADROOM_ROOT_FACTOR = 0.5  # and so much of the rate's root: the fewer the arrivals, the more uneven
 MIN_RATE_PER_S = 0.02  # units per second; lower rates count as none
-HYSTERESIS_BAND = (0.85, 1.06)  # of the last demand reported: within it that one is repeated for a while
+HYSTERESIS_LOW = 0.85  # x the last demand reported: between these two that one is repeated for a while
+HYSTERESIS_HIGH = 1.06
 HYSTERESIS_DECAYS = 4  # times `decay_ms`, for which a reported demand may be repeated
 COST_SMOOTHING = 0.01  # weight of a new request in the mean cost
 
@@ -29,6 +31,14 @@
     last_rise_at: float
 
 
+@dataclass(frozen=True, slots=True)
+class ReportedDemand:
+    """A demand in units per second, and when it was first reported."""
+
+    per_s: float
+    since: float
+
+
 class DemandEstimator:
     """Demand in units per second by tenant and class.
 
@@ -40,7 +50,7 @@
         self.decay_ms = decay_ms
         self.rates: dict[int, dict[int, RateEstimate]] = {}
         self.round_units: dict[int, dict[int, float]] = {}
-        self.reported: dict[int, tuple[float, float]] = {}  # demand, and when it was first reported
+        self.reported: dict[int, ReportedDemand] = {}
         self.mean_cost = 1.0
         self.round_started_at = -math.inf
 
@@ -64,13 +74,15 @@
             return
         for tenant in [*self.rates, *(self.round_units.keys() - self.rates.keys())]:
             self._update_tenant(tenant, now, elapsed_ms)
-        self.round_units, self.round_started_at = {}, now
+        self.round_units = {}
+        self.round_started_at = now
 
     def _update_tenant(self, tenant: int, now: float, elapsed_ms: float) -> None:
-        units, rates = self.round_units.get(tenant, {}), self.rates.setdefault(tenant, {})
+        units = self.round_units.get(tenant, {})
+        rates = self.rates.setdefault(tenant, {})
         for class_index in rates.keys() | units.keys():
             estimate = rates.setdefault(class_index, RateEstimate(0.0, now))
-            observed_per_s = units.get(class_index, 0.0) * 1000 / elapsed_ms
+            observed_per_s = units.get(class_index, 0.0) * MS_PER_SECOND / elapsed_ms
             self._update_estimate(estimate, observed_per_s, now, elapsed_ms)
             if estimate.per_s < MIN_RATE_PER_S:
                 del rates[class_index]
@@ -80,22 +92,28 @@
     def _update_estimate(
         self, estimate: RateEstimate, observed_per_s: float, now: float, elapsed_ms: float
     ) -> None:
-        deviation = math.sqrt(estimate.per_s * self.mean_cost * elapsed_ms / 1000)
-        noise_bound = (CLEAR_CHANGE_DEVIATIONS * deviation + self.mean_cost) * 1000 / elapsed_ms
-        if observed_per_s > estimate.per_s + noise_bound:
+        """Move an estimate towards the rate observed in one round, by exponential smoothing."""
+        noise_per_s = self._noise_bound(estimate.per_s, elapsed_ms)
+        if observed_per_s > estimate.per_s + noise_per_s:
             estimate.last_rise_at = now
-        min_ms, max_ms = MIN_TIME_CONSTANT * self.decay_ms, MAX_TIME_CONSTANT * self.decay_ms
-        time_constant_ms = min(max(now - estimate.last_rise_at, min_ms), max_ms)
-        if observed_per_s < estimate.per_s - noise_bound or observed_per_s == 0:
+        time_constant_ms = max(now - estimate.last_rise_at, MIN_TIME_CONSTANT * self.decay_ms)
+        time_constant_ms = min(time_constant_ms, MAX_TIME_CONSTANT * self.decay_ms)
+        if observed_per_s < estimate.per_s - noise_per_s or observed_per_s == 0:
             time_constant_ms = min(time_constant_ms, self.decay_ms)
-        estimate.per_s += (observed_per_s - estimate.per_s) * (1 - math.exp(-elapsed_ms / time_constant_ms))
+        weight = 1 - math.exp(-elapsed_ms / time_constant_ms)
+        estimate.per_s += (observed_per_s - estimate.per_s) * weight
+
+    def _noise_bound(self, rate_per_s: float, elapsed_ms: float) -> float:
+        """Return by how many units per second Poisson arrivals of a rate may differ from it by chance."""
+        deviation = math.sqrt(rate_per_s * self.mean_cost * elapsed_ms / MS_PER_SECOND)
+        return (CLEAR_CHANGE_DEVIATIONS * deviation + self.mean_cost) * MS_PER_SECOND / elapsed_ms
 
     def rates_by_class(self) -> dict[int, dict[int, float]]:
         """Return the estimated units per second, by tenant and class."""
-        return {
-            tenant: {class_index: estimate.per_s for class_index, estimate in rates.items()}
-            for tenant, rates in self.rates.items()
-        }
+        by_tenant = {}
+        for tenant, rates in self.rates.items():
+            by_tenant[tenant] = {class_index: estimate.per_s for class_index, estimate in rates.items()}
+        return by_tenant
 
     def demands(self) -> dict[int, float]:
         """Return the units per second to demand, by tenant.
@@ -103,27 +121,31 @@
         A demand close to the one reported last is not renewed for a while: changes by chance would move
         grants between gateways.
         """
-        previous, self.reported = self.reported, {}
-        low, high = HYSTERESIS_BAND
+        previous = self.reported
+        self.reported = {}
         for tenant, rates in self.rates.items():
             rate = sum(estimate.per_s for estimate in rates.values())
             demand = HEADROOM_FACTOR * rate + HEADROOM_ROOT_FACTOR * math.sqrt(rate * self.mean_cost)
-            last, since = previous.get(tenant, (0.0, -math.inf))
-            is_recent = self.round_started_at < since + HYSTERESIS_DECAYS * self.decay_ms
-            keeps_last = low * last < demand < high * last and is_recent
-            self.reported[tenant] = (last, since) if keeps_last else (demand, self.round_started_at)
-        return {tenant: demand for tenant, (demand, _) in self.reported.items()}
+            last = previous.get(tenant)
+            if last is not None and self._repeats(last, demand):
+                self.reported[tenant] = last
+            else:
+                self.reported[tenant] = ReportedDemand(demand, self.round_started_at)
+        return {tenant: reported.per_s for tenant, reported in self.reported.items()}
+
+    def _repeats(self, last: ReportedDemand, demand: float) -> bool:
+        """Whether the demand reported last is recent, and close enough to be reported again."""
+        is_recent = self.round_started_at < last.since + HYSTERESIS_DECAYS * self.decay_ms
+        is_close = HYSTERESIS_LOW * last.per_s < demand < HYSTERESIS_HIGH * last.per_s
+        return is_close and is_recent
 
     def remap_tenants(self, old_plan: QuotaPlan, new_plan: QuotaPlan) -> None:
         """Keep the rates under the tenants' places in another plan; tenants not named there are dropped."""
-        places = {quota.name: place for place, quota in enumerate(new_plan.tenants)}
-        new_place_of = {
-            place: places[quota.name] for place, quota in enumerate(old_plan.tenants) if quota.name in places
-        }
-        self.rates = _remapped(self.rates, new_place_of)
-        self.round_units = _remapped(self.round_units, new_place_of)
-        self.reported = _remapped(self.reported, new_place_of)
+        new_places = old_plan.places_in(new_plan)
+        self.rates = _remapped(self.rates, new_places)
+        self.round_units = _remapped(self.round_units, new_places)
+        self.reported = _remapped(self.reported, new_places)
 
 
-def _remapped(by_place: dict[int, Value], new_place_of: dict[int, int]) -> dict[int, Value]:
-    return {new_place_of[place]: value for place, value in by_place.items() if place in new_place_of}
+def _remapped(by_place: dict[int, Value], new_places: dict[int, int]) -> dict[int, Value]:
+    return {new_places[place]: value for place, value in by_place.items() if place in new_places}
--- a/meadowpulley/lending/max_min_fairness.py
+++ b/meadowpulley/lending/max_min_fairness.py
@@ -8,7 +8,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
+from typing import NamedTuple
+
+
+class Division(NamedTuple):
+    """What each tenant gets, in the units of the capacity: of its own quota, and borrowed."""
+
+    own: list[float]
+    borrowed: list[float]
 
 
 def water_fill(capacity: float, demands: Sequence[float], weights: Sequence[float]) -> list[float]:
@@ -18,27 +26,35 @@
     Tenants of weight 0 get what the others leave, evenly.
     """
     allocated = [0.0] * len(demands)
-    for without_weight in (False, True):
-        order = [
-            index
-            for index, demand in enumerate(demands)
-            if demand > 0 and (weights[index] <= 0) == without_weight
-        ]
-        weight = {index: 1.0 if without_weight else weights[index] for index in order}
-        order.sort(key=lambda index: demands[index] / weight[index])
-        remaining_weight = sum(weight.values())
-        for index in order:
-            if capacity <= 0:
-                break
-            allocated[index] = min(demands[index], capacity * weight[index] / remaining_weight)
-            capacity -= allocated[index]
-            remaining_weight -= weight[index]
+    demanding = [index for index, demand in enumerate(demands) if demand > 0]
+    weighted = {index: weights[index] for index in demanding if weights[index] > 0}
+    unweighted = {index: 1.0 for index in demanding if weights[index] <= 0}
+    remaining = _fill(capacity, demands, weighted, allocated)
+    _fill(remaining, demands, unweighted, allocated)
     return allocated
 
 
+def _fill(
+    capacity: float, demands: Sequence[float], weights: Mapping[int, float], allocated: list[float]
+) -> float:
+    """Write into `allocated` what the tenants with these weights get; return what is left of `capacity`.
+
+    The tenant whose demand is least for its weight is filled first: what it leaves is shared by the others.
+    """
+    remaining = capacity
+    remaining_weight = sum(weights.values())
+    for index in sorted(weights, key=lambda index: demands[index] / weights[index]):
+        if remaining <= 0:
+            break
+        allocated[index] = min(demands[index], remaining * weights[index] / remaining_weight)
+        remaining -= allocated[index]
+        remaining_weight -= weights[index]
+    return remaining
+
+
 def divide_capacity(
     capacity: float, demands: Sequence[float], quotas: Sequence[float], weights: Sequence[float]
-) -> tuple[list[float], list[float]]:
+) -> Division:
     """Return what each tenant gets of its own quota, and what it borrows, in the units of `capacity`.
 
     What owners do not demand of their quotas is lent. Quotas that add up to more than `capacity` (a part of
@@ -50,4 +66,5 @@
     if owned > capacity:
         own = [amount * capacity / owned for amount in own]
     unmet_demands = [demand - amount for demand, amount in zip(demands, own, strict=True)]
-    return own, water_fill(max(capacity - sum(own), 0.0), unmet_demands, weights)
+    lendable = max(capacity - sum(own), 0.0)
+    return Division(own, water_fill(lendable, unmet_demands, weights))
--- a/meadowpulley/lending/plan.py
+++ b/meadowpulley/lending/plan.py
@@ -11,15 +11,24 @@
 from collections import Counter
 from collections.abc import Iterator
 from dataclasses import asdict, dataclass
-from typing import Any
+from typing import TypedDict
 
+from meadowpulley.lending.errors import QuotaPlanError
+
+MS_PER_SECOND = 1000
+ROUNDS_PER_TERM = 8  # demand reports of a gateway in one term of a grant
 MAX_TENANTS = 1000  # that a plan may name; one more place is for all tenants that it does not name
 MAX_CLOCK_DRIFT = 0.2
+DEFAULT_WEIGHT = 1.0  # of a tenant, when it borrows
 FRACTION_TOLERANCE = 1e-6  # by which the quotas' sum may exceed 1: fractions are rounded
 
 
-class QuotaPlanError(ValueError):
-    """Report an invalid plan in one line: what is wrong, where, and what to do."""
+class StoredQuota(TypedDict, total=False):
+    """A quota as the ledger's record has it."""
+
+    name: str
+    part: float  # the quota's fraction
+    weight: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +37,7 @@
 
     name: str
     fraction: float
-    weight: float = 1.0
+    weight: float = DEFAULT_WEIGHT
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,18 +60,46 @@
     def round_ms(self) -> float:
         """Interval between two demand reports.
 
-        An eighth of a term: a report is answered, and a failed allocator replaced, well before a grant ends.
+        Much shorter than a term: a report is answered, and a failed allocator replaced, well before a grant
+        ends.
         """
-        return self.term_ms / 8
+        return self.term_ms / ROUNDS_PER_TERM
 
     @property
     def usable_per_s(self) -> float:
         """Capacity in units per second as measured by clocks that may run fast."""
         return self.capacity_per_s / (1 + self.drift)
 
+    def fraction(self, place: int) -> float:
+        """Return the quota of the tenant at a place as a fraction of the capacity; 0 if it is not named."""
+        return self.tenants[place].fraction if place < len(self.tenants) else 0.0
+
+    def quota_per_s(self, place: int) -> float:
+        """Return the guaranteed units per second of the tenant at a place; 0 if it is not named."""
+        return self.fraction(place) * self.usable_per_s
+
+    def weight(self, place: int) -> float:
+        """Return the weight with which the tenant at a place borrows; 0 if it is not named."""
+        return self.tenants[place].weight if place < len(self.tenants) else 0.0
+
+    def places_in(self, other: QuotaPlan) -> dict[int, int]:
+        """Return the places in another plan of this plan's tenants, by their places here."""
+        other_places = other.place_by_name()
+        return {
+            place: other_places[quota.name]
+            for place, quota in enumerate(self.tenants)
+            if quota.name in other_places
+        }
+
+    def place_by_name(self) -> dict[str, int]:
+        """Return the places of the tenants by their names."""
+        return {quota.name: place for place, quota in enumerate(self.tenants)}
+
     def floor_per_s(self, gateway_index: int) -> float:
         """Return the units per second that a gateway may admit even while the ledger is unreachable."""
-        return self.floor * self.usable_per_s / self.gateways if gateway_index < self.gateways else 0.0
+        if gateway_index >= self.gateways:
+            return 0.0
+        return self.floor * self.usable_per_s / self.gateways
 
     def holder_term_ms(self, term_ms: float) -> float:
         """Return for how long, on its own clock, a lease holder may rely on a term."""
@@ -94,9 +131,11 @@
     return plan
 
 
-def _decode_quota(encoded: dict[str, Any]) -> Quota:
-    others = {key: value for key, value in encoded.items() if key != "part"}
-    return Quota(fraction=encoded["part"], **others)
+def _decode_quota(encoded: StoredQuota) -> Quota:
+    unknown = sorted(encoded.keys() - StoredQuota.__annotations__.keys())
+    if unknown:
+        raise QuotaPlanError(f"a tenant has the unknown field '{unknown[0]}': remove it")
+    return Quota(encoded["name"], encoded["part"], encoded.get("weight", DEFAULT_WEIGHT))
 
 
 def validate_plan(plan: QuotaPlan) -> QuotaPlan:
--- a/meadowpulley/lending/quota_client.py
+++ b/meadowpulley/lending/quota_client.py
@@ -16,6 +16,7 @@
     TransactionOutcome,
     TransactionResult,
 )
+from meadowpulley.lending.errors import RecordFormatError
 from meadowpulley.lending.quota_enforcer import QuotaEnforcer
 from meadowpulley.lending.records import (
     GRANT_PREFIX,
@@ -33,19 +34,24 @@
 LOWERED_RATE_FRACTION = 0.99  # of the previous rate: a grant below that is acknowledged at once
 MAX_REMEMBERED_ROUNDS = 32  # whose start is known; older ones have no grant that still counts
 REPORT_TIMEOUT_ROUNDS = 4  # after which a report without a result is given up
+UNKNOWN_RESULT = TransactionResult(TransactionOutcome.UNKNOWN)
 
 
 class QuotaClient:
     """Write one gateway's demand reports, and hand its grants to the enforcer."""
 
     def __init__(self, gateway_index: int, incarnation: Incarnation, enforcer: QuotaEnforcer) -> None:
-        self.gateway_index, self.incarnation, self.enforcer = gateway_index, incarnation, enforcer
+        self.gateway_index = gateway_index
+        self.incarnation = incarnation
+        self.enforcer = enforcer
         self.report_key = record_key(REPORT_PREFIX, gateway_index)
         self.grant_key = record_key(GRANT_PREFIX, gateway_index)
-        self.round_number = self.acknowledged_round = 0
+        self.round_number = 0
+        self.acknowledged_round = 0
         self.round_started_at: dict[int, float] = {}
         self.report_version = 0  # of the own report's record
-        self.ticket, self.reported_at = 0, -math.inf  # of the report in flight; 0: none
+        self.ticket = 0  # of the report in flight; 0: none
+        self.reported_at = -math.inf
         self.must_acknowledge = False  # a lower grant is applied, and others wait to hear that
         self.unanswered_since = math.inf
         self.predecessor_floor = 0.0  # that an earlier incarnation may still use
@@ -73,8 +79,11 @@
         self, now: float, rates: dict[int, float], ticket: int, released: bool = False
     ) -> list[Commit]:
         """Begin a round: report this demand, by place in units per second, and which grant is applied."""
-        self.round_number, self.reported_rates = self.round_number + 1, rates
-        self.ticket, self.reported_at, self.must_acknowledge = ticket, now, False
+        self.round_number += 1
+        self.reported_rates = rates
+        self.ticket = ticket
+        self.reported_at = now
+        self.must_acknowledge = False
         self.round_started_at[self.round_number] = now
         self.round_started_at.pop(self.round_number - MAX_REMEMBERED_ROUNDS, None)
         self.unanswered_since = min(self.unanswered_since, now)
@@ -95,18 +104,21 @@
 
     def release(self, now: float, ticket: int) -> list[Commit]:
         """Give back all that is granted, at a graceful shutdown."""
-        return self.report(now, {}, ticket, released=True) if self.report_version else []
+        if not self.report_version:
+            return []
+        return self.report(now, {}, ticket, released=True)
 
     def on_ledger_lost(self) -> None:
         """Give up the report in flight: it may have been committed or not."""
-        self.ticket, self.unanswered_since = 0, math.inf
+        self.ticket = 0
+        self.unanswered_since = math.inf
 
     def on_committed(self, now: float, event: CommitCompleted) -> bool:
         """Take up the result of the report in flight; whether it was one."""
         if event.ticket != self.ticket or not self.ticket:
             return False
         self.ticket = 0
-        result = event.results[0] if event.results else TransactionResult(TransactionOutcome.UNKNOWN)
+        result = event.results[0] if event.results else UNKNOWN_RESULT
         if result.outcome is TransactionOutcome.COMMITTED:
             self.report_version = max(self.report_version, result.version)
             self._renew_floor(now)
@@ -131,7 +143,7 @@
                 self._observe_report(now, record)
             else:
                 self._observe_grant(now, decode_grant(record.value))
-        except ValueError:  # of a later format: it stays as it is until it is overwritten
+        except RecordFormatError:  # of a later format: it stays as it is until it is overwritten
             return
 
     def _observe_report(self, now: float, record: Record) -> None:
@@ -153,24 +165,30 @@
             self.predecessor_floor_until = now + plan.observer_term_ms(plan.floor_term_ms)
 
     def _observe_grant(self, now: float, grant: QuotaGrant) -> None:
-        plan = self.enforcer.plan
         if grant.incarnation != self.incarnation:
             if self.round_number == 0 and self.report_version:
                 self._defer_floor(now, grant.floor)
-            return
-        is_known_round = grant.round_number in self.round_started_at
-        if grant.round_number <= self.acknowledged_round or not is_known_round:
-            return
-        if grant.plan_version != plan.version:
-            return
-        started_at, previous_rate = self.round_started_at[grant.round_number], self.enforcer.rate
+        elif self._is_usable(grant):
+            self._apply_grant(now, grant)
+
+    def _is_usable(self, grant: QuotaGrant) -> bool:
+        """Whether a grant of this incarnation is newer than the one applied, and of the plan in force."""
+        return (
+            grant.round_number > self.acknowledged_round
+            and grant.round_number in self.round_started_at
+            and grant.plan_version == self.enforcer.plan.version
+        )
+
+    def _apply_grant(self, now: float, grant: QuotaGrant) -> None:
+        plan = self.enforcer.plan
+        started_at = self.round_started_at[grant.round_number]
+        previous_rate = self.enforcer.rate
         self.acknowledged_round = grant.round_number
-        is_latest = grant.round_number == self.round_number
-        self.unanswered_since = math.inf if is_latest else self.round_started_at[grant.round_number + 1]
+        self.unanswered_since = self.round_started_at.get(grant.round_number + 1, math.inf)
         self.enforcer.apply_grant(now, grant, started_at + plan.holder_term_ms(grant.term_ms))
         floor = min(grant.floor, plan.floor_per_s(self.gateway_index))
         floor_until = started_at + plan.holder_term_ms(plan.floor_term_ms)
         if now >= self.predecessor_floor_until and floor_until > now:
             self.enforcer.set_floor(now, floor, floor_until)
-        is_lowered = self.enforcer.rate < LOWERED_RATE_FRACTION * previous_rate
-        self.must_acknowledge = self.must_acknowledge or is_lowered
+        if self.enforcer.rate < LOWERED_RATE_FRACTION * previous_rate:
+            self.must_acknowledge = True
--- a/meadowpulley/lending/records.py
+++ b/meadowpulley/lending/records.py
@@ -15,9 +15,10 @@
 
 import struct
 from dataclasses import dataclass
-from typing import Any, TypeAlias
+from typing import NamedTuple, TypeAlias
 
 from meadowpulley.ledger.model import Commit, Create, Incarnation, Replace, Transaction
+from meadowpulley.lending.errors import RecordFormatError
 
 OWNER = "lending"  # of this package's commits
 KEY_PREFIX = "lending/"
@@ -27,10 +28,10 @@
 GRANT_PREFIX = KEY_PREFIX + "grant/"
 
 RECORD_FORMAT = 1  # of reports and grants; records of another format are refused
-_REPORT_HEADER = struct.Struct("<BHIIIIIdd?")
-_GRANT_HEADER = struct.Struct("<BHIIIIddddd")
-_REPORT_RATE = struct.Struct("<Hf")
-_GRANT_RATE = struct.Struct("<Hff")
+_REPORT_HEADER = struct.Struct("<BHIIIIIdd?")  # laid out as `_ReportHeader`
+_GRANT_HEADER = struct.Struct("<BHIIIIddddd")  # laid out as `_GrantHeader`
+_REPORT_RATE = struct.Struct("<Hf")  # a `DemandRate`
+_GRANT_RATE = struct.Struct("<Hff")  # a `GrantedRate`
 
 DemandRate: TypeAlias = tuple[int, float]  # the tenant's place in the plan; demanded
 GrantedRate: TypeAlias = tuple[int, float, float]  # place; of the tenant's own quota; borrowed
@@ -76,115 +77,131 @@
     return Incarnation(name, int(epoch))
 
 
+class _ReportHeader(NamedTuple):
+    """The fixed part of an encoded report; the gateway's name and the rates follow."""
+
+    record_format: int
+    name_length: int
+    epoch: int
+    round_number: int
+    acknowledged_round: int
+    plan_version: int
+    rate_count: int
+    reserved_floor: float
+    floor_in_use: float
+    released: bool
+
+
+class _GrantHeader(NamedTuple):
+    """The fixed part of an encoded grant; the gateway's name and the rates follow."""
+
+    record_format: int
+    name_length: int
+    epoch: int
+    round_number: int
+    plan_version: int
+    rate_count: int
+    total: float
+    reserved: float
+    predecessor_reserved: float
+    floor: float
+    term_ms: float
+
+
 def encode_report(report: DemandReport) -> bytes:
     """Encode a report: a fixed header, the gateway's name, and a row for each tenant."""
     name = report.incarnation.name.encode()
-    header = _REPORT_HEADER.pack(
-        RECORD_FORMAT,
-        len(name),
-        report.incarnation.epoch,
-        report.round_number,
-        report.acknowledged_round,
-        report.plan_version,
-        len(report.rates),
-        report.reserved_floor,
-        report.floor_in_use,
-        report.released,
+    header = _ReportHeader(
+        record_format=RECORD_FORMAT,
+        name_length=len(name),
+        epoch=report.incarnation.epoch,
+        round_number=report.round_number,
+        acknowledged_round=report.acknowledged_round,
+        plan_version=report.plan_version,
+        rate_count=len(report.rates),
+        reserved_floor=report.reserved_floor,
+        floor_in_use=report.floor_in_use,
+        released=report.released,
     )
-    return header + name + b"".join([_REPORT_RATE.pack(*rate) for rate in report.rates])
+    rows = [_REPORT_RATE.pack(*rate) for rate in report.rates]
+    return _REPORT_HEADER.pack(*header) + name + b"".join(rows)
 
 
 def decode_report(value: bytes) -> DemandReport:
-    """Decode a report. Raises `ValueError` for anything that is not a report of this format."""
+    """Decode a report. Raises `RecordFormatError` for anything that is not a report of this format."""
     try:
-        (
-            record_format,
-            name_length,
-            epoch,
-            round_number,
-            acknowledged_round,
-            plan_version,
-            count,
-            reserved_floor,
-            floor_in_use,
-            released,
-        ) = _REPORT_HEADER.unpack_from(value)
-        rates = _decode_rates(value, _REPORT_HEADER.size + name_length, _REPORT_RATE, count, record_format)
-    except struct.error as error:
-        raise ValueError(f"not a demand report: {error}") from None
+        header = _ReportHeader._make(_REPORT_HEADER.unpack_from(value))
+        _check_format(value, header, _REPORT_HEADER.size + _REPORT_RATE.size * header.rate_count)
+        name = _decode_name(value, _REPORT_HEADER.size, header.name_length)
+    except (struct.error, ValueError) as error:
+        raise RecordFormatError(f"not a demand report: {error}") from None
+    rows = value[_REPORT_HEADER.size + header.name_length :]
     return DemandReport(
-        incarnation=Incarnation(_decode_name(value, _REPORT_HEADER, name_length), epoch),
-        round_number=round_number,
-        acknowledged_round=acknowledged_round,
-        plan_version=plan_version,
-        reserved_floor=reserved_floor,
-        floor_in_use=floor_in_use,
-        released=released,
-        rates=rates,
+        incarnation=Incarnation(name, header.epoch),
+        round_number=header.round_number,
+        acknowledged_round=header.acknowledged_round,
+        plan_version=header.plan_version,
+        reserved_floor=header.reserved_floor,
+        floor_in_use=header.floor_in_use,
+        released=header.released,
+        rates=tuple((place, demanded) for place, demanded in _REPORT_RATE.iter_unpack(rows)),
     )
 
 
 def encode_grant(grant: QuotaGrant) -> bytes:
     """Encode a grant: a fixed header, the gateway's name, and a row for each tenant."""
     name = grant.incarnation.name.encode()
-    header = _GRANT_HEADER.pack(
-        RECORD_FORMAT,
-        len(name),
-        grant.incarnation.epoch,
-        grant.round_number,
-        grant.plan_version,
-        len(grant.rates),
-        grant.total,
-        grant.reserved,
-        grant.predecessor_reserved,
-        grant.floor,
-        grant.term_ms,
+    header = _GrantHeader(
+        record_format=RECORD_FORMAT,
+        name_length=len(name),
+        epoch=grant.incarnation.epoch,
+        round_number=grant.round_number,
+        plan_version=grant.plan_version,
+        rate_count=len(grant.rates),
+        total=grant.total,
+        reserved=grant.reserved,
+        predecessor_reserved=grant.predecessor_reserved,
+        floor=grant.floor,
+        term_ms=grant.term_ms,
     )
-    return header + name + b"".join([_GRANT_RATE.pack(*rate) for rate in grant.rates])
+    rows = [_GRANT_RATE.pack(*rate) for rate in grant.rates]
+    return _GRANT_HEADER.pack(*header) + name + b"".join(rows)
 
 
 def decode_grant(value: bytes) -> QuotaGrant:
-    """Decode a grant. Raises `ValueError` for anything that is not a grant of this format."""
+    """Decode a grant. Raises `RecordFormatError` for anything that is not a grant of this format."""
     try:
-        (
-            record_format,
-            name_length,
-            epoch,
-            round_number,
-            plan_version,
-            count,
-            total,
-            reserved,
-            predecessor_reserved,
-            floor,
-            term_ms,
-        ) = _GRANT_HEADER.unpack_from(value)
-        rates = _decode_rates(value, _GRANT_HEADER.size + name_length, _GRANT_RATE, count, record_format)
-    except struct.error as error:
-        raise ValueError(f"not a grant: {error}") from None
+        header = _GrantHeader._make(_GRANT_HEADER.unpack_from(value))
+        _check_format(value, header, _GRANT_HEADER.size + _GRANT_RATE.size * header.rate_count)
+        name = _decode_name(value, _GRANT_HEADER.size, header.name_length)
+    except (struct.error, ValueError) as error:
+        raise RecordFormatError(f"not a grant: {error}") from None
+    rows = value[_GRANT_HEADER.size + header.name_length :]
     return QuotaGrant(
-        incarnation=Incarnation(_decode_name(value, _GRANT_HEADER, name_length), epoch),
-        round_number=round_number,
-        plan_version=plan_version,
-        total=total,
-        reserved=reserved,
-        predecessor_reserved=predecessor_reserved,
-        floor=floor,
-        term_ms=term_ms,
-        rates=rates,
+        incarnation=Incarnation(name, header.epoch),
+        round_number=header.round_number,
+        plan_version=header.plan_version,
+        total=header.total,
+        reserved=header.reserved,
+        predecessor_reserved=header.predecessor_reserved,
+        floor=header.floor,
+        term_ms=header.term_ms,
+        rates=tuple((place, own, borrowed) for place, own, borrowed in _GRANT_RATE.iter_unpack(rows)),
     )
 
 
-def _decode_name(value: bytes, header: struct.Struct, name_length: int) -> str:
-    return value[header.size : header.size + name_length].decode()
+def _check_format(value: bytes, header: _ReportHeader | _GrantHeader, length_without_name: int) -> None:
+    """Raise `RecordFormatError` for another format or length than the header states."""
+    length = length_without_name + header.name_length
+    if header.record_format != RECORD_FORMAT or len(value) != length:
+        raise RecordFormatError(
+            f"format {header.record_format}, {len(value)} bytes: "
+            f"expected format {RECORD_FORMAT}, {length} bytes"
+        )
 
 
-def _decode_rates(
-    value: bytes, offset: int, rate_format: struct.Struct, count: int, record_format: int
-) -> tuple[Any, ...]:
-    if record_format != RECORD_FORMAT or len(value) != offset + rate_format.size * count:
-        raise ValueError(f"format {record_format}, {len(value)} bytes")
-    return tuple(rate_format.iter_unpack(value[offset:]))
+def _decode_name(value: bytes, offset: int, length: int) -> str:
+    return value[offset : offset + length].decode()
 
 
 def conditional_write(ticket: int, key: str, value: bytes, version: int) -> Commit:
@@ -200,3 +217,11 @@
 def record_key(prefix: str, gateway_index: int) -> str:
     """Return the key of a gateway's report or grant; no key is the beginning of another."""
     return f"{prefix}{gateway_index:05d}"
+
+
+def gateway_index_of(prefix: str, key: str) -> int | None:
+    """Return whose report or grant a key names; None if it does not begin so or has no index."""
+    suffix = key.removeprefix(prefix)
+    if suffix == key or not suffix.isdecimal():
+        return None
+    return int(suffix)
--- /dev/null
+++ b/meadowpulley/lending/reservations.py
@@ -0,0 +1,185 @@
+"""What each gateway may still use by its records, as the allocator has observed them.
+
+For each gateway the last grant counts and, until a report acknowledges it, whatever the gateway may have used
+before (`QuotaGrant.reserved`). A grant that is not renewed counts for a term (and the clocks' drift) from
+the moment the allocator first observed it, which is after its holder's term began.
+"""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, replace
+
+from meadowpulley.lending.plan import QuotaPlan
+from meadowpulley.lending.records import DemandReport, QuotaGrant
+
+
+@dataclass(slots=True)
+class ObservedGrant:
+    """A gateway's grant as the allocator observed it last."""
+
+    grant: QuotaGrant
+    version: int
+    observed_at: float
+
+
+@dataclass(slots=True)
+class ObservedReport:
+    """A gateway's report as the allocator observed it last."""
+
+    report: DemandReport
+    version: int
+    observed_at: float
+
+
+@dataclass(frozen=True, slots=True)
+class Reservation:
+    """Units per second that are set apart for one gateway already."""
+
+    usable: float  # by the incarnation that reports now
+    predecessors: float  # by earlier incarnations, which may still run
+
+
+NOTHING_RESERVED = Reservation(usable=0.0, predecessors=0.0)
+
+
+class CapacityReservations:
+    """The capacity that observed reports and grants set apart, by the gateways' indices.
+
+    Rates are in units per second, times in milliseconds on the allocator's clock.
+    """
+
+    def __init__(self, plan: QuotaPlan) -> None:
+        self.plan = plan
+        self.reports: dict[int, ObservedReport] = {}
+        self.grants: dict[int, ObservedGrant] = {}
+        self.predecessors_until: dict[int, float] = {}  # when grants of earlier incarnations end
+
+    # What is observed
+
+    def observe_report(self, now: float, gateway_index: int, report: DemandReport, version: int) -> bool:
+        """Take up a gateway's report; return whether it is newer than the one known."""
+        known = self.reports.get(gateway_index)
+        if known is not None and known.version >= version:
+            return False
+        self.reports[gateway_index] = ObservedReport(report, version, now)
+        observed = self.grants.get(gateway_index)
+        if report.released and observed is not None and observed.grant.incarnation == report.incarnation:
+            observed.grant = replace(observed.grant, total=0.0, reserved=0.0)
+        return True
+
+    def observe_grant(self, now: float, gateway_index: int, grant: QuotaGrant, version: int) -> None:
+        """Take up a gateway's grant, unless one at least as new is known."""
+        known = self.grants.get(gateway_index)
+        if known is not None and known.version >= version:
+            return
+        self.grants[gateway_index] = ObservedGrant(grant, version, now)
+        if grant.predecessor_reserved > 0 and gateway_index not in self.predecessors_until:
+            self.predecessors_until[gateway_index] = now + self.plan.observer_term_ms(grant.term_ms)
+
+    def grant_version(self, gateway_index: int) -> int:
+        """Return the version of a gateway's grant record; 0 where none is known."""
+        observed = self.grants.get(gateway_index)
+        return observed.version if observed is not None else 0
+
+    # Grants
+
+    def total_reserved(self) -> float:
+        """Return what is set apart for all gateways by their grants."""
+        return math.fsum(self.reserved(gateway_index) for gateway_index in self.grants)
+
+    def reserved(self, gateway_index: int) -> float:
+        """Return what is set apart for all incarnations of a gateway by the records."""
+        return self.usable_grant(gateway_index) + self.predecessor_reserved(gateway_index)
+
+    def usable_grant(self, gateway_index: int) -> float:
+        """Return what the incarnation that was answered last may use."""
+        observed_grant = self.grants.get(gateway_index)
+        observed_report = self.reports.get(gateway_index)
+        if observed_grant is None:
+            return 0.0
+        if observed_report is not None and _acknowledges(observed_report.report, observed_grant.grant):
+            return 0.0 if observed_report.report.released else observed_grant.grant.total
+        return observed_grant.grant.reserved
+
+    def predecessor_reserved(self, gateway_index: int) -> float:
+        """Return what earlier incarnations may use: no report can release it for them."""
+        observed = self.grants.get(gateway_index)
+        return observed.grant.predecessor_reserved if observed is not None else 0.0
+
+    def expires_at(self, observed: ObservedGrant) -> float:
+        """Return when the holder of a grant has stopped using it, whatever its clock does."""
+        return observed.observed_at + self.plan.observer_term_ms(observed.grant.term_ms)
+
+    def split_by_incarnation(self, now: float, gateway_index: int) -> Reservation:
+        """Split what is reserved between the reporting incarnation and earlier ones.
+
+        An incarnation that was answered last and is not the one that reports is an earlier one: what it was
+        granted counts until it expires.
+        """
+        observed = self.grants.get(gateway_index)
+        if observed is None:
+            return NOTHING_RESERVED
+        usable = self.usable_grant(gateway_index)
+        predecessors = self.predecessor_reserved(gateway_index)
+        if self._predecessors_expired(now, gateway_index):
+            predecessors = 0.0
+        if observed.grant.incarnation == self.reports[gateway_index].report.incarnation:
+            return Reservation(usable, predecessors)
+        expires_at = self.expires_at(observed)
+        if now >= expires_at:
+            return Reservation(0.0, predecessors)
+        known_until = self.predecessors_until.get(gateway_index, expires_at)
+        self.predecessors_until[gateway_index] = max(known_until, expires_at)
+        return Reservation(0.0, usable + predecessors)
+
+    def reclaimed_grant(self, now: float, gateway_index: int) -> QuotaGrant | None:
+        """Return an expired grant marked as reclaimed; None if there is nothing to reclaim.
+
+        That is written before anyone else gets it, once and in one transaction, so that no later allocator
+        can count it as lent to two gateways.
+        """
+        observed = self.grants[gateway_index]
+        grant = observed.grant
+        expired = now >= self.expires_at(observed) and grant.reserved > 0
+        predecessors_expired = (
+            self._predecessors_expired(now, gateway_index) and grant.predecessor_reserved > 0
+        )
+        if not expired and not predecessors_expired:
+            return None
+        if expired:
+            grant = replace(grant, total=0.0, reserved=0.0, rates=())
+        if predecessors_expired:
+            grant = replace(grant, predecessor_reserved=0.0)
+        return grant
+
+    def _predecessors_expired(self, now: float, gateway_index: int) -> bool:
+        return now >= self.predecessors_until.get(gateway_index, -math.inf)
+
+    # Floors
+
+    def reserved_floor(self, now: float, gateway_index: int) -> float:
+        """Return what a gateway may use beside grants, in any incarnation, even cut off."""
+        observed_report = self.reports.get(gateway_index)
+        observed_grant = self.grants.get(gateway_index)
+        term_ms = self.plan.observer_term_ms(self.plan.floor_term_ms)
+        floor = 0.0
+        if observed_report is not None and now < observed_report.observed_at + term_ms:
+            floor = observed_report.report.reserved_floor
+        if observed_grant is None or now >= observed_grant.observed_at + term_ms:
+            return floor
+        if observed_report is not None and _acknowledges(observed_report.report, observed_grant.grant):
+            return floor
+        return max(floor, observed_grant.grant.floor)
+
+    def reserved_floors(self, now: float) -> float:
+        """Return what all floors take: the plan's, and what gateways still use by an earlier plan."""
+        beyond_plan = [
+            max(self.reserved_floor(now, gateway_index) - self.plan.floor_per_s(gateway_index), 0.0)
+            for gateway_index in self.reports.keys() | self.grants.keys()
+        ]
+        return self.plan.floor * self.plan.usable_per_s + math.fsum(beyond_plan)
+
+
+def _acknowledges(report: DemandReport, grant: QuotaGrant) -> bool:
+    return report.incarnation == grant.incarnation and report.acknowledged_round >= grant.round_number
--- a/meadowpulley/lending/stage.py
+++ b/meadowpulley/lending/stage.py
@@ -12,6 +12,7 @@
 
 import math
 from collections import Counter
+from enum import Flag, auto
 from random import Random
 from typing import Protocol, TypeAlias
 
@@ -19,7 +20,6 @@
     Action,
     Event,
     GatewayIndexConflict,
-    QuotaPlanConflict,
     QuotaPlanInvalid,
     Reject,
     Request,
@@ -44,13 +44,16 @@
 )
 from meadowpulley.lending.allocator_election import AllocatorElection
 from meadowpulley.lending.demand_estimator import DemandEstimator
-from meadowpulley.lending.plan import QuotaPlan, QuotaPlanError, decode_plan, encode_plan, validate_plan
+from meadowpulley.lending.errors import QuotaPlanError
+from meadowpulley.lending.plan import MS_PER_SECOND, QuotaPlan, decode_plan, validate_plan
+from meadowpulley.lending.plan_agreement import PlanAgreement
 from meadowpulley.lending.quota_client import QuotaClient
 from meadowpulley.lending.quota_enforcer import Admission, QuotaEnforcer
-from meadowpulley.lending.records import ALLOCATOR_KEY, KEY_PREFIX, OWNER, PLAN_KEY, conditional_write
+from meadowpulley.lending.records import ALLOCATOR_KEY, KEY_PREFIX, OWNER, PLAN_KEY
 
 TIMER_TOKEN = 3
 TICKS_PER_ROUND = 4  # how soon changes are acted upon
+TIMER_LOSS_TICKS = 2  # after which a timer that did not fire is set anew
 MAX_WORK_FACTOR = 20.0  # x the plan's `work_ms`: greater estimates count as that, as buckets grow with them
 EARLY_REPORT_FACTOR = 1.3  # demand above so many times the reported one is reported before the round ends
 DEMAND_DECAY_TERMS = 0.5  # the estimator's decay time, in terms of a grant
@@ -68,6 +71,15 @@
 StageAction: TypeAlias = Action | Commit | Scan
 
 
+class WriteObstacle(Flag):
+    """Why this gateway writes no reports and no grants."""
+
+    LEDGER_UNREAD = auto()  # no snapshot was observed since the start
+    LEDGER_UNAVAILABLE = auto()
+    FENCED = auto()  # for good: this incarnation has ended in the ledger
+    SHUTTING_DOWN = auto()  # for good
+
+
 class NextStage(Protocol):
     """What stands behind this stage."""
 
@@ -84,22 +96,22 @@
     def __init__(
         self, inner: NextStage, settings: Settings, plan: QuotaPlan, incarnation: Incarnation, seed: int
     ) -> None:
-        self.inner, self.settings, self.incarnation = inner, settings, incarnation
+        self.inner = inner
+        self.settings = settings
+        self.incarnation = incarnation
         self.enforcer = QuotaEnforcer(plan)
         self.demand = DemandEstimator(plan.term_ms * DEMAND_DECAY_TERMS)
         self.client = QuotaClient(settings.gateway_index, incarnation, self.enforcer)
         self.election = AllocatorElection(incarnation, plan, Random(seed))
-        self.proposed_plan: QuotaPlan | None = plan  # of the settings, until the ledger's is as new
-        self.plan_version = 0  # of the ledger's record; 0: none observed
-        self.plan_ticket = 0  # of the plan's write in flight; 0: none
+        self.agreement = PlanAgreement(plan)
         self.priority_weights = {
             index: request_class.priority_weight for index, request_class in enumerate(settings.classes)
         }
         self.tenant_places: dict[int, int] = {}
         self.admissions: Counter[tuple[int, Admission]] = Counter()  # requests by place, since the start
         self.last_ticket = 0
-        self.ledger_lost = self.ledger_read = False
-        self.fenced = self.leaving = self.conflict_logged = False
+        self.write_obstacles = WriteObstacle.LEDGER_UNREAD
+        self.conflict_logged = False
         self.timer_due_at = -math.inf
         self._map_tenants()
 
@@ -142,13 +154,13 @@
             raise QuotaPlanError(
                 f"lending: version {plan.version} is not above {self.plan.version}: raise it"
             )
-        self.proposed_plan = plan
+        self.agreement.proposed = plan
         return self._propose_plan()
 
     def shut_down(self, now: float) -> list[StageAction]:
         """Admit nothing more, and give back all that is granted, at a graceful shutdown."""
-        self.leaving = True
-        self.enforcer.revoke(now, floor=True)
+        self.write_obstacles |= WriteObstacle.SHUTTING_DOWN
+        self.enforcer.revoke_all(now)
         self.election.step_down(now)
         return [*self.client.release(now, self._next_ticket())]
 
@@ -173,12 +185,15 @@
         return actions
 
     def _retry_after_ms(self, now: float, place: int, cost: float) -> float:
-        retry_after_ms, limits = self.enforcer.retry_after_ms(now, place, cost), self.settings.limits
-        return min(retry_after_ms, limits.max_retry_after_ms or math.inf) if limits.retry_after else 0.0
+        limits = self.settings.limits
+        retry_after_ms = self.enforcer.retry_after_ms(now, place, cost)
+        if not limits.retry_after:
+            return 0.0
+        return min(retry_after_ms, limits.max_retry_after_ms or math.inf)
 
     def _demand_rose(self, place: int) -> bool:
         """Whether a tenant demands clearly more than was reported, which can't wait for the next round."""
-        reported_units = self.client.reported_rates.get(place, 0.0) * self.plan.round_ms / 1000
+        reported_units = self.client.reported_rates.get(place, 0.0) * self.plan.round_ms / MS_PER_SECOND
         threshold = EARLY_REPORT_FACTOR * reported_units + self.enforcer.max_request_cost
         return self.demand.units_this_round(place) > threshold
 
@@ -193,7 +208,7 @@
 
     def _map_tenants(self) -> None:
         """Map the tenants' numbers here to their places in the plan, which may list them in another order."""
-        places = {quota.name: place for place, quota in enumerate(self.plan.tenants)}
+        places = self.plan.place_by_name()
         self.tenant_places = {
             number: places[tenant.name]
             for number, tenant in enumerate(self.settings.tenants)
@@ -206,25 +221,21 @@
         if now < self.timer_due_at:
             return []
         interval_ms = self.plan.round_ms / TICKS_PER_ROUND
-        self.timer_due_at = now + 2 * interval_ms  # after that the timer counts as lost
+        self.timer_due_at = now + TIMER_LOSS_TICKS * interval_ms
         return [SetTimer(interval_ms, TIMER_TOKEN)]
 
-    @property
-    def _can_write(self) -> bool:
-        return self.ledger_read and not (self.ledger_lost or self.fenced or self.leaving)
-
     def _on_tick(self, now: float) -> list[StageAction]:
         self.timer_due_at = -math.inf
         self.enforcer.advance(now)
         actions: list[StageAction] = []
-        if self._can_write:
+        if not self.write_obstacles:
             actions += self._propose_plan()
             actions += self._report_demand(now, early=self.client.must_acknowledge)
             actions += self.election.on_tick(now, self.client.unanswered_since, self._next_ticket())
         return actions + self._schedule_timer(now)
 
     def _report_demand(self, now: float, early: bool) -> list[StageAction]:
-        if not self._can_write or self.plan_version == 0:
+        if self.write_obstacles or self.agreement.record_version == 0:
             return []
         if not self.client.report_due(now, early):
             return self._log_index_conflict(now)
@@ -236,8 +247,8 @@
         if self.conflict_logged or now >= self.client.conflict_until:
             return []
         self.conflict_logged = True
-        number, other = self.client.gateway_index, self.client.conflicting_incarnation
-        return [GatewayIndexConflict(number, str(other))]
+        conflicting = str(self.client.conflicting_incarnation)
+        return [GatewayIndexConflict(self.client.gateway_index, conflicting)]
 
     def _next_ticket(self) -> int:
         self.last_ticket += 1
@@ -251,23 +262,23 @@
         if isinstance(event, LeaseExpired):
             self.election.on_lease_expired(now, event)
         elif isinstance(event, LedgerUnavailable):
-            self.ledger_lost = True
+            self.write_obstacles |= WriteObstacle.LEDGER_UNAVAILABLE
             self.election.step_down(now)
             self.client.on_ledger_lost()
         elif isinstance(event, LedgerRecovered):
-            self.ledger_lost = False
+            self.write_obstacles &= ~WriteObstacle.LEDGER_UNAVAILABLE
         elif isinstance(event, Fenced):
             # It can renew nothing. It may use its floor: the next incarnation waits for the end of that.
-            self.fenced = True
+            self.write_obstacles |= WriteObstacle.FENCED
             self.election.step_down(now)
-            self.enforcer.revoke(now, floor=False)
+            self.enforcer.revoke_grant(now)
         return []
 
     def _on_changed(self, now: float, event: LedgerChanged) -> list[StageAction]:
-        changes = event.changes
+        if event.changes.is_snapshot:
+            self.write_obstacles &= ~WriteObstacle.LEDGER_UNREAD
+        records = [record for record in event.changes.records if record.key.startswith(KEY_PREFIX)]
         actions: list[StageAction] = []
-        self.ledger_read = self.ledger_read or changes.is_snapshot
-        records = [record for record in changes.records if record.key.startswith(KEY_PREFIX)]
         for record in records:
             if record.key == PLAN_KEY:
                 actions += self._on_plan_record(now, record)
@@ -280,29 +291,19 @@
         return actions
 
     def _on_plan_record(self, now: float, record: Record) -> list[StageAction]:
-        if record.version <= self.plan_version:
+        if record.version <= self.agreement.record_version:
             return []
-        self.plan_version = record.version
+        self.agreement.record_version = record.version
         try:
             plan = decode_plan(record.value)
         except QuotaPlanError as error:
             return [QuotaPlanInvalid(str(error))]
-        actions = self._drop_proposal(plan)
+        actions: list[StageAction] = [*self.agreement.drop_proposal(plan)]
         if plan != self.plan:
             self._apply_plan(now, plan)
         self.election.update_plan(plan, record.version)
         return actions
 
-    def _drop_proposal(self, plan: QuotaPlan) -> list[StageAction]:
-        """Give up the own settings' plan where the ledger's is as new; log where they contradict."""
-        proposed = self.proposed_plan
-        if proposed is None or proposed.version > plan.version:
-            return []
-        self.proposed_plan = None
-        if proposed.version < plan.version or proposed == plan:
-            return []
-        return [QuotaPlanConflict(plan.version)]
-
     def _apply_plan(self, now: float, plan: QuotaPlan) -> None:
         self.demand.remap_tenants(self.plan, plan)
         self.enforcer.update_plan(now, plan)
@@ -311,20 +312,17 @@
         self._map_tenants()
 
     def _propose_plan(self) -> list[StageAction]:
-        """Write the plan of these settings where the ledger has none, or an older one."""
-        if self.proposed_plan is None or self.plan_ticket or not self.ledger_read:
+        if WriteObstacle.LEDGER_UNREAD in self.write_obstacles:
             return []
-        if self.plan_version and self.proposed_plan.version <= self.plan.version:
-            return []
-        self.plan_ticket = self._next_ticket()
-        value = encode_plan(self.proposed_plan)
-        return [conditional_write(self.plan_ticket, PLAN_KEY, value, self.plan_version)]
+        return [*self.agreement.propose(self.plan, self._next_ticket)]
 
     def _on_committed(self, now: float, event: CommitCompleted) -> list[StageAction]:
-        if event.ticket == self.plan_ticket:
-            self.plan_ticket = 0  # the result comes as a change
+        if self.agreement.on_committed(event.ticket):
             return []
         if not self.client.on_committed(now, event):
             return [*self.election.on_committed(now, event)]
-        report_lost = self.leaving and event.results[0].outcome is TransactionOutcome.CONFLICT
-        return [*self.client.release(now, self._next_ticket())] if report_lost else []
+        # A report of the shutdown that met another one's record is written once more.
+        is_shutting_down = WriteObstacle.SHUTTING_DOWN in self.write_obstacles
+        if is_shutting_down and event.results[0].outcome is TransactionOutcome.CONFLICT:
+            return [*self.client.release(now, self._next_ticket())]
+        return []
--- a/meadowpulley/model_checking/shared_state_mutants.py
+++ b/meadowpulley/model_checking/shared_state_mutants.py
@@ -9,6 +9,7 @@
 ORPHAN_CLAIMS, LEDGER_VIEW = "meadowpulley.takeover.orphan_claims", "meadowpulley.takeover.ledger_view"
 DUPLICATE_WAITERS, STAGE = "meadowpulley.takeover.duplicate_waiters", "meadowpulley.takeover.stage"
 ALLOCATOR, QUOTA_CLIENT = "meadowpulley.lending.allocator", "meadowpulley.lending.quota_client"
+RESERVATIONS = "meadowpulley.lending.reservations"
 
 
 SHARED_STATE_MUTANTS = (
@@ -266,14 +267,17 @@
         "lent",
         "lent",
         ALLOCATOR,
-        ("pool = self.plan.usable_per_s - self.reserved_floors(now)", "pool = self.plan.usable_per_s"),
+        (
+            "pool = self.plan.usable_per_s - self.reservations.reserved_floors(now)",
+            "pool = self.plan.usable_per_s",
+        ),
     ),
     shared_state_mutant(
         "free-early",
         "a grant counts as free before its holder's term is over",
         "lent",
         "stands",
-        ALLOCATOR,
+        RESERVATIONS,
         (
             "return observed.observed_at + self.plan.observer_term_ms",
             "return observed.observed_at + 0.3 * self.plan.observer_term_ms",
@@ -295,7 +299,7 @@
         "a lesser grant counts before its gateway goes by it",
         "lent",
         "lent",
-        ALLOCATOR,
+        RESERVATIONS,
         (
             "return report.incarnation == grant.incarnation and report.acknowledged_round >= "
             "grant.round_number",
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -197,7 +197,7 @@
             self.version += 1
             self.allocator.observe_grant(now, write.gateway_index, write.grant, self.version)
             grants[write.gateway_index] = write.grant
-        assert sum(self.allocator.reserved(n) for n in (0, 1)) <= 90.0 + 1e-6
+        assert sum(self.allocator.reservations.reserved(n) for n in (0, 1)) <= 90.0 + 1e-6
         return grants
 
 
@@ -236,7 +236,7 @@
     harness = AllocatorHarness()
     harness.report(0.0, 0, demand_report(A, 1, 0, (0, 40.0)))
     harness.run_round(0.0)
-    first = harness.allocator.reserved(0)
+    first = harness.allocator.reservations.reserved(0)
     harness.report(1000.0, 0, demand_report(Incarnation("a", 2), 1, 0, (0, 40.0)))
     new = harness.run_round(1000.0)[0]
     assert new.predecessor_reserved == pytest.approx(first) and 0 < new.total <= 90.0 - first + 1e-6
--- a/tests/test_lending_fleet.py
+++ b/tests/test_lending_fleet.py
@@ -13,9 +13,9 @@
 from benchmarks.lending_fleet import Rates, SimulatedFleet
 from meadowpulley.ledger.model import Commit
 from meadowpulley.lending import Quota, QuotaPlan
-from meadowpulley.lending.allocator import Allocator, ObservedGrant
 from meadowpulley.lending.quota_enforcer import QuotaEnforcer
 from meadowpulley.lending.records import QuotaGrant
+from meadowpulley.lending.reservations import CapacityReservations, ObservedGrant
 
 SHARES = (Quota("x", 0.5), Quota("y", 0.3), Quota("z", 0.2))
 
@@ -54,11 +54,11 @@
     assert capacity_respected(run_with_faults(seed))
 
 
-def without_reserved(self: Allocator, gateway_index: int) -> float:
+def without_reserved(self: CapacityReservations, gateway_index: int) -> float:
     return self.grants[gateway_index].grant.total if gateway_index in self.grants else 0.0
 
 
-def without_predecessors(self: Allocator, gateway_index: int) -> float:
+def without_predecessors(self: CapacityReservations, gateway_index: int) -> float:
     return 0.0
 
 
@@ -69,25 +69,30 @@
     return replacement
 
 
-def expiring_at_once(self: Allocator, observed: ObservedGrant) -> float:
+def expiring_at_once(self: CapacityReservations, observed: ObservedGrant) -> float:
     return observed.observed_at
 
 
 INJECTED_BUGS: dict[str, tuple[type, str, Callable[[Any], Any], str]] = {
     "what a gateway may still use is forgotten": (
-        Allocator,
+        CapacityReservations,
         "usable_grant",
         lambda _: without_reserved,
         "slow",
     ),
     "what earlier incarnations may use is forgotten": (
-        Allocator,
+        CapacityReservations,
         "predecessor_reserved",
         lambda _: without_predecessors,
         "replaced",
     ),
     "a grant counts from when it was read": (QuotaEnforcer, "apply_grant", counting_from_reading, "pause"),
-    "a grant ends when it is written": (Allocator, "_expires_at", lambda _: expiring_at_once, "cut"),
+    "a grant ends when it is written": (
+        CapacityReservations,
+        "expires_at",
+        lambda _: expiring_at_once,
+        "cut",
+    ),
 }
 
 
