--- a/meadowpulley/placement/arm_counters.py
+++ b/meadowpulley/placement/arm_counters.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import TypeAlias
+
 from hdrh.histogram import HdrHistogram
 
 from meadowpulley.placement.counter_records import (
@@ -16,6 +18,9 @@
 
 MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
+US_PER_MS = 1000
+
+ArmAndClass: TypeAlias = tuple[int, int]
 
 
 def new_histogram() -> HdrHistogram:
@@ -28,8 +33,8 @@
 
     def __init__(self, incarnation: str) -> None:
         self.record = CountersRecord(incarnation)
-        self.cells: dict[tuple[int, int], OutcomeCounts] = {}  # by (arm, class), as the histograms
-        self.histograms: dict[tuple[int, int], HdrHistogram] = {}
+        self.cells: dict[ArmAndClass, OutcomeCounts] = {}
+        self.histograms: dict[ArmAndClass, HdrHistogram] = {}
         self.moments: dict[tuple[int, int, int], CostMoments] = {}  # by (group, arm, class)
         self.blocks: dict[tuple[int, int], BlockCosts] = {}  # by (block, class)
         self.open_requests: dict[int, OpenRequest] = {}
@@ -50,7 +55,8 @@
     def record_ended(self, number: int, ending: RequestEnding, cost_ms: float) -> None:
         """Record the end of a request that was accepted here."""
         request = self.open_requests.pop(number)
-        count_outcome(self.cells, self.histograms, request.arm, request.class_index, ending, cost_ms)
+        arm_and_class = (request.arm, request.class_index)
+        count_outcome(self.cells, self.histograms, arm_and_class, ending, cost_ms)
         key = (request.group, request.arm, request.class_index)
         self.moments.setdefault(key, CostMoments(*key)).add_request(cost_ms)
 
@@ -77,17 +83,17 @@
 
 
 def count_outcome(
-    cells: dict[tuple[int, int], OutcomeCounts],
-    histograms: dict[tuple[int, int], HdrHistogram],
-    arm: int,
-    class_index: int,
+    cells: dict[ArmAndClass, OutcomeCounts],
+    histograms: dict[ArmAndClass, HdrHistogram],
+    arm_and_class: ArmAndClass,
     ending: RequestEnding,
     cost_ms: float,
 ) -> None:
-    """Count one ended request in the outcomes and histograms by (arm, class)."""
-    key = (arm, class_index)
-    cells.setdefault(key, OutcomeCounts(arm, class_index)).add(ending)
-    if ending is RequestEnding.SERVED:
-        if key not in histograms:
-            histograms[key] = new_histogram()
-        histograms[key].record_value(min(max(int(cost_ms * 1000), 1), MAX_LATENCY_US))
+    """Count one ended request: its outcome, and its completion time if it was served."""
+    cells.setdefault(arm_and_class, OutcomeCounts(*arm_and_class)).add(ending)
+    if ending is not RequestEnding.SERVED:
+        return
+    if arm_and_class not in histograms:
+        histograms[arm_and_class] = new_histogram()
+    latency_us = int(cost_ms * US_PER_MS)
+    histograms[arm_and_class].record_value(min(max(latency_us, 1), MAX_LATENCY_US))
--- a/meadowpulley/placement/assignment.py
+++ b/meadowpulley/placement/assignment.py
@@ -15,7 +15,10 @@
 
 GROUP_COUNT = 16  # random groups of units, for standard errors where requests of one unit share an arm
 NO_ARM = -1
-_UNIT, _GROUP = b"unit", b"group"
+UNIT_HASH_PREFIX = b"unit"
+GROUP_HASH_PREFIX = b"group"
+HASH_RANGE = 2**64  # of xxh3_64
+HASH_SEED_DIGITS = 16  # hexadecimal digits of the digest, of 64 bits
 
 
 class Assignment:
@@ -23,12 +26,13 @@
 
     def __init__(self, experiment: Experiment) -> None:
         self.experiment = experiment
-        self.hash_seed = int(experiment.digest[:16], 16)
-        self._arm_bounds = [int(bound * 2**64) for bound in accumulate(arm.part for arm in experiment.arms)]
+        self.hash_seed = int(experiment.digest[:HASH_SEED_DIGITS], base=16)
+        cumulative_parts = accumulate(arm.part for arm in experiment.arms)
+        self._arm_bounds = [int(cumulative_part * HASH_RANGE) for cumulative_part in cumulative_parts]
 
     def arm(self, unit: bytes) -> int:
         """Return the index of the unit's arm; `NO_ARM` if it takes no part."""
-        unit_hash = xxhash.xxh3_64_intdigest(_UNIT + unit, self.hash_seed)
+        unit_hash = xxhash.xxh3_64_intdigest(UNIT_HASH_PREFIX + unit, self.hash_seed)
         return next((arm for arm, bound in enumerate(self._arm_bounds) if unit_hash < bound), NO_ARM)
 
     def group(self, unit: bytes) -> int:
@@ -38,7 +42,7 @@
         """
         if self.experiment.unit in ("request", "time"):
             return 0
-        return xxhash.xxh3_64_intdigest(_GROUP + unit, self.hash_seed) % GROUP_COUNT
+        return xxhash.xxh3_64_intdigest(GROUP_HASH_PREFIX + unit, self.hash_seed) % GROUP_COUNT
 
     def unit(
         self, request: Request, first_incarnation: str, first_number: int, shared_time_ms: float
--- a/meadowpulley/placement/calibration.py
+++ b/meadowpulley/placement/calibration.py
@@ -12,15 +12,10 @@
 
 import numpy as np
 
+from meadowpulley.placement.confidence import NARROWEST_AT_REQUESTS, Estimate, sequence_half_width
 from meadowpulley.placement.definition import Guard
 from meadowpulley.placement.differences_in_q import group_sums, q_residuals
-from meadowpulley.placement.estimate import (
-    NARROWEST_AT_REQUESTS,
-    Estimate,
-    estimate_from_sums,
-    estimate_naive,
-    sequence_half_width,
-)
+from meadowpulley.placement.estimate import estimate_from_sums, estimate_naive
 from meadowpulley.placement.merged_counters import MergedCounters
 from meadowpulley.placement.supermarket_model import (
     Floats,
--- a/meadowpulley/placement/config.py
+++ b/meadowpulley/placement/config.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
-from meadowpulley.fleet import FleetError
 from meadowpulley.interface import Settings
 from meadowpulley.placement.definition import Experiment, parse_experiment
+from meadowpulley.placement.errors import ExperimentError
 
 ENV_VARIABLE = "MEADOWPULLEY_PLACEMENT"
 
@@ -20,7 +20,7 @@
 ) -> Experiment | None:
     """Return the experiment; None where no file is named.
 
-    Raises `FleetError` with one line for a file that can't be read or is invalid.
+    Raises `FleetError` (or `ExperimentError`, which is one) for a file that can't be read or is invalid.
     """
     path = environ.get(ENV_VARIABLE, "")
     if not path:
@@ -29,6 +29,6 @@
         raw = read_file(Path(path))
     except OSError as error:
         reason = error.strerror or error
-        raise FleetError(f"{ENV_VARIABLE}: {path}: {reason}: name a file that can be read") from None
+        raise ExperimentError(f"{ENV_VARIABLE}: {path}: {reason}: name a file that can be read") from None
     class_names = [request_class.name for request_class in settings.classes]
     return parse_experiment(raw, path, class_names)
--- a/meadowpulley/placement/definition.py
+++ b/meadowpulley/placement/definition.py
@@ -16,9 +16,10 @@
 import xxhash
 from msgspec import Meta, Struct
 
-from meadowpulley.fleet import FleetError, read_toml
+from meadowpulley.fleet import read_toml
 from meadowpulley.fleet.model import Name, Positive, PositiveInt, PositiveShare
 from meadowpulley.interface import Placement
+from meadowpulley.placement.errors import ExperimentError
 from meadowpulley.placement.policies import DEFAULT_POLICY, POLICIES
 
 Unit = Literal["request", "key", "tenant", "time"]
@@ -95,7 +96,7 @@
 def parse_experiment(raw: bytes, path: str, classes: Sequence[str] | None = None) -> Experiment:
     """Parse an experiment's file, and check it against the settings' classes, if given.
 
-    Raises `FleetError`.
+    Raises `FleetError` for a file of another form, and `ExperimentError`, which is one, for contradictions.
     """
     experiment = read_toml(raw, path, Experiment)
     validate_experiment(experiment, path, classes)
@@ -103,7 +104,7 @@
 
 
 def validate_experiment(experiment: Experiment, path: str, classes: Sequence[str] | None = None) -> None:
-    """Raise `FleetError`, one line, for a definition that contradicts itself or the settings' classes."""
+    """Raise `ExperimentError` for a definition that contradicts itself or the settings' classes."""
     _validate_arms(experiment, path)
     _validate_classes(experiment, path, classes)
     _validate_times(experiment, path)
@@ -115,42 +116,44 @@
     for index, arm in enumerate(experiment.arms):
         arm_path = f"{path}: arms[{index}]"
         if names.count(arm.name) > 1:
-            raise FleetError(f"{arm_path}.name: '{arm.name}' is there twice; names must differ")
+            raise ExperimentError(f"{arm_path}.name: '{arm.name}' is there twice; names must differ")
         if arm.policy not in known:
-            raise FleetError(f"{arm_path}.policy: '{arm.policy}' is none; known are {', '.join(known)}")
+            raise ExperimentError(f"{arm_path}.policy: '{arm.policy}' is none; known are {', '.join(known)}")
     total = math.fsum(arm.part for arm in experiment.arms)
     if total > 1 + PART_TOLERANCE:
-        raise FleetError(f"{path}: arms: parts add up to {total:g}, over 1; make them smaller")
+        raise ExperimentError(f"{path}: arms: parts add up to {total:g}, over 1; make them smaller")
 
 
 def _validate_classes(experiment: Experiment, path: str, classes: Sequence[str] | None) -> None:
     for name in experiment.classes:
         if experiment.classes.count(name) > 1:
-            raise FleetError(f"{path}: classes: '{name}' is there twice; name each once")
+            raise ExperimentError(f"{path}: classes: '{name}' is there twice; name each once")
         if classes is not None and name not in classes:
-            raise FleetError(f"{path}: classes: '{name}' is no class; known are {', '.join(classes)}")
+            raise ExperimentError(f"{path}: classes: '{name}' is no class; known are {', '.join(classes)}")
 
 
 def _validate_times(experiment: Experiment, path: str) -> None:
     end = experiment.end
     if end.at is None and end.requests is None:
-        raise FleetError(f"{path}: end: neither 'at' nor 'requests'; an experiment must end: give one")
+        raise ExperimentError(f"{path}: end: neither 'at' nor 'requests'; an experiment must end: give one")
     if end.at is not None and end.at.tzinfo is None:
-        raise FleetError(f"{path}: end.at: without a zone; write it with one, as 2027-01-31T12:00:00Z")
+        raise ExperimentError(f"{path}: end.at: without a zone; write it with one, as 2027-01-31T12:00:00Z")
     if experiment.unit == "time" and experiment.settle_ms >= experiment.block_ms:
-        raise FleetError(
+        raise ExperimentError(
             f"{path}: settle_ms: {experiment.settle_ms:g} leaves nothing of a block; "
             f"make it under {experiment.block_ms:g}"
         )
 
 
 def check_matches_running(own: Experiment, stored: bytes, path: str) -> None:
-    """Check that the definition which runs under this name is the own one. Raises `FleetError`."""
+    """Check that the definition which runs under this name is the own one. Raises `ExperimentError`."""
     running = decode_definition(stored)
     if running is None:
-        raise FleetError(f"{path}: name: the fleet's record of '{own.name}' can't be read; choose another")
+        raise ExperimentError(
+            f"{path}: name: the fleet's record of '{own.name}' can't be read; choose another"
+        )
     if running.digest != own.digest:
-        raise FleetError(
+        raise ExperimentError(
             f"{path}: name: '{own.name}' runs as version {running.digest[:8]}, this file is "
             f"{own.digest[:8]}; end that one first or choose another name"
         )
@@ -166,7 +169,7 @@
     try:
         experiment = msgspec.json.decode(value, type=Experiment)
         validate_experiment(experiment, "ledger")
-    except (msgspec.MsgspecError, FleetError):
+    except (msgspec.MsgspecError, ExperimentError):
         return None
     return experiment
 
@@ -178,9 +181,11 @@
     policy get numbers that no placement has: the rollout policy chooses, and each arm still has its own
     label.
     """
-    placed = [index for index, arm in enumerate(experiment.arms) if arm.policy != DEFAULT_POLICY]
-    order = placed + [index for index in range(len(experiment.arms)) if index not in placed]
-    return tuple(order.index(index) + 1 for index in range(len(experiment.arms)))
+    arms = range(len(experiment.arms))
+    placed = [arm for arm in arms if experiment.arms[arm].policy != DEFAULT_POLICY]
+    others = [arm for arm in arms if experiment.arms[arm].policy == DEFAULT_POLICY]
+    order = placed + others
+    return tuple(order.index(arm) + 1 for arm in arms)
 
 
 def build_placements(experiment: Experiment, seed: int) -> tuple[Placement, ...]:
@@ -193,4 +198,7 @@
         for index, arm in enumerate(experiment.arms)
         if arm.policy != DEFAULT_POLICY
     ]
-    return (built[0], *built) if built else ()
+    if not built:
+        return ()
+    unused = built[0]  # at the index of unlabelled requests
+    return (unused, *built)
--- a/meadowpulley/placement/differences_in_q.py
+++ b/meadowpulley/placement/differences_in_q.py
@@ -16,11 +16,14 @@
 import numpy as np
 import numpy.typing as npt
 
+from meadowpulley.placement.metrics import BASELINE_ARM
 from meadowpulley.placement.time_bins import LOOKAHEAD_BINS, TimeBin
 
 WARMUP_BINS = 20  # before which no expectation of Q is fitted
 RIDGE = 1e-6  # added to the normalized moments' diagonal, so that the plane is always defined
 MIN_SCALE = 1e-9
+PLANE_COEFFICIENTS = 3  # a constant, the outstanding requests at the bin's start, the arrivals in its reach
+ARRIVALS = 2  # column of the arrivals among the regressors
 
 Floats = npt.NDArray[np.float64]
 
@@ -75,25 +78,30 @@
     """Return each bin's Q less its expectation, from the fleet's sums by bin; nan where it is not known."""
     q = np.stack((_sum_ahead(cost_ms), _sum_ahead(outstanding_ms)), axis=1)
     regressors = np.stack((np.ones(len(accepted)), outstanding_at_start, _sum_ahead(accepted)), axis=1)
-    known = ~np.isnan(regressors[:, 2])
-    known_regressors = np.where(known[:, None], regressors, 0.0)
-    known_q = np.where(known[:, None], q, 0.0)
-    moments = np.cumsum(known_regressors[:, :, None] * known_regressors[:, None, :], axis=0)
-    products = np.cumsum(known_regressors[:, :, None] * known_q[:, None, :], axis=0)
     residuals = np.full_like(q, np.nan)
     first = WARMUP_BINS + LOOKAHEAD_BINS + 1
     if len(regressors) > first + LOOKAHEAD_BINS:
-        # What was known before a bin: the bins whose reach ended before it began.
-        past = slice(first - LOOKAHEAD_BINS - 1, len(regressors) - LOOKAHEAD_BINS - 1)
-        planes = _fit_planes(moments[past], products[past])
+        planes = _planes_from_past(regressors, q, first)
         residuals[first:] = q[first:] - np.einsum("bi,bik->bk", regressors[first:], planes)
-    return QResiduals(residuals[:, 0], residuals[:, 1])
+    return QResiduals(by_cost=residuals[:, 0], by_outstanding=residuals[:, 1])
+
+
+def _planes_from_past(regressors: Floats, q: Floats, first: int) -> Floats:
+    """Return a plane for each bin from `first` on, fitted to the bins whose reach ended before it began."""
+    known = ~np.isnan(regressors[:, ARRIVALS])
+    known_regressors = np.where(known[:, None], regressors, 0.0)
+    known_q = np.where(known[:, None], q, 0.0)
+    moments = np.cumsum(known_regressors[:, :, None] * known_regressors[:, None, :], axis=0)
+    products = np.cumsum(known_regressors[:, :, None] * known_q[:, None, :], axis=0)
+    past = slice(first - LOOKAHEAD_BINS - 1, len(regressors) - LOOKAHEAD_BINS - 1)
+    return _fit_planes(moments[past], products[past])
 
 
 def _fit_planes(moments: Floats, products: Floats) -> Floats:
     """Return the coefficients of a least-squares plane for each bin, with a slight ridge penalty."""
     scale = np.sqrt(np.einsum("bii->bi", moments)) + MIN_SCALE
-    normalized = moments / (scale[:, :, None] * scale[:, None, :]) + RIDGE * np.eye(3)
+    penalty = RIDGE * np.eye(PLANE_COEFFICIENTS)
+    normalized = moments / (scale[:, :, None] * scale[:, None, :]) + penalty
     coefficients = np.linalg.solve(normalized, products / scale[:, :, None]) / scale[:, :, None]
     return np.asarray(coefficients)
 
@@ -106,8 +114,10 @@
     `arm_probability` is the arm's probability among itself and the baseline.
     """
     known = ~np.isnan(residuals.by_cost)
-    in_arm, in_baseline = arm_counts[known], baseline_counts[known]
-    by_cost, by_outstanding = residuals.by_cost[known], residuals.by_outstanding[known]
+    in_arm = arm_counts[known]
+    in_baseline = baseline_counts[known]
+    by_cost = residuals.by_cost[known]
+    by_outstanding = residuals.by_outstanding[known]
     signed = in_arm / arm_probability - in_baseline / (1 - arm_probability)
     squared = in_arm / arm_probability**2 + in_baseline / (1 - arm_probability) ** 2
     return GroupSums(
@@ -126,24 +136,28 @@
 ) -> dict[int, GroupSums]:
     """Return the sums of an arm against the baseline, by group of units."""
     time_bins = fill_gaps(bins)
-
     residuals = q_residuals(
         _column(time_bins, lambda time_bin: time_bin.accepted[metric]),
         _column(time_bins, lambda time_bin: time_bin.cost_ms[metric]),
         _column(time_bins, lambda time_bin: time_bin.outstanding_ms[metric]),
         _column(time_bins, lambda time_bin: time_bin.outstanding_at_start[metric]),
     )
-    groups = sorted(
-        {group for time_bin in bins for group, of_arm in time_bin.arm_counts if of_arm in (0, arm)}
-    )
     sums = {}
-    for group in groups:
+    for group in _groups_of(bins, arm):
         arm_counts = _compared_counts(time_bins, group, arm, arm)
-        baseline_counts = _compared_counts(time_bins, group, 0, arm)
+        baseline_counts = _compared_counts(time_bins, group, BASELINE_ARM, arm)
         sums[group] = group_sums(residuals, arm_counts, baseline_counts, arm_probability)
     return sums
 
 
+def _groups_of(bins: Sequence[TimeBin], arm: int) -> list[int]:
+    """Return the groups that have requests of an arm or of the baseline."""
+    groups: set[int] = set()
+    for time_bin in bins:
+        groups.update(group for group, of_arm in time_bin.arm_counts if of_arm in (BASELINE_ARM, arm))
+    return sorted(groups)
+
+
 def _column(time_bins: Sequence[TimeBin | None], read: Callable[[TimeBin], float]) -> Floats:
     return np.array([0.0 if time_bin is None else float(read(time_bin)) for time_bin in time_bins])
 
--- a/meadowpulley/placement/guard.py
+++ b/meadowpulley/placement/guard.py
@@ -10,17 +10,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from meadowpulley.placement.confidence import Estimate
 from meadowpulley.placement.definition import Experiment
 from meadowpulley.placement.estimate import (
-    Estimate,
     estimate_mixed,
     estimate_naive,
     estimate_switchback,
     mean_cost_ms,
 )
 from meadowpulley.placement.merged_counters import MergedCounters
+from meadowpulley.placement.metrics import ALL_CLASSES_METRIC, BASELINE_ARM
 
 MAX_ALPHA = 0.5  # a confidence sequence has no level below that
+SIDES = 2  # of a confidence sequence; only harm counts, so that one side may have the whole alpha
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,30 +33,42 @@
 
 def harm_reason(experiment: Experiment, merged: MergedCounters, arm: int) -> str:
     """Return the reason, in one line, for ending an arm; empty if nothing shows that it should."""
-    guard = experiment.guard
     measures = _measures(experiment, merged, arm)
-    # One-sided, as only harm counts, and shared by all measures and arms.
-    alpha = 2 * guard.alpha / (len(measures) * (len(experiment.arms) - 1))
+    alpha = _alpha_of_each(experiment, len(measures))
+    margin_ms = experiment.guard.worse * mean_cost_ms(merged, BASELINE_ARM, ALL_CLASSES_METRIC)
     for measure in measures:
-        estimate = measure.estimate(min(alpha, MAX_ALPHA))
-        margin = guard.worse * mean_cost_ms(merged, 0, 0)
-        if estimate.sequence_low > margin:
+        estimate = measure.estimate(alpha)
+        if estimate.sequence_low > margin_ms:
             unit = "blocks" if experiment.unit == "time" else "requests"
             return (
                 f"arm '{experiment.arms[arm].name}' is worse {measure.name} by "
-                f"{estimate.sequence_low:.0f} ms or more, margin {margin:.0f} ms, "
+                f"{estimate.sequence_low:.0f} ms or more, margin {margin_ms:.0f} ms, "
                 f"after {estimate.sample_size} {unit}"
             )
     return ""
 
 
+def _alpha_of_each(experiment: Experiment, measure_count: int) -> float:
+    """Divide the guard's alpha among all measures of all arms (Bonferroni), as alphas of two sides."""
+    compared_arms = len(experiment.arms) - 1
+    alpha = SIDES * experiment.guard.alpha / (measure_count * compared_arms)
+    return min(alpha, MAX_ALPHA)
+
+
 def _measures(experiment: Experiment, merged: MergedCounters, arm: int) -> list[_Measure]:
+    def naive(alpha: float) -> Estimate:
+        """Compare the arms' means."""
+        return estimate_naive(merged, arm, ALL_CLASSES_METRIC, alpha)
+
+    def mixed(alpha: float) -> Estimate:
+        """Compare the arms with what their requests cost others."""
+        probability = experiment.relative_probability(arm)
+        return estimate_mixed(merged, arm, ALL_CLASSES_METRIC, alpha, probability)
+
+    def switchback(alpha: float) -> Estimate:
+        """Compare the arms' time blocks."""
+        return estimate_switchback(merged, arm, ALL_CLASSES_METRIC, alpha)
+
     if experiment.unit == "time":  # requests of one block share an arm: blocks are compared
-        return [_Measure("by time blocks", lambda alpha: estimate_switchback(merged, arm, 0, alpha))]
-    probability = experiment.relative_probability(arm)
-    return [
-        _Measure("as measured", lambda alpha: estimate_naive(merged, arm, 0, alpha)),
-        _Measure(
-            "with what it costs others", lambda alpha: estimate_mixed(merged, arm, 0, alpha, probability)
-        ),
-    ]
+        return [_Measure("by time blocks", switchback)]
+    return [_Measure("as measured", naive), _Measure("with what it costs others", mixed)]
--- a/meadowpulley/placement/merged_counters.py
+++ b/meadowpulley/placement/merged_counters.py
@@ -13,7 +13,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from meadowpulley.placement.arm_counters import count_outcome, new_histogram
+from meadowpulley.placement.arm_counters import ArmAndClass, count_outcome, new_histogram
 from meadowpulley.placement.counter_records import (
     AdoptedCompletion,
     BlockCosts,
@@ -28,16 +28,16 @@
 
 @dataclass
 class MergedCounters:
-    """The counters of all incarnations together, by (arm, class) unless said otherwise."""
+    """The counters of all incarnations together, by arm and class unless said otherwise."""
 
     incarnations: int = 0
     unassigned: int = 0
     withheld: int = 0
     adopted: int = 0
-    cells: dict[tuple[int, int], OutcomeCounts] = field(default_factory=dict)
-    histograms: dict[tuple[int, int], HdrHistogram] = field(default_factory=dict)
-    open_requests: Counter[tuple[int, int]] = field(default_factory=Counter)
-    lost: Counter[tuple[int, int]] = field(default_factory=Counter)
+    cells: dict[ArmAndClass, OutcomeCounts] = field(default_factory=dict)
+    histograms: dict[ArmAndClass, HdrHistogram] = field(default_factory=dict)
+    open_requests: Counter[ArmAndClass] = field(default_factory=Counter)
+    lost: Counter[ArmAndClass] = field(default_factory=Counter)
     moments: dict[tuple[int, int, int], CostMoments] = field(default_factory=dict)  # (group, arm, class)
     bins: list[TimeBin] = field(default_factory=list)
     blocks: dict[tuple[int, int], BlockCosts] = field(default_factory=dict)  # (block, class)
@@ -78,10 +78,7 @@
     """
     latest = latest_by_incarnation(records)
     merged = MergedCounters(bins=list(bins))
-    open_by_incarnation = {
-        incarnation: {request.number: request for request in record.open_requests}
-        for incarnation, record in latest.items()
-    }
+    open_by_incarnation = {incarnation: _open_requests(record) for incarnation, record in latest.items()}
     for _, record in sorted(latest.items()):
         _add_record(merged, record, quantiles)
     for completion in _first_completions(latest):
@@ -91,6 +88,10 @@
     return merged
 
 
+def _open_requests(record: CountersRecord) -> dict[int, OpenRequest]:
+    return {request.number: request for request in record.open_requests}
+
+
 def _add_record(merged: MergedCounters, record: CountersRecord, quantiles: bool) -> None:
     merged.incarnations += 1
     merged.unassigned += record.unassigned
@@ -133,9 +134,9 @@
             return  # that incarnation saw the end itself, and counted it
         open_requests.pop(completion.number, None)
     merged.adopted += 1
-    arm, class_index = completion.arm, completion.class_index
-    count_outcome(merged.cells, merged.histograms, arm, class_index, completion.ending, completion.cost_ms)
-    merged.moments_of(completion.group, arm, class_index).add_request(completion.cost_ms)
+    arm_and_class = (completion.arm, completion.class_index)
+    count_outcome(merged.cells, merged.histograms, arm_and_class, completion.ending, completion.cost_ms)
+    merged.moments_of(completion.group, *arm_and_class).add_request(completion.cost_ms)
 
 
 def _add_open(
@@ -143,9 +144,10 @@
 ) -> None:
     """Count requests as open, or, where `deadlines_ms` are given, as lost at the cost of their deadlines."""
     for request in open_requests:
-        arm, class_index = request.arm, request.class_index
+        arm_and_class = (request.arm, request.class_index)
         if deadlines_ms is None:
-            merged.open_requests[arm, class_index] += 1
+            merged.open_requests[arm_and_class] += 1
         else:
-            merged.lost[arm, class_index] += 1
-            merged.moments_of(request.group, arm, class_index).add_request(deadlines_ms[class_index])
+            merged.lost[arm_and_class] += 1
+            moments = merged.moments_of(request.group, *arm_and_class)
+            moments.add_request(deadlines_ms[request.class_index])
--- a/meadowpulley/placement/policies.py
+++ b/meadowpulley/placement/policies.py
@@ -17,7 +17,8 @@
 
 DEFAULT_POLICY = "own"  # the rollout policy's own choice, which is the baseline
 MAX_UINT64 = 2**64 - 1
-MIN_SLOW_START_FRACTION = 1e-3
+MIN_SLOW_START_FRACTION = 1e-3  # in weights: a server that only begins is not left out
+SERVER_NUMBER_BITS = 31
 
 
 def choice_rng(seed: int, now: float, request: Request) -> Random:
@@ -62,7 +63,8 @@
     """In turn by the servers' numbers, beginning after the server that was preferred last."""
 
     def __init__(self, seed: int) -> None:
-        self.last_server = Random(seed).getrandbits(31)  # gateways begin at different servers
+        # Gateways begin at different servers.
+        self.last_server = Random(seed).getrandbits(SERVER_NUMBER_BITS)
 
     def __call__(self, now: float, request: Request, servers: Sequence[Candidate]) -> Sequence[int]:
         """Return the servers' indices in order of preference."""
--- a/meadowpulley/placement/record_writer.py
+++ b/meadowpulley/placement/record_writer.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import Flag, auto
 
 from meadowpulley.ledger.model import (
     Commit,
@@ -15,29 +16,64 @@
     TransactionResult,
 )
 from meadowpulley.placement.definition import Experiment
+from meadowpulley.placement.record_names import DEFINITION, counters_name
 
 OWNER = "placement"  # of this package's commits
-DEFINITION = "running"  # names of records, as `ledger_key` maps them to keys
-FINISHED = "over"
-_COUNTERS = "count"  # of the own counters: the only record that is written more than once
+SETTLED_OUTCOMES = (TransactionOutcome.COMMITTED, TransactionOutcome.CONFLICT)
+
+
+class WriteObstacle(Flag):
+    """Why this incarnation commits nothing."""
+
+    LEDGER_UNREAD = auto()  # the ledger has not said what it holds
+    LEDGER_UNAVAILABLE = auto()
+    FENCED = auto()  # for good: this incarnation has ended in the ledger
+
+
+IGNORANT = WriteObstacle.LEDGER_UNREAD | WriteObstacle.FENCED  # of arms that have ended
 
 
 class RecordWriter:
-    """Writes one gateway's records of one experiment.
+    """Writes one gateway's records of one experiment; `incarnation` names the own counters.
 
     `emit` is called with each commit, whose result is passed to `on_committed`.
     """
 
-    def __init__(self, experiment: Experiment, emit: Callable[[Commit], None]) -> None:
-        self.experiment, self._emit = experiment, emit
-        self.ledger_read = False  # whether the ledger has said what it holds
-        self.ledger_lost = False
-        self.fenced = False  # this incarnation can commit nothing any more
-        self.recorded: set[str] = set()  # records that the ledger holds for good
+    def __init__(self, experiment: Experiment, incarnation: str, emit: Callable[[Commit], None]) -> None:
+        self.experiment = experiment
+        self.obstacles = WriteObstacle.LEDGER_UNREAD
+        self.recorded: set[str] = set()  # names of records that the ledger holds for good
         self.unwritten_segments: dict[str, bytes] = {}
+        self._emit = emit
+        self._counters_name = counters_name(incarnation)  # the only record that is written more than once
+        self._counters_version = 0
         self._pending: dict[int, str] = {}  # names of the records in flight, by ticket
         self._last_ticket = 0
-        self._counters_version = 0
+
+    # The ledger's state
+
+    @property
+    def knows_ended_arms(self) -> bool:
+        """Whether this incarnation has read the ledger and is not fenced; the ledger may be unavailable."""
+        return not self.obstacles & IGNORANT
+
+    def on_ledger_read(self) -> None:
+        """Take up that the ledger has said what it holds."""
+        self.obstacles &= ~(WriteObstacle.LEDGER_UNREAD | WriteObstacle.LEDGER_UNAVAILABLE)
+
+    def on_ledger_unavailable(self) -> None:
+        """Commit nothing until the ledger has recovered."""
+        self.obstacles |= WriteObstacle.LEDGER_UNAVAILABLE
+
+    def on_ledger_recovered(self) -> None:
+        """Commit again."""
+        self.obstacles &= ~WriteObstacle.LEDGER_UNAVAILABLE
+
+    def on_fenced(self) -> None:
+        """Commit nothing any more."""
+        self.obstacles |= WriteObstacle.FENCED
+
+    # Writes
 
     def ledger_key(self, name: str) -> str:
         """Return the ledger's key of a record."""
@@ -48,10 +84,13 @@
         if name not in self.recorded:
             self._commit(name, Create(self.ledger_key(name), value))
 
-    def write_counters(self, incarnation: str, value: bytes) -> None:
+    def write_counters(self, value: bytes) -> None:
         """Write the next revision of the own counters."""
-        key, version = self.ledger_key(f"{_COUNTERS}/{incarnation}"), self._counters_version
-        self._commit(_COUNTERS, Replace(key, value, version) if version else Create(key, value))
+        key = self.ledger_key(self._counters_name)
+        if self._counters_version:
+            self._commit(self._counters_name, Replace(key, value, self._counters_version))
+        else:
+            self._commit(self._counters_name, Create(key, value))
 
     def add_segment(self, name: str, value: bytes) -> None:
         """Keep a segment of bins, to be written until the ledger has it."""
@@ -63,22 +102,23 @@
             self.write_once(name, value)
 
     def _commit(self, name: str, write: Create | Replace) -> None:
-        can_commit = self.ledger_read and not (self.ledger_lost or self.fenced)
-        if not can_commit or name in self._pending.values():
+        if self.obstacles or name in self._pending.values():
             return
         self._last_ticket += 1
         self._pending[self._last_ticket] = name
         self._emit(Commit(self._last_ticket, (Transaction((write,)),), OWNER))
 
+    # Results
+
     def on_committed(self, event: CommitCompleted) -> Record | None:
         """Process the result of a commit; return the record that conflicts with a write, if any."""
-        name, result = self._pending.pop(event.ticket, ""), event.results[0]
-        is_settled = result.outcome in (TransactionOutcome.COMMITTED, TransactionOutcome.CONFLICT)
-        if is_settled:  # a conflict is with an own earlier write whose result was lost
+        name = self._pending.pop(event.ticket, "")
+        result = event.results[0]
+        if result.outcome in SETTLED_OUTCOMES:  # a conflict is with an own write whose result was lost
             self.unwritten_segments.pop(name, None)
         if result.outcome is TransactionOutcome.FENCED:
-            self.fenced = True
-        elif name == _COUNTERS:
+            self.on_fenced()
+        elif name == self._counters_name:
             self._on_counters_written(result)
         elif result.outcome is TransactionOutcome.CONFLICT:
             return result.existing
--- a/meadowpulley/placement/request_tracker.py
+++ b/meadowpulley/placement/request_tracker.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
 from dataclasses import dataclass, replace
 
 from meadowpulley.interface import Request, Settings
@@ -18,6 +17,7 @@
 from meadowpulley.placement.origins import LocalOrigins, OriginLookup, RequestOrigin
 from meadowpulley.placement.time_bins import BinRecorder
 
+NO_GROUP = 0  # of requests in no arm
 UNLABELLED = 0  # `Request.arm` of a request that the rollout policy places itself
 
 
@@ -30,8 +30,8 @@
     class_index: int  # in the order of the experiment's classes
     group: int
     number: int  # as its first incarnation counts it
-    origin: RequestOrigin | None  # of an adopted request
-    bin_number: int | None
+    bin_number: int | None  # None: it is in no time bin
+    origin: RequestOrigin | None = None  # of an adopted request
 
 
 class RequestTracker:
@@ -50,7 +50,8 @@
     ) -> None:
         names = [request_class.name for request_class in settings.classes]
         class_names = experiment.classes or tuple(names)
-        self.experiment, self.incarnation = experiment, str(incarnation)
+        self.experiment = experiment
+        self.incarnation = str(incarnation)
         self.clock_offset_ms = clock_offset_ms
         self.origins = origins or LocalOrigins()
         self.class_indices = {names.index(name): index for index, name in enumerate(class_names)}
@@ -62,13 +63,19 @@
         self.counters = ArmCounters(self.incarnation)
         self.bin_recorder = BinRecorder(self.incarnation, 1 + len(class_names), experiment.carry_ms)
         self.tracked: dict[int, TrackedRequest] = {}
+        self.ended_arms: set[int] = set()
 
     # Accepted requests
 
-    def label(self, now: float, request: Request, paused: bool, ended_arms: Collection[int]) -> Request:
+    def end_arm(self, arm: int) -> None:
+        """Give no request to an arm any more."""
+        self.ended_arms.add(arm)
+        self.bin_recorder.end_arm(arm)
+
+    def label(self, now: float, request: Request, paused: bool) -> Request:
         """Return the request with its arm's label, and track it if it is of the experiment's classes.
 
-        While assignment is `paused` new requests are in no arm; nor are those of `ended_arms`.
+        While assignment is `paused` new requests are in no arm; nor are those of ended arms.
         """
         class_index = self.class_indices.get(request.class_index)
         if class_index is None:
@@ -77,29 +84,23 @@
         if not request.adopted:
             # Nobody adopts a request without an origin: its number, which need not rise, is below 0.
             number = origin.number if origin is not None else -1 - request.request
-            return self._label_own(now, request, class_index, number, paused, ended_arms)
+            return self._label_own(now, request, class_index, number, paused)
         if origin is None:
             return request  # nobody knows whose counters it is in: it stays open there
-        return self._label_adopted(request, class_index, origin, ended_arms)
+        return self._label_adopted(request, class_index, origin)
 
     def _label_own(
-        self,
-        now: float,
-        request: Request,
-        class_index: int,
-        number: int,
-        paused: bool,
-        ended_arms: Collection[int],
+        self, now: float, request: Request, class_index: int, number: int, paused: bool
     ) -> Request:
         unit = self.assignment.unit(request, self.incarnation, number, now + self.clock_offset_ms)
         arm = self.assignment.arm(unit)
-        if paused or arm == NO_ARM or arm in ended_arms:
+        if paused or arm == NO_ARM or arm in self.ended_arms:
             self._track_unassigned(now, request, class_index, number, paused)
             return request
         group = self.assignment.group(unit)
         self.counters.record_accepted(OpenRequest(number, arm, class_index, group))
         bin_number = self._record_in_bin(now, arm, class_index, group)
-        self.tracked[request.request] = TrackedRequest(now, arm, class_index, group, number, None, bin_number)
+        self.tracked[request.request] = TrackedRequest(now, arm, class_index, group, number, bin_number)
         return replace(request, arm=self.labels[arm])
 
     def _track_unassigned(
@@ -110,12 +111,10 @@
         else:
             self.counters.record.unassigned += 1
         self.counters.note_number(number)
-        bin_number = self._record_in_bin(now, NO_ARM, class_index, 0)
-        self.tracked[request.request] = TrackedRequest(now, NO_ARM, class_index, 0, number, None, bin_number)
+        bin_number = self._record_in_bin(now, NO_ARM, class_index, NO_GROUP)
+        self.tracked[request.request] = TrackedRequest(now, NO_ARM, class_index, NO_GROUP, number, bin_number)
 
-    def _label_adopted(
-        self, request: Request, class_index: int, origin: RequestOrigin, ended_arms: Collection[int]
-    ) -> Request:
+    def _label_adopted(self, request: Request, class_index: int, origin: RequestOrigin) -> Request:
         shared_time_ms = origin.accepted_ms + self.clock_offset_ms
         unit = self.assignment.unit(request, origin.incarnation, origin.number, shared_time_ms)
         has_label = request.arm in self.labels
@@ -124,9 +123,9 @@
             return request
         group = self.assignment.group(unit)
         self.tracked[request.request] = TrackedRequest(
-            origin.accepted_ms, arm, class_index, group, origin.number, origin, None
+            origin.accepted_ms, arm, class_index, group, origin.number, bin_number=None, origin=origin
         )
-        return replace(request, arm=UNLABELLED if arm in ended_arms else self.labels[arm])
+        return replace(request, arm=UNLABELLED if arm in self.ended_arms else self.labels[arm])
 
     def _record_in_bin(self, now: float, arm: int, class_index: int, group: int) -> int | None:
         if self.experiment.unit == "time" or self.bin_recorder.is_full:
@@ -159,13 +158,13 @@
         self, tracked: TrackedRequest, origin: RequestOrigin, ending: RequestEnding, cost_ms: float
     ) -> None:
         completion = AdoptedCompletion(
-            origin.incarnation,
-            origin.number,
-            tracked.arm,
-            tracked.class_index,
-            tracked.group,
-            ending,
-            cost_ms,
+            incarnation=origin.incarnation,
+            number=origin.number,
+            arm=tracked.arm,
+            class_index=tracked.class_index,
+            group=tracked.group,
+            ending=ending,
+            cost_ms=cost_ms,
         )
         self.counters.record.adopted_completions.append(completion)
 
@@ -179,7 +178,8 @@
 
     def disconnect(self, now: float, request: int) -> None:
         """Count the end of a request that its client, or another gateway, took away."""
-        departure, tracked = self.origins.departure(request), self.tracked.get(request)
+        departure = self.origins.departure(request)
+        tracked = self.tracked.get(request)
         if departure == "gone" or tracked is None:
             self.end(now, request, RequestEnding.DISCONNECTED)
             return
--- a/meadowpulley/placement/stage.py
+++ b/meadowpulley/placement/stage.py
@@ -10,11 +10,12 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable
-from typing import Any
+from typing import TypeAlias
 
 from meadowpulley.interface import (
+    Action,
     ClientDisconnected,
+    Event,
     ExperimentArmEnded,
     ExperimentArmHarmful,
     ExperimentFinished,
@@ -32,6 +33,7 @@
 )
 from meadowpulley.ledger.lease_manager import Stage
 from meadowpulley.ledger.model import (
+    Commit,
     CommitCompleted,
     Fenced,
     Incarnation,
@@ -39,26 +41,50 @@
     LedgerChanged,
     LedgerRecovered,
     LedgerUnavailable,
-    Member,
     Record,
+    ScanCompleted,
 )
-from meadowpulley.placement.counter_records import CountersRecord, RequestEnding, decode_counters
+from meadowpulley.placement.counter_records import RequestEnding, decode_counters
 from meadowpulley.placement.definition import (
     Experiment,
     decode_definition,
     encode_definition,
     validate_experiment,
 )
+from meadowpulley.placement.fleet_view import FleetView
 from meadowpulley.placement.guard import harm_reason
-from meadowpulley.placement.merged_counters import MergedCounters, merge_counters
+from meadowpulley.placement.merged_counters import MergedCounters
+from meadowpulley.placement.metrics import BASELINE_ARM
 from meadowpulley.placement.origins import OriginLookup
-from meadowpulley.placement.record_writer import DEFINITION, FINISHED, OWNER, RecordWriter
+from meadowpulley.placement.record_names import (
+    COUNTERS,
+    DEFINITION,
+    ENDED_ARMS,
+    FINISHED,
+    SEGMENTS,
+    ended_arm_name,
+    segment_name,
+)
+from meadowpulley.placement.record_writer import OWNER, RecordWriter, WriteObstacle
 from meadowpulley.placement.request_tracker import RequestTracker
-from meadowpulley.placement.time_bins import BINS_PER_SEGMENT, BinTotals, decode_segment, encode_segment
+from meadowpulley.placement.time_bins import BINS_PER_SEGMENT, decode_segment, encode_segment
 
 TIMER_TOKEN = 4
 CHECK_INTERVAL_MS = 2000.0  # between two evaluations, each with a write of the counters
 MAX_BLOCKS = 512  # time blocks of a switchback: the counters' record names each
+MS_PER_SECOND = 1000
+
+StageEvent: TypeAlias = (
+    Event
+    | CommitCompleted
+    | ScanCompleted
+    | LedgerChanged
+    | LeaseExpired
+    | LedgerUnavailable
+    | LedgerRecovered
+    | Fenced
+)
+StageAction: TypeAlias = Action | Commit
 
 
 class PlacementStage:
@@ -67,7 +93,7 @@
     `clock_offset_ms` is added to this gateway's time to get the one that gateways share (Unix time in ms);
     `origins` is what is known of requests that other incarnations had or will have.
 
-    Raises `FleetError`, one line, for a definition that names a class which the settings lack.
+    Raises `ExperimentError` for a definition that names a class which the settings lack.
     """
 
     def __init__(
@@ -81,20 +107,19 @@
     ) -> None:
         names = [request_class.name for request_class in settings.classes]
         validate_experiment(experiment, f"experiment '{experiment.name}'", names)
-        self.inner, self.experiment, self.incarnation = inner, experiment, incarnation
+        self.inner = inner
+        self.experiment = experiment
+        self.incarnation = incarnation
         self.clock_offset_ms = clock_offset_ms
         self.tracker = RequestTracker(experiment, settings, incarnation, clock_offset_ms, origins)
-        self.writer = RecordWriter(experiment, self._emit)
-        self.bin_totals = BinTotals()  # of all incarnations, as far as observed
-        self.other_records: dict[str, CountersRecord] = {}  # of other incarnations, as far as observed
-        self.fenced_incarnations: set[str] = set()
-        self.live_gateways: set[str] = set()  # by name
+        self.writer = RecordWriter(experiment, str(incarnation), self._emit)
+        self.fleet = FleetView(incarnation, self.tracker.assignment)
         self.ended_arms: dict[int, str] = {}  # and why they ended
         self.finished = False
         self.definition_conflict = False  # another version runs under this name
         self.rolling_back = False
         self.next_check_at = -math.inf
-        self._actions: list[Any] = []
+        self._actions: list[StageAction] = []
 
     @property
     def origins(self) -> OriginLookup:
@@ -106,7 +131,7 @@
         """Set the lookup of the origins of requests."""
         self.tracker.origins = origins
 
-    def handle(self, now: float, event: Any) -> list[Any]:
+    def handle(self, now: float, event: StageEvent) -> list[StageAction]:
         """Return the actions that follow from an event at `now` (ms), of this stage and the next ones."""
         self._actions = []
         if isinstance(event, CommitCompleted) and event.owner == OWNER:
@@ -118,18 +143,20 @@
         if self.next_check_at == -math.inf:
             self._schedule_check(now)
         self._observe(event)
-        passed = self._label(now, event) if isinstance(event, Request) else event
-        self._actions += self.inner.handle(now, passed)
+        if isinstance(event, Request):
+            self._actions += self.inner.handle(now, self._label(now, event))
+        else:
+            self._actions += self.inner.handle(now, event)
         self._count_endings(now, event)
         return self._actions
 
-    def shut_down(self, now: float) -> list[Any]:
+    def shut_down(self, now: float) -> list[StageAction]:
         """Write what was counted since the last revision, at a graceful shutdown."""
         self._actions = []
         self._write_counters(now)
         return self._actions
 
-    def _emit(self, action: Any) -> None:
+    def _emit(self, action: StageAction) -> None:
         self._actions.append(action)
 
     # Requests
@@ -137,12 +164,12 @@
     @property
     def assignment_paused(self) -> bool:
         """Whether new requests are in no arm for now."""
-        return not self.writer.ledger_read or self.finished or self.writer.fenced or self.rolling_back
+        return self.finished or self.rolling_back or not self.writer.knows_ended_arms
 
     def _label(self, now: float, request: Request) -> Request:
-        return self.tracker.label(now, request, self.assignment_paused, self.ended_arms)
+        return self.tracker.label(now, request, self.assignment_paused)
 
-    def _count_endings(self, now: float, event: Any) -> None:
+    def _count_endings(self, now: float, event: StageEvent) -> None:
         """Count the requests that ended, by the event and by what was decided on it."""
         if isinstance(event, Outcome) and event.request_complete:
             served = event.result is Result.OK
@@ -158,42 +185,33 @@
 
     # What is observed
 
-    def _observe(self, event: Any) -> None:
+    def _observe(self, event: StageEvent) -> None:
         if isinstance(event, RolloutUpdate) and event.result is Result.OK:
             self.rolling_back = event.phase is Phase.ROLLING_BACK
         elif isinstance(event, LedgerChanged):
-            self.writer.ledger_read, self.writer.ledger_lost = True, False
-            self._observe_members(event.changes.members)
+            self.writer.on_ledger_read()
+            self.fleet.observe_members(event.changes.members)
             for record in event.changes.records:
                 self._observe_record(record)
         elif isinstance(event, LeaseExpired):
-            self._observe_members(event.members)
+            self.fleet.observe_members(event.members)
         elif isinstance(event, LedgerUnavailable):
-            self.writer.ledger_lost = True
+            self.writer.on_ledger_unavailable()
         elif isinstance(event, LedgerRecovered):
-            self.writer.ledger_lost = False
+            self.writer.on_ledger_recovered()
         elif isinstance(event, Fenced):
-            self.writer.fenced = True
-
-    def _observe_members(self, members: Iterable[Member]) -> None:
-        for member in members:
-            if member.fenced:
-                self.fenced_incarnations.add(str(member.incarnation))
-                self.live_gateways.discard(member.incarnation.name)
-            else:
-                self.live_gateways.add(member.incarnation.name)
+            self.writer.on_fenced()
 
     @property
     def is_evaluator(self) -> bool:
         """Whether it is this gateway that judges by the counters of all."""
-        own_name, rank = self.incarnation.name, self.tracker.assignment.evaluator_rank
-        return own_name == min(self.live_gateways | {own_name}, key=lambda name: (rank(name), name))
+        return self.fleet.is_evaluator
 
     def watched_prefixes(self) -> tuple[str, ...]:
         """Return the prefixes of the ledger's keys whose changes this stage must be sent now."""
         key = self.experiment.record_key
-        own_prefixes = (self.experiment.definition_key, key("ended/"), key(FINISHED))
-        return (*own_prefixes, key("count/"), key("bins/")) if self.is_evaluator else own_prefixes
+        own_prefixes = (self.experiment.definition_key, key(ENDED_ARMS), key(FINISHED))
+        return (*own_prefixes, key(COUNTERS), key(SEGMENTS)) if self.is_evaluator else own_prefixes
 
     def _observe_record(self, record: Record) -> None:
         key = self.experiment.record_key
@@ -202,18 +220,18 @@
         elif record.key == key(FINISHED):
             self.writer.recorded.add(FINISHED)
             self._finish()
-        elif record.key.startswith(key("ended/")):
+        elif record.key.startswith(key(ENDED_ARMS)):
             arm = int(record.key.rpartition("/")[2])
-            self.writer.recorded.add(f"ended/{arm}")
+            self.writer.recorded.add(ended_arm_name(arm))
             self._end_arm(arm, record.value.decode(errors="replace"))
-        elif record.key.startswith(key("bins/")):
+        elif record.key.startswith(key(SEGMENTS)):
             segment = decode_segment(record.value)
             if segment is not None:
-                self.bin_totals.add(segment)
-        elif record.key.startswith(key("count/")) and record.writer != self.incarnation:
+                self.fleet.bin_totals.add(segment)
+        elif record.key.startswith(key(COUNTERS)) and record.writer != self.incarnation:
             counters = decode_counters(record.value)
             if counters is not None:
-                self.other_records[counters.incarnation] = counters
+                self.fleet.other_records[counters.incarnation] = counters
 
     def _observe_definition(self, record: Record) -> None:
         self.writer.recorded.add(DEFINITION)
@@ -233,9 +251,9 @@
         if arm in self.ended_arms:
             return
         self.ended_arms[arm] = reason
-        self.tracker.bin_recorder.end_arm(arm)
+        self.tracker.end_arm(arm)
         self._emit(ExperimentArmEnded(self.experiment.name, self.experiment.arms[arm].name))
-        if len(self.ended_arms) == len(self.experiment.arms) - 1:  # nothing is left to compare
+        if len(self.ended_arms) == len(self._compared_arms):  # nothing is left to compare
             self._finish()
 
     def _on_committed(self, event: CommitCompleted) -> None:
@@ -247,11 +265,12 @@
 
     def merged_counters(self) -> MergedCounters:
         """Return what this gateway knows of all incarnations, its own as of now, without quantiles."""
-        tracker = self.tracker
-        records = [*self.other_records.values(), tracker.counters.snapshot()]
-        ended = self.fenced_incarnations
-        bins = self.bin_totals.complete_bins(ended)
-        return merge_counters(records, ended, tracker.deadlines_ms, bins, quantiles=False)
+        return self.fleet.merge(self.tracker)
+
+    @property
+    def _compared_arms(self) -> range:
+        """All arms but the baseline."""
+        return range(BASELINE_ARM + 1, len(self.experiment.arms))
 
     def _schedule_check(self, now: float) -> None:
         self.next_check_at = now + CHECK_INTERVAL_MS
@@ -266,7 +285,7 @@
         if self.finished:
             self.writer.write_once(FINISHED)
         for arm, reason in self.ended_arms.items():
-            self.writer.write_once(f"ended/{arm}", reason.encode())
+            self.writer.write_once(ended_arm_name(arm), reason.encode())
         self._write_counters(now)
 
     def _apply_guard(self, merged: MergedCounters) -> None:
@@ -275,9 +294,10 @@
         A gateway that is neither the evaluator nor cut off does not evaluate: the false alarms of many would
         add up.
         """
-        if not self.is_evaluator and not self.writer.ledger_lost:
+        is_cut_off = WriteObstacle.LEDGER_UNAVAILABLE in self.writer.obstacles
+        if not self.is_evaluator and not is_cut_off:
             return
-        for arm in range(1, len(self.experiment.arms)):
+        for arm in self._compared_arms:
             if self.finished or arm in self.ended_arms:
                 continue
             reason = harm_reason(self.experiment, merged, arm)
@@ -286,8 +306,9 @@
                 self._end_arm(arm, reason)
 
     def _check_end_condition(self, now: float, merged: MergedCounters) -> None:
-        end, shared_time_ms = self.experiment.end, now + self.clock_offset_ms
-        past_end = end.at is not None and shared_time_ms >= end.at.timestamp() * 1000
+        end = self.experiment.end
+        shared_time_ms = now + self.clock_offset_ms
+        past_end = end.at is not None and shared_time_ms >= end.at.timestamp() * MS_PER_SECOND
         enough_requests = end.requests is not None and merged.requests >= end.requests
         max_blocks = MAX_BLOCKS * len(self.tracker.class_indices)
         if past_end or enough_requests or len(self.tracker.counters.blocks) >= max_blocks:
@@ -297,8 +318,7 @@
 
     def _write_counters(self, now: float) -> None:
         self._write_bins(now)
-        incarnation = str(self.incarnation)
-        self.writer.write_counters(incarnation, self.tracker.counters.encode_next_revision())
+        self.writer.write_counters(self.tracker.counters.encode_next_revision())
 
     def _write_bins(self, now: float) -> None:
         """Write the next segments; each counts here at once, and is written until the ledger has it."""
@@ -307,7 +327,7 @@
             recorder.advance(now + self.clock_offset_ms)
         while (segment := recorder.next_segment()) is not None:
             index = recorder.discarded_bins // BINS_PER_SEGMENT
-            self.bin_totals.add(segment)
-            self.writer.add_segment(f"bins/{self.incarnation}/{index}", encode_segment(segment))
+            self.fleet.bin_totals.add(segment)
+            self.writer.add_segment(segment_name(str(self.incarnation), index), encode_segment(segment))
             recorder.discard_segment()
         self.writer.write_segments()
--- a/meadowpulley/placement/summary.py
+++ b/meadowpulley/placement/summary.py
@@ -10,32 +10,37 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Collection, Iterable, Mapping, Sequence
+from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from types import MappingProxyType
+from typing import TypeVar
 
 from hdrh.histogram import HdrHistogram
 from scipy import stats
 
 from meadowpulley.interface import RequestClass
 from meadowpulley.ledger.model import Member, Record
-from meadowpulley.placement.arm_counters import new_histogram
+from meadowpulley.placement.arm_counters import US_PER_MS, new_histogram
+from meadowpulley.placement.confidence import Estimate
 from meadowpulley.placement.counter_records import CountersRecord, RequestEnding, decode_counters
 from meadowpulley.placement.definition import Experiment
 from meadowpulley.placement.estimate import (
-    Estimate,
     estimate_mixed,
     estimate_naive,
     estimate_switchback,
     mean_cost_ms,
 )
 from meadowpulley.placement.merged_counters import MergedCounters, merge_counters
-from meadowpulley.placement.time_bins import BinSegment, BinTotals, decode_segment
+from meadowpulley.placement.metrics import BASELINE_ARM, metrics_of
+from meadowpulley.placement.record_names import COUNTERS, ENDED_ARMS, SEGMENTS
+from meadowpulley.placement.time_bins import BinSegment, BinTotals, TimeBin, decode_segment
 
 DEFAULT_ALPHA = 0.05
-QUANTILES = (50.0, 90.0, 99.0)
+QUANTILES = (50.0, 90.0, 99.0)  # percentiles
 ALL_CLASSES = ""
 
+Decoded = TypeVar("Decoded")
+
 
 @dataclass(frozen=True, slots=True)
 class ArmResult:
@@ -150,24 +155,12 @@
 
     Records of other versions are left out: `incarnations_by_version` counts them.
     """
-    counters = [
-        counters_record
-        for record in _records_below(records, experiment.record_key("count/"))
-        if (counters_record := decode_counters(record.value)) is not None
-    ]
-    segments = [
-        segment
-        for record in _records_below(records, experiment.record_key("bins/"))
-        if (segment := decode_segment(record.value)) is not None
-    ]
+    counters = _decode_below(records, experiment.record_key(COUNTERS), decode_counters)
+    segments = _decode_below(records, experiment.record_key(SEGMENTS), decode_segment)
     live = {str(member.incarnation) for member in members if not member.fenced}
     known = {counters_record.incarnation for counters_record in counters}
     known |= {segment.incarnation for segment in segments}
-    prefix = experiment.record_key("ended/")
-    end_reasons = {
-        int(record.key.removeprefix(prefix)): record.value.decode(errors="replace")
-        for record in _records_below(records, prefix)
-    }
+    end_reasons = _end_reasons(records, experiment.record_key(ENDED_ARMS))
     return summarize(experiment, classes, counters, known - live, end_reasons, segments=segments)
 
 
@@ -175,6 +168,23 @@
     return [record for record in records if record.key.startswith(prefix)]
 
 
+def _decode_below(
+    records: Iterable[Record], prefix: str, decode: Callable[[bytes], Decoded | None]
+) -> list[Decoded]:
+    """Decode the records below a prefix, without those that can't be decoded."""
+    decoded = [decode(record.value) for record in _records_below(records, prefix)]
+    return [value for value in decoded if value is not None]
+
+
+def _end_reasons(records: Iterable[Record], prefix: str) -> dict[int, str]:
+    """Return why arms were ended, by their indices."""
+    reasons = {}
+    for record in _records_below(records, prefix):
+        arm = int(record.key.removeprefix(prefix))
+        reasons[arm] = record.value.decode(errors="replace")
+    return reasons
+
+
 def incarnations_by_version(experiment: Experiment, records: Sequence[Record]) -> dict[str, int]:
     """Return how many incarnations count under each version of an experiment of this name."""
     counts: dict[str, int] = {}
@@ -201,17 +211,11 @@
     by_name = {request_class.name: request_class.deadline_ms for request_class in classes}
     class_names = experiment.classes or tuple(by_name)
     deadlines_ms = [by_name[name] for name in class_names]
-    totals = BinTotals()
-    for segment in segments:
-        totals.add(segment)
-    bins = totals.complete_bins(ended)
+    bins = _total_bins(segments, ended)
     merged = merge_counters(records, ended, dict(enumerate(deadlines_ms)), bins)
-    names = (ALL_CLASSES, *class_names)
-    arms = tuple(
-        _arm_result(experiment.arms[arm].name, merged, arm, metric, names[metric], deadlines_ms)
-        for arm in range(len(experiment.arms))
-        for metric in range(len(names))
-    )
+    subjects = _subjects(experiment, class_names)
+    arms = tuple(_arm_result(merged, subject, deadlines_ms) for subject in subjects)
+    compared = [subject for subject in subjects if subject.arm != BASELINE_ARM]
     return Summary(
         name=experiment.name,
         version=experiment.digest,
@@ -222,43 +226,71 @@
         adopted=merged.adopted,
         sample_ratio_p_value=_sample_ratio_p_value(experiment, arms),
         arms=arms,
-        comparisons=_comparisons(experiment, merged, names, alpha),
+        comparisons=tuple(_compare(experiment, merged, subject, alpha) for subject in compared),
         ended_arms=tuple((experiment.arms[arm].name, reason) for arm, reason in sorted(end_reasons.items())),
     )
 
 
-def _arm_result(
-    name: str,
-    merged: MergedCounters,
-    arm: int,
-    metric: int,
-    class_name: str,
-    deadlines_ms: Sequence[float],
-) -> ArmResult:
-    classes = [index for index in range(len(deadlines_ms)) if metric in (0, index + 1)]
-    cells = [merged.cells[arm, index] for index in classes if (arm, index) in merged.cells]
-    counts = {ending: sum(cell.count_of(ending) for cell in cells) for ending in RequestEnding}
+@dataclass(frozen=True, slots=True)
+class _Subject:
+    """What one figure is about: an arm, and all classes or one (see `metrics`)."""
+
+    arm: int
+    arm_name: str
+    metric: int
+    class_name: str
+
+
+def _subjects(experiment: Experiment, class_names: Sequence[str]) -> list[_Subject]:
+    """Return every arm with all classes, then with each class."""
+    subjects = []
+    for index, arm in enumerate(experiment.arms):
+        for metric, class_name in enumerate((ALL_CLASSES, *class_names)):
+            subjects.append(_Subject(index, arm.name, metric, class_name))
+    return subjects
+
+
+def _total_bins(segments: Iterable[BinSegment], ended: Collection[str]) -> list[TimeBin]:
+    totals = BinTotals()
+    for segment in segments:
+        totals.add(segment)
+    return totals.complete_bins(ended)
+
+
+def _arm_result(merged: MergedCounters, subject: _Subject, deadlines_ms: Sequence[float]) -> ArmResult:
+    arm = subject.arm
+    classes = [index for index in range(len(deadlines_ms)) if subject.metric in metrics_of(index)]
+    counts = _ending_counts(merged, arm, classes)
     lost = sum(merged.lost[arm, index] for index in classes)
-    still_open = sum(merged.open_requests[arm, index] for index in classes)
+    outstanding = sum(merged.open_requests[arm, index] for index in classes)
     served = _served_histogram(merged, arm, classes)
     completed = _unserved_histogram(merged, arm, classes, deadlines_ms)
     completed.add(served)
     return ArmResult(
-        arm=name,
-        class_name=class_name,
-        requests=sum(counts.values()) + lost + still_open,
+        arm=subject.arm_name,
+        class_name=subject.class_name,
+        requests=sum(counts.values()) + lost + outstanding,
         served=counts[RequestEnding.SERVED],
         rejected=counts[RequestEnding.REJECTED],
         failed=counts[RequestEnding.FAILED],
         disconnected=counts[RequestEnding.DISCONNECTED],
         lost=lost,
-        still_open=still_open,
-        mean_ms=mean_cost_ms(merged, arm, metric),
+        still_open=outstanding,
+        mean_ms=mean_cost_ms(merged, arm, subject.metric),
         completion_quantiles_ms=_quantiles_ms(completed),
         served_quantiles_ms=_quantiles_ms(served),
     )
 
 
+def _ending_counts(merged: MergedCounters, arm: int, classes: Sequence[int]) -> dict[RequestEnding, int]:
+    """Return how many requests of an arm ended how, over these classes."""
+    cells = [merged.cells[arm, index] for index in classes if (arm, index) in merged.cells]
+    counts = {}
+    for ending in RequestEnding:
+        counts[ending] = sum(cell.count_of(ending) for cell in cells)
+    return counts
+
+
 def _served_histogram(merged: MergedCounters, arm: int, classes: Sequence[int]) -> HdrHistogram:
     histogram = new_histogram()
     for index in classes:
@@ -276,33 +308,23 @@
         cell = merged.cells.get((arm, index))
         unserved = (cell.ended - cell.served if cell else 0) + merged.lost[arm, index]
         if unserved:
-            histogram.record_value(int(deadlines_ms[index] * 1000), unserved)
+            histogram.record_value(int(deadlines_ms[index] * US_PER_MS), unserved)
     return histogram
 
 
 def _quantiles_ms(histogram: HdrHistogram) -> tuple[float, ...]:
     if not histogram.get_total_count():
         return (math.nan,) * len(QUANTILES)
-    return tuple(histogram.get_value_at_percentile(quantile) / 1000 for quantile in QUANTILES)
-
-
-def _comparisons(
-    experiment: Experiment, merged: MergedCounters, names: Sequence[str], alpha: float
-) -> tuple[Comparison, ...]:
-    return tuple(
-        _compare(experiment, merged, arm, metric, names[metric], alpha)
-        for arm in range(1, len(experiment.arms))
-        for metric in range(len(names))
-    )
+    return tuple(histogram.get_value_at_percentile(quantile) / US_PER_MS for quantile in QUANTILES)
 
 
-def _compare(
-    experiment: Experiment, merged: MergedCounters, arm: int, metric: int, class_name: str, alpha: float
-) -> Comparison:
+def _compare(experiment: Experiment, merged: MergedCounters, subject: _Subject, alpha: float) -> Comparison:
+    arm = subject.arm
+    metric = subject.metric
     probability = experiment.relative_probability(arm)
     return Comparison(
-        arm=experiment.arms[arm].name,
-        class_name=class_name,
+        arm=subject.arm_name,
+        class_name=subject.class_name,
         naive=estimate_naive(merged, arm, metric, alpha),
         mixed=estimate_mixed(merged, arm, metric, alpha, probability),
         switchback=estimate_switchback(merged, arm, metric, alpha),
--- a/meadowpulley/placement/time_bins.py
+++ b/meadowpulley/placement/time_bins.py
@@ -17,6 +17,8 @@
 import msgspec
 from msgspec import Struct
 
+from meadowpulley.placement.metrics import metrics_of
+
 LOOKAHEAD_BINS = 5  # after its own, whose requests a request is assumed to burden: one carry time
 BINS_PER_SEGMENT = 16  # of one record
 MAX_BINS = 4096  # that one incarnation records; the estimate is based on these, all else goes on
@@ -41,13 +43,13 @@
     def copy(self) -> TimeBin:
         """Return a bin that shares no list with this one."""
         return TimeBin(
-            self.number,
-            dict(self.arm_counts),
-            list(self.accepted),
-            list(self.cost_ms),
-            list(self.outstanding_ms),
-            list(self.outstanding_at_start),
-            list(self.ended_arms),
+            number=self.number,
+            arm_counts=dict(self.arm_counts),
+            accepted=list(self.accepted),
+            cost_ms=list(self.cost_ms),
+            outstanding_ms=list(self.outstanding_ms),
+            outstanding_at_start=list(self.outstanding_at_start),
+            ended_arms=list(self.ended_arms),
         )
 
     def add(self, other: TimeBin) -> None:
@@ -90,7 +92,8 @@
     """Records one incarnation's bins, by metric: all classes, then each. Times are ms on the shared clock."""
 
     def __init__(self, incarnation: str, metric_count: int, carry_ms: float) -> None:
-        self.incarnation, self.metric_count = incarnation, metric_count
+        self.incarnation = incarnation
+        self.metric_count = metric_count
         self.bin_width_ms = carry_ms / LOOKAHEAD_BINS
         self.outstanding = [0] * metric_count
         self.advanced_to = 0.0
@@ -100,16 +103,15 @@
         self.discarded_bins = 0  # that are in a segment already
 
     def _start_bin(self, number: int) -> None:
-        no_time = [0.0] * self.metric_count
         self.bins.append(
             TimeBin(
-                number,
-                {},
-                [0] * self.metric_count,
-                no_time,
-                list(no_time),
-                list(self.outstanding),
-                list(self.ended_arms),
+                number=number,
+                arm_counts={},
+                accepted=[0] * self.metric_count,
+                cost_ms=[0.0] * self.metric_count,
+                outstanding_ms=[0.0] * self.metric_count,
+                outstanding_at_start=list(self.outstanding),
+                ended_arms=list(self.ended_arms),
             )
         )
 
@@ -148,7 +150,7 @@
         last = self.bins[-1]
         last.arm_counts[group, arm] = last.arm_counts.get((group, arm), 0) + 1
         self.pending[last.number] = self.pending.get(last.number, 0) + 1
-        for metric in (0, class_index + 1):
+        for metric in metrics_of(class_index):
             self.outstanding[metric] += 1
             last.accepted[metric] += 1
         return last.number
@@ -158,7 +160,7 @@
         self.advance(now)
         self.pending[number] -= 1
         time_bin = self.bins[number - self.bins[0].number]
-        for metric in (0, class_index + 1):
+        for metric in metrics_of(class_index):
             self.outstanding[metric] -= 1
             time_bin.cost_ms[metric] += cost_ms
 
@@ -188,9 +190,11 @@
 
     def add(self, segment: BinSegment) -> None:
         """Add a segment, unless it was added before."""
+        if not segment.bins:
+            return
         incarnation = segment.incarnation
-        key = (incarnation, segment.bins[0].number if segment.bins else -1)
-        if key in self._added_segments or not segment.bins:
+        key = (incarnation, segment.bins[0].number)
+        if key in self._added_segments:
             return
         self._added_segments.add(key)
         last = self.last_bin_by_incarnation.get(incarnation, -1)
@@ -204,8 +208,8 @@
 
     def complete_bins(self, ended: Collection[str]) -> list[TimeBin]:
         """Return the bins in order, as far as every incarnation that has not `ended` has written its own."""
-        last_of_live = [
-            number for incarnation, number in self.last_bin_by_incarnation.items() if incarnation not in ended
-        ]
-        until = min(last_of_live, default=max(self.last_bin_by_incarnation.values(), default=-1))
-        return [self.bins[number] for number in sorted(self.bins) if number <= until]
+        last_bins = self.last_bin_by_incarnation
+        last_of_live = [number for incarnation, number in last_bins.items() if incarnation not in ended]
+        last_of_any = max(last_bins.values(), default=-1)
+        complete_until = min(last_of_live, default=last_of_any)
+        return [self.bins[number] for number in sorted(self.bins) if number <= complete_until]
--- a/tests/test_placement_emulated.py
+++ b/tests/test_placement_emulated.py
@@ -64,9 +64,8 @@
         stage = PlacementStage(
             RolloutPolicy(settings, seed, build_placements(e, seed)), e, settings, incarnation
         )
-        stage.writer.ledger_read = stage.writer.ledger_lost = (
-            True  # it has no ended arms, and commits nothing
-        )
+        stage.writer.on_ledger_read()  # it has no ended arms
+        stage.writer.on_ledger_unavailable()  # it commits nothing
         return stage
 
     def see(record: Record) -> None:
--- a/tests/test_placement_estimates.py
+++ b/tests/test_placement_estimates.py
@@ -14,14 +14,13 @@
     estimator_quality,
     mean_sojourn_time,
 )
+from meadowpulley.placement.confidence import NO_ESTIMATE, sequence_half_width
 from meadowpulley.placement.counter_records import BlockCosts, CostMoments
 from meadowpulley.placement.differences_in_q import WARMUP_BINS, q_residuals
 from meadowpulley.placement.estimate import (
-    NO_ESTIMATE,
     estimate_mixed,
     estimate_naive,
     estimate_switchback,
-    sequence_half_width,
 )
 from meadowpulley.placement.guard import harm_reason
 from meadowpulley.placement.merged_counters import MergedCounters
--- a/tests/test_placement_stage.py
+++ b/tests/test_placement_stage.py
@@ -285,6 +285,7 @@
     g.accept(3.0, 2)
     g.serve(4.0, 1)
     for action in g.stage.shut_down(5.0):
+        assert isinstance(action, Commit)
         g.store.commit(g.incarnation, action.transactions)
     arms = [arm for arm in g.summary().arms if not arm.class_name]
     assert (sum(a.served for a in arms), sum(a.still_open for a in arms)) == (1, 1)
