--- a/meadowpulley/placement/calibration.py
+++ b/meadowpulley/placement/calibration.py
@@ -9,26 +9,38 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
+from typing import Literal, TypeAlias
 
 import numpy as np
 
 from meadowpulley.placement.confidence import NARROWEST_AT_REQUESTS, Estimate, sequence_half_width
 from meadowpulley.placement.definition import Guard
-from meadowpulley.placement.differences_in_q import group_sums, q_residuals
-from meadowpulley.placement.estimate import estimate_from_sums, estimate_naive
+from meadowpulley.placement.differences_in_q import QResiduals, group_sums, q_residuals
+from meadowpulley.placement.estimate import ONLY_GROUP, estimate_from_sums, estimate_naive
 from meadowpulley.placement.merged_counters import MergedCounters
+from meadowpulley.placement.metrics import ALL_CLASSES_METRIC, BASELINE_ARM
 from meadowpulley.placement.supermarket_model import (
+    EVEN_SKEW,
     Floats,
     Ints,
     ModelSetting,
     PlacementRule,
     SimulatedRuns,
+    SimulationPlan,
     simulate,
 )
 from meadowpulley.placement.time_bins import LOOKAHEAD_BINS
 
 WARMUP_TIME = 60.0  # mean service times that are left out: runs begin with an empty fleet
 CHECKPOINT_COUNT = 10
+TREATED_ARM = 1
+ONLY_CLASS = 0
+EVEN_SPLIT = 0.5  # of the requests between the two arms
+MIN_EDGES = 2  # of one bin
+ARM_ORDERS = 2  # of each pair of runs: as drawn, and swapped
+UNCERTAINTY_ERRORS = 2  # standard errors of the stated uncertainty of a bias
+
+EstimateName: TypeAlias = Literal["naive", "mixed"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +59,7 @@
     def name(self) -> str:
         """Return a description of the case, without its load."""
         setting = self.setting
-        skew = f", {setting.zone_skew:.0%} in one zone" if setting.zone_skew != 0.5 else ""
+        skew = "" if setting.zone_skew == EVEN_SKEW else f", {setting.zone_skew:.0%} in one zone"
         fleet = f"{setting.servers} servers, {setting.gateways} gateways"
         return f"{self.rules[0].name} to {self.rules[1].name}, {fleet}{skew}"
 
@@ -79,53 +91,96 @@
     case: CalibrationCase, runs: SimulatedRuns, run: int, times: Floats, alpha: float
 ) -> list[Checkpoint]:
     """Return what is known of one run at each of these times."""
-    arrival, sojourn = runs.arrival_time[run], runs.sojourn_time[run]
-    counted = np.isfinite(arrival) & (arrival >= WARMUP_TIME)
-    arrival, sojourn, arm = arrival[counted], sojourn[counted], runs.arm[run][counted]
+    requests = _CountedRequests.of_run(runs, run)
     checkpoints = []
     for time in times:
-        merged = MergedCounters()
-        for of_arm in (0, 1):
-            ended = sojourn[(arrival + sojourn <= time) & (arm == of_arm)]
-            merged.moments_of(0, of_arm, 0).add(len(ended), float(ended.sum()), float(ended @ ended))
-        baseline = merged.moments_of(0, 0, 0)
+        now = float(time)
+        merged = requests.merged_counters(now)
+        baseline = merged.moments_of(ONLY_GROUP, BASELINE_ARM, ONLY_CLASS)
         checkpoints.append(
             Checkpoint(
                 requests=sum(moments.count for moments in merged.moments.values()),
-                naive=estimate_naive(merged, 1, 0, alpha),
-                mixed=_mixed_estimate(case, arrival, sojourn, arm, float(time), alpha),
+                naive=estimate_naive(merged, TREATED_ARM, ALL_CLASSES_METRIC, alpha),
+                mixed=_mixed_estimate(requests, case.carry_time, now, alpha),
                 baseline_mean=baseline.total_ms / max(baseline.count, 1),
             )
         )
     return checkpoints
 
 
-def _mixed_estimate(
-    case: CalibrationCase, arrival: Floats, sojourn: Floats, arm: Ints, now: float, alpha: float
-) -> Estimate:
-    """Estimate from bins as the stages record them: those whose requests have all ended by `now`."""
-    width = case.carry_time / LOOKAHEAD_BINS
-    end = arrival + sojourn
-    unfinished = arrival[end > now]
-    complete_until = min(now, float(unfinished[0]) if len(unfinished) else now)
-    bins = int((complete_until - WARMUP_TIME) // width)
-    if bins <= 0:
-        return estimate_from_sums({}, alpha)
-    edges: Floats = np.asarray(WARMUP_TIME + width * np.arange(bins + 1), dtype=np.float64)
-    bin_of = np.searchsorted(edges, arrival, side="right") - 1
-    in_bins = bin_of < bins
+@dataclass(frozen=True, slots=True)
+class _CountedRequests:
+    """The requests of one run after its warm-up, in order of arrival."""
+
+    arrival: Floats
+    sojourn: Floats
+    arm: Ints
+
+    @classmethod
+    def of_run(cls, runs: SimulatedRuns, run: int) -> _CountedRequests:
+        """Select the requests of a run that count."""
+        arrival = runs.arrival_time[run]
+        counted = np.isfinite(arrival) & (arrival >= WARMUP_TIME)
+        return cls(arrival[counted], runs.sojourn_time[run][counted], runs.arm[run][counted])
+
+    @property
+    def end(self) -> Floats:
+        """When each request ended; infinite for one that did not."""
+        return self.arrival + self.sojourn
 
-    def by_bin(values: Floats) -> Floats:
-        """Return the sum of the values of each time bin."""
+    def merged_counters(self, now: float) -> MergedCounters:
+        """Return the moments of the requests that have ended by `now`, by arm."""
+        merged = MergedCounters()
+        has_ended = self.end <= now
+        for arm in (BASELINE_ARM, TREATED_ARM):
+            sojourn = self.sojourn[has_ended & (self.arm == arm)]
+            moments = merged.moments_of(ONLY_GROUP, arm, ONLY_CLASS)
+            moments.add(len(sojourn), float(sojourn.sum()), float(sojourn @ sojourn))
+        return merged
+
+    def bin_edges(self, carry_time: float, now: float) -> Floats:
+        """Return the edges of the bins whose requests have all ended by `now`."""
+        width = carry_time / LOOKAHEAD_BINS
+        unfinished = self.arrival[self.end > now]
+        complete_until = min(now, float(unfinished[0])) if len(unfinished) else now
+        bins = max(int((complete_until - WARMUP_TIME) // width), 0)
+        return np.asarray(WARMUP_TIME + width * np.arange(bins + 1), dtype=np.float64)
+
+    def sum_by_bin(self, values: Floats, edges: Floats) -> Floats:
+        """Return the sum of the requests' values in each bin, by when they arrived."""
+        bins = len(edges) - 1
+        bin_of = np.searchsorted(edges, self.arrival, side="right") - 1
+        in_bins = bin_of < bins
         sums = np.bincount(bin_of[in_bins], weights=values[in_bins], minlength=bins)
         return np.asarray(sums, dtype=np.float64)
 
-    started, ended = np.sort(arrival), np.sort(end)
-    outstanding = np.diff(_passed_count_integral(started, edges) - _passed_count_integral(ended, edges))
-    at_start = (np.searchsorted(started, edges) - np.searchsorted(ended, edges))[:-1].astype(np.float64)
-    residuals = q_residuals(by_bin(np.ones(len(arrival))), by_bin(sojourn), outstanding, at_start)
-    in_arm, in_baseline = (by_bin((arm == of_arm).astype(np.float64)) for of_arm in (1, 0))
-    return estimate_from_sums({0: group_sums(residuals, in_arm, in_baseline, 0.5)}, alpha)
+    def residuals(self, edges: Floats) -> QResiduals:
+        """Return Q less its expectation by bin."""
+        started = np.sort(self.arrival)
+        ended = np.sort(self.end)
+        outstanding = np.diff(_passed_count_integral(started, edges) - _passed_count_integral(ended, edges))
+        at_edges = np.searchsorted(started, edges) - np.searchsorted(ended, edges)
+        return q_residuals(
+            accepted=self.sum_by_bin(np.ones(len(self.arrival)), edges),
+            cost_ms=self.sum_by_bin(self.sojourn, edges),
+            outstanding_ms=outstanding,
+            outstanding_at_start=at_edges[:-1].astype(np.float64),
+        )
+
+    def count_by_bin(self, arm: int, edges: Floats) -> Floats:
+        """Return the requests of an arm in each bin."""
+        return self.sum_by_bin((self.arm == arm).astype(np.float64), edges)
+
+
+def _mixed_estimate(requests: _CountedRequests, carry_time: float, now: float, alpha: float) -> Estimate:
+    """Estimate from bins as the stages record them: those whose requests have all ended by `now`."""
+    edges = requests.bin_edges(carry_time, now)
+    if len(edges) < MIN_EDGES:
+        return estimate_from_sums({}, alpha)
+    treated = requests.count_by_bin(TREATED_ARM, edges)
+    baseline = requests.count_by_bin(BASELINE_ARM, edges)
+    sums = group_sums(requests.residuals(edges), treated, baseline, EVEN_SPLIT)
+    return estimate_from_sums({ONLY_GROUP: sums}, alpha)
 
 
 def _passed_count_integral(times: Floats, edges: Floats) -> Floats:
@@ -155,25 +210,31 @@
         for carry_time in carry_times
     ]
     for swapped in (False, True):
-        runs = simulate(case.setting, case.rules, 0.5, pairs, case.arrivals, seed, swapped)
+        plan = SimulationPlan(
+            case.setting, case.rules, EVEN_SPLIT, pairs, case.arrivals, seed, swapped=swapped
+        )
+        runs = simulate(plan)
         for run in range(pairs):
-            last = float(runs.arrival_time[run][np.isfinite(runs.arrival_time[run])].max())
-            steps = np.arange(CHECKPOINT_COUNT) + 1
-            times = WARMUP_TIME + (last - WARMUP_TIME) * steps / CHECKPOINT_COUNT
+            times = _checkpoint_times(runs.arrival_time[run])
             for result in results:
                 result.checkpoints.append(checkpoints_of(result.case, runs, run, times, alpha))
     return results
 
 
+def _checkpoint_times(arrival_time: Floats) -> Floats:
+    """Return evenly spaced times from the end of the warm-up to a run's last arrival."""
+    last = float(arrival_time[np.isfinite(arrival_time)].max())
+    steps = np.arange(CHECKPOINT_COUNT) + 1
+    return np.asarray(WARMUP_TIME + (last - WARMUP_TIME) * steps / CHECKPOINT_COUNT)
+
+
 def _true_difference(case: CalibrationCase, runs: int, seed: int) -> tuple[float, float]:
     """Return the mean difference between all traffic under each rule, and its standard error."""
     differences = np.zeros(runs)
     if case.rules[0] != case.rules[1]:
-        first, second = (
-            mean_sojourn_time(simulate(case.setting, case.rules, second_fraction, runs, case.arrivals, seed))
-            for second_fraction in (0.0, 1.0)
-        )
-        differences = second - first
+        all_first = SimulationPlan(case.setting, case.rules, 0.0, runs, case.arrivals, seed)
+        all_second = replace(all_first, second_fraction=1.0)
+        differences = mean_sojourn_time(simulate(all_second)) - mean_sojourn_time(simulate(all_first))
     return float(differences.mean()), float(differences.std(ddof=1) / np.sqrt(runs))
 
 
@@ -202,25 +263,19 @@
         return float(np.hypot(self.bias, self.spread))
 
 
-def estimator_quality(result: CalibrationResult, name: str) -> EstimatorQuality:
-    """Return the quality of the estimate `name`: "naive" or "mixed"."""
-    by_run: list[list[Estimate]] = [
-        [getattr(checkpoint, name) for checkpoint in checkpoints] for checkpoints in result.checkpoints
-    ]
+def estimator_quality(result: CalibrationResult, name: EstimateName) -> EstimatorQuality:
+    """Return the quality of one of the estimates."""
+    by_run = [_estimates(checkpoints, name) for checkpoints in result.checkpoints]
     last = [estimates[-1] for estimates in by_run]
-    values, truth = np.array([estimate.value for estimate in last]), result.truth
-    pair_means = values.reshape(2, -1).mean(axis=0)
-    bias_error = np.hypot(pair_means.std(ddof=1) / np.sqrt(len(pair_means)), result.truth_error)
+    values = np.array([estimate.value for estimate in last])
+    truth = result.truth
     covers = [estimate.low <= truth <= estimate.high for estimate in last]
-    always_covers = [
-        all(estimate.sequence_low <= truth <= estimate.sequence_high for estimate in estimates)
-        for estimates in by_run
-    ]
+    always_covers = [_sequences_cover(estimates, truth) for estimates in by_run]
     finds = [estimate.low > 0 if truth > 0 else estimate.high < 0 for estimate in last]
     return EstimatorQuality(
         mean=float(values.mean()),
         bias=float(values.mean() - truth),
-        bias_uncertainty=float(2 * bias_error),
+        bias_uncertainty=float(UNCERTAINTY_ERRORS * _bias_error(values, result.truth_error)),
         spread=float(values.std(ddof=1)),
         mean_standard_error=float(np.mean([estimate.standard_error for estimate in last])),
         coverage=float(np.mean(covers)),
@@ -230,15 +285,33 @@
     )
 
 
+def _estimates(checkpoints: Sequence[Checkpoint], name: EstimateName) -> list[Estimate]:
+    return [point.naive if name == "naive" else point.mixed for point in checkpoints]
+
+
+def _sequences_cover(estimates: Sequence[Estimate], truth: float) -> bool:
+    return all(estimate.sequence_low <= truth <= estimate.sequence_high for estimate in estimates)
+
+
+def _bias_error(values: Floats, truth_error: float) -> float:
+    """Return the standard error of the bias; values of runs with swapped arms are averaged in pairs."""
+    pair_means = values.reshape(ARM_ORDERS, -1).mean(axis=0)
+    return float(np.hypot(pair_means.std(ddof=1) / np.sqrt(len(pair_means)), truth_error))
+
+
 def requests_until_alarm(result: CalibrationResult, guard: Guard) -> list[int | None]:
     """Return after how many requests the guard ended each run's arm, None where it did not.
 
     The criterion is that of `guard.harm_reason`.
     """
-    return [
-        next((point.requests for point in checkpoints if _shows_harm(point, guard)), None)
-        for checkpoints in result.checkpoints
-    ]
+    return [_first_alarm(checkpoints, guard) for checkpoints in result.checkpoints]
+
+
+def _first_alarm(checkpoints: Sequence[Checkpoint], guard: Guard) -> int | None:
+    for checkpoint in checkpoints:
+        if _shows_harm(checkpoint, guard):
+            return checkpoint.requests
+    return None
 
 
 def _shows_harm(checkpoint: Checkpoint, guard: Guard) -> bool:
--- a/meadowpulley/placement/differences_in_q.py
+++ b/meadowpulley/placement/differences_in_q.py
@@ -76,21 +76,21 @@
     accepted: Floats, cost_ms: Floats, outstanding_ms: Floats, outstanding_at_start: Floats
 ) -> QResiduals:
     """Return each bin's Q less its expectation, from the fleet's sums by bin; nan where it is not known."""
-    q = np.stack((_sum_ahead(cost_ms), _sum_ahead(outstanding_ms)), axis=1)
+    q_values = np.stack((_sum_ahead(cost_ms), _sum_ahead(outstanding_ms)), axis=1)
     regressors = np.stack((np.ones(len(accepted)), outstanding_at_start, _sum_ahead(accepted)), axis=1)
-    residuals = np.full_like(q, np.nan)
+    residuals = np.full_like(q_values, np.nan)
     first = WARMUP_BINS + LOOKAHEAD_BINS + 1
     if len(regressors) > first + LOOKAHEAD_BINS:
-        planes = _planes_from_past(regressors, q, first)
-        residuals[first:] = q[first:] - np.einsum("bi,bik->bk", regressors[first:], planes)
+        planes = _planes_from_past(regressors, q_values, first)
+        residuals[first:] = q_values[first:] - np.einsum("bi,bik->bk", regressors[first:], planes)
     return QResiduals(by_cost=residuals[:, 0], by_outstanding=residuals[:, 1])
 
 
-def _planes_from_past(regressors: Floats, q: Floats, first: int) -> Floats:
+def _planes_from_past(regressors: Floats, q_values: Floats, first: int) -> Floats:
     """Return a plane for each bin from `first` on, fitted to the bins whose reach ended before it began."""
     known = ~np.isnan(regressors[:, ARRIVALS])
     known_regressors = np.where(known[:, None], regressors, 0.0)
-    known_q = np.where(known[:, None], q, 0.0)
+    known_q = np.where(known[:, None], q_values, 0.0)
     moments = np.cumsum(known_regressors[:, :, None] * known_regressors[:, None, :], axis=0)
     products = np.cumsum(known_regressors[:, :, None] * known_q[:, None, :], axis=0)
     past = slice(first - LOOKAHEAD_BINS - 1, len(regressors) - LOOKAHEAD_BINS - 1)
--- a/meadowpulley/placement/emulated.py
+++ b/meadowpulley/placement/emulated.py
@@ -7,17 +7,16 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from msgspec.structs import replace
 
 from meadowpulley.emulator import Emulation, Scenario
 from meadowpulley.experiment import LoadSpec, RunResult
 from meadowpulley.fleet import Fleet, gateway_settings
-from meadowpulley.interface import Settings, Timer
+from meadowpulley.interface import Action, Settings, Timer
 from meadowpulley.ledger import Commit, CommitCompleted, Incarnation, LedgerChanged, Member, MemoryStore
 from meadowpulley.placement.definition import Arm, Experiment, build_placements
-from meadowpulley.placement.stage import TIMER_TOKEN, PlacementStage
+from meadowpulley.placement.stage import TIMER_TOKEN, PlacementStage, StageAction, StageEvent
 from meadowpulley.placement.summary import Summary, read_summary
 from meadowpulley.policy import RolloutPolicy
 
@@ -33,12 +32,14 @@
     """
 
     def __init__(self, store: MemoryStore, incarnation: Incarnation, stage: PlacementStage) -> None:
-        self.store, self.incarnation, self.stage = store, incarnation, stage
+        self.store = store
+        self.incarnation = incarnation
+        self.stage = stage
         self.seen_version = -1
 
-    def handle(self, now: float, event: Any) -> list[Any]:
+    def handle(self, now: float, event: StageEvent) -> list[Action]:
         """Return the actions that follow from an event, without those for the ledger."""
-        actions: list[Any] = []
+        actions: list[Action] = []
         is_own_timer = isinstance(event, Timer) and event.token == TIMER_TOKEN
         if self.seen_version < 0 or is_own_timer:
             changes = self.store.changes(max(self.seen_version, 0), ("placement/",))
@@ -46,8 +47,8 @@
             actions += self._carry_out(now, self.stage.handle(now, LedgerChanged(changes)))
         return actions + self._carry_out(now, self.stage.handle(now, event))
 
-    def _carry_out(self, now: float, actions: list[Any]) -> list[Any]:
-        others: list[Any] = []
+    def _carry_out(self, now: float, actions: list[StageAction]) -> list[Action]:
+        others: list[Action] = []
         for action in actions:
             if isinstance(action, Commit):
                 results = tuple(self.store.commit(self.incarnation, action.transactions))
--- a/meadowpulley/placement/estimate.py
+++ b/meadowpulley/placement/estimate.py
@@ -13,12 +13,13 @@
 import math
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
+from functools import partial
 
 import numpy as np
 
 from meadowpulley.placement.confidence import NO_ESTIMATE, Estimate, PointEstimate, jackknife_error
 from meadowpulley.placement.counter_records import CostMoments
-from meadowpulley.placement.differences_in_q import GroupSums, sums_by_group
+from meadowpulley.placement.differences_in_q import Floats, GroupSums, sums_by_group
 from meadowpulley.placement.merged_counters import MergedCounters
 from meadowpulley.placement.metrics import ALL_CLASSES_METRIC, BASELINE_ARM, class_metric, metrics_of
 
@@ -85,14 +86,14 @@
     groups = sorted({part.group for part in baseline_moments} & {part.group for part in arm_moments})
     if len(groups) < MIN_BLOCKS:
         return NO_ESTIMATE
+    error = jackknife_error(partial(_naive_difference, merged, arm, metric), groups)
+    return PointEstimate(difference, error, size, len(groups) - 1).with_intervals(alpha)
 
-    def difference_without(group: int | None) -> float:
-        """Return the difference of the means in ms, leaving one group out."""
-        treated_mean = mean_cost_ms(merged, arm, metric, group)
-        return treated_mean - mean_cost_ms(merged, BASELINE_ARM, metric, group)
 
-    error = jackknife_error(difference_without, groups)
-    return PointEstimate(difference, error, size, len(groups) - 1).with_intervals(alpha)
+def _naive_difference(merged: MergedCounters, arm: int, metric: int, without_group: int | None) -> float:
+    """Return the difference of the means in ms, leaving one group out."""
+    treated_mean = mean_cost_ms(merged, arm, metric, without_group)
+    return treated_mean - mean_cost_ms(merged, BASELINE_ARM, metric, without_group)
 
 
 # Mixed Differences-in-Q
@@ -208,17 +209,21 @@
     treated = np.array([mean for of_arm, mean in block_means if of_arm == arm])
     if min(len(baseline), len(treated)) < MIN_BLOCKS:
         return NO_ESTIMATE
+    return _welch_estimate(baseline, treated).with_intervals(alpha, NARROWEST_AT_BLOCKS)
+
+
+def _welch_estimate(baseline: Floats, treated: Floats) -> PointEstimate:
+    """Compare two means of unequal variances; degrees of freedom by Welch and Satterthwaite."""
     baseline_variance = float(baseline.var(ddof=1)) / len(baseline)  # of the mean
     treated_variance = float(treated.var(ddof=1)) / len(treated)
     error = math.sqrt(baseline_variance + treated_variance)
     divisor = baseline_variance**2 / (len(baseline) - 1) + treated_variance**2 / (len(treated) - 1)
-    point = PointEstimate(
+    return PointEstimate(
         value=float(treated.mean() - baseline.mean()),
         standard_error=error,
         sample_size=len(baseline) + len(treated),
         degrees_of_freedom=error**4 / divisor if divisor else math.inf,
     )
-    return point.with_intervals(alpha, NARROWEST_AT_BLOCKS)
 
 
 def _block_means(merged: MergedCounters, metric: int) -> list[tuple[int, float]]:
--- a/meadowpulley/placement/supermarket_model.py
+++ b/meadowpulley/placement/supermarket_model.py
@@ -14,9 +14,15 @@
 import numpy as np
 import numpy.typing as npt
 
+from meadowpulley.placement.errors import ModelOverloadError
+
 Floats = npt.NDArray[np.float64]
 Ints = npt.NDArray[np.integer[Any]]
 MAX_QUEUE_LENGTH = 512  # requests at one server
+ZONES = 2  # servers and gateways alternate between them, by their numbers
+EVEN_SKEW = 0.5  # of arrivals between two zones
+DRAWS_PER_STEP = 3  # of a gateway, an arm, and the server of a possible departure
+THIRD_CHOICE = 3  # sampled servers, from which on a third one is drawn
 TIE_BREAK = 0.5  # random numbers below that are added to whole counts, to choose among equals
 
 
@@ -51,7 +57,7 @@
     servers: int
     gateways: int
     load: float
-    zone_skew: float = 0.5
+    zone_skew: float = EVEN_SKEW
     cross_zone_delay: float = 0.0
 
 
@@ -65,24 +71,31 @@
     sojourn_time: Floats
 
 
-def simulate(
-    setting: ModelSetting,
-    rules: tuple[PlacementRule, PlacementRule],
-    second_fraction: float,
-    runs: int,
-    arrivals: int,
-    seed: int,
-    swapped: bool = False,
-) -> SimulatedRuns:
-    """Simulate runs in which `second_fraction` of the requests are placed by the second rule.
+@dataclass(frozen=True, slots=True)
+class SimulationPlan:
+    """Some runs of a fleet in which `second_fraction` of the requests are placed by the second rule.
 
     With 0 or 1 the result is the truth about one rule. The arrivals, arms and possible departures are the
     same for a seed whatever the rules are; with `swapped` each request is in the other arm, so that, at
-    halves, the mean of both runs tells a bias apart from chance. Raises `ValueError` for a load that can't
-    be carried.
+    halves, the mean of both runs tells a bias apart from chance. `arrivals` are of one run.
+    """
+
+    setting: ModelSetting
+    rules: tuple[PlacementRule, PlacementRule]
+    second_fraction: float
+    runs: int
+    arrivals: int
+    seed: int
+    swapped: bool = False
+
+
+def simulate(plan: SimulationPlan) -> SimulatedRuns:
+    """Simulate runs until each has had its arrivals.
+
+    Raises `ModelOverloadError` for a load that can't be carried.
     """
-    simulation = _Simulation(setting, rules, second_fraction, runs, arrivals, seed, swapped)
-    while simulation.accepted.min() < arrivals:
+    simulation = _Simulation(plan)
+    while simulation.accepted.min() < plan.arrivals:
         simulation.step()
     return simulation.result
 
@@ -90,52 +103,49 @@
 class _Simulation:
     """The state of all runs: queues as ring buffers of arrival numbers."""
 
-    def __init__(
-        self,
-        setting: ModelSetting,
-        rules: tuple[PlacementRule, PlacementRule],
-        second_fraction: float,
-        runs: int,
-        arrivals: int,
-        seed: int,
-        swapped: bool,
-    ) -> None:
-        self.setting, self.rules = setting, rules
-        self.second_fraction, self.swapped = second_fraction, swapped
-        self.runs, self.arrivals = runs, arrivals
-        self.rng = np.random.default_rng(seed)
-        self.placement_rng = np.random.default_rng(seed + 1)  # of the rules alone
-        servers, gateways = setting.servers, setting.gateways
-        self.outstanding = np.zeros((runs, gateways, servers), dtype=np.int32)
+    def __init__(self, plan: SimulationPlan) -> None:
+        self.plan = plan
+        self.setting = plan.setting
+        self.rng = np.random.default_rng(plan.seed)
+        self.placement_rng = np.random.default_rng(plan.seed + 1)  # of the rules alone
+        runs = plan.runs
+        servers = plan.setting.servers
+        self.outstanding = np.zeros((runs, plan.setting.gateways, servers), dtype=np.int32)
         self.queue = np.zeros((runs, servers, MAX_QUEUE_LENGTH), dtype=np.int32)
         self.head = np.zeros((runs, servers), dtype=np.int32)
         self.size = np.zeros((runs, servers), dtype=np.int32)
         self.accepted = np.zeros(runs, dtype=np.int64)
         self.now = np.zeros(runs)
         self.all_runs = np.arange(runs)
-        shape = (runs, arrivals)
-        never = np.full(shape, np.inf)
-        self.result = SimulatedRuns(never, np.zeros(shape, np.int8), np.zeros(shape, np.int16), never.copy())
-        self.gateway_bounds = _gateway_bounds(setting)
-        self.event_rate = servers * (setting.load + 1)
-        self.arrival_probability = setting.load / (setting.load + 1)
+        shape = (runs, plan.arrivals)
+        self.result = SimulatedRuns(
+            arrival_time=np.full(shape, np.inf),
+            arm=np.zeros(shape, np.int8),
+            gateway=np.zeros(shape, np.int16),
+            sojourn_time=np.full(shape, np.inf),
+        )
+        self.gateway_bounds = _gateway_bounds(plan.setting)
+        self.event_rate = servers * (plan.setting.load + 1)
+        self.arrival_probability = plan.setting.load / (plan.setting.load + 1)
 
     def step(self) -> None:
         """Advance every run by an arrival or a possible departure."""
-        self.now += self.rng.exponential(1 / self.event_rate, self.runs)
-        kind, draws = self.rng.random(self.runs), self.rng.random((3, self.runs))
-        is_arrival = kind < self.arrival_probability
-        self._arrive(np.flatnonzero(is_arrival & (self.accepted < self.arrivals)), draws)
-        self._depart(is_arrival, draws[2])
-
-    def _arrive(self, runs: Ints, draws: Floats) -> None:
+        self.now += self.rng.exponential(1 / self.event_rate, self.plan.runs)
+        is_arrival = self.rng.random(self.plan.runs) < self.arrival_probability
+        gateway_draws, arm_draws, departure_draws = self.rng.random((DRAWS_PER_STEP, self.plan.runs))
+        runs = np.flatnonzero(is_arrival & (self.accepted < self.plan.arrivals))
+        self._arrive(runs, gateway_draws[runs], arm_draws[runs])
+        self._depart(is_arrival, departure_draws)
+
+    def _arrive(self, runs: Ints, gateway_draws: Floats, arm_draws: Floats) -> None:
         last_gateway = self.setting.gateways - 1
-        gateway = np.minimum(np.searchsorted(self.gateway_bounds, draws[0, runs]), last_gateway)
-        arm = ((draws[1, runs] < self.second_fraction) != self.swapped).astype(np.int8)
-        outstanding = self.outstanding[runs, gateway]
-        server = _choose_servers(self.setting, self.rules, arm, gateway, outstanding, self.placement_rng)
+        gateway = np.minimum(np.searchsorted(self.gateway_bounds, gateway_draws), last_gateway)
+        arm = ((arm_draws < self.plan.second_fraction) != self.plan.swapped).astype(np.int8)
+        server = self._choose_servers(arm, gateway, self.outstanding[runs, gateway])
         if (self.size[runs, server] >= MAX_QUEUE_LENGTH).any():
-            raise ValueError(f"a queue of {MAX_QUEUE_LENGTH}: such a load can't be carried; make it smaller")
+            raise ModelOverloadError(
+                f"a queue of {MAX_QUEUE_LENGTH}: such a load can't be carried; make it smaller"
+            )
         number = self.accepted[runs]
         tail = (self.head[runs, server] + self.size[runs, server]) % MAX_QUEUE_LENGTH
         self.queue[runs, server, tail] = number
@@ -156,52 +166,52 @@
         self.size[runs, server] -= 1
         gateway = self.result.gateway[runs, number]
         self.outstanding[runs, gateway, server] -= 1
-        crosses_zones = (server % 2) != (gateway % 2)
+        crosses_zones = (server % ZONES) != (gateway % ZONES)
         waited = self.now[runs] - self.result.arrival_time[runs, number]
         self.result.sojourn_time[runs, number] = waited + self.setting.cross_zone_delay * crosses_zones
 
+    def _choose_servers(self, arm: Ints, gateway: Ints, outstanding: Ints) -> Ints:
+        """Return the server of each request; `outstanding` is what its gateway has in flight, by server."""
+        rng = self.placement_rng
+        chosen = np.zeros(len(arm), dtype=np.int64)
+        for number, rule in enumerate(self.plan.rules):
+            in_arm = np.flatnonzero(arm == number)
+            if rule.choices:
+                sample = _sample_servers(self.setting.servers, rule, gateway[in_arm], rng)
+                counts = np.take_along_axis(outstanding[in_arm], sample, axis=1)
+                best = _least_index(counts, rng)
+                chosen[in_arm] = sample[np.arange(len(in_arm)), best]
+            else:
+                chosen[in_arm] = _least_index(outstanding[in_arm], rng)
+        return chosen
+
+
+def _least_index(counts: Ints, rng: np.random.Generator) -> Ints:
+    """Return the index of the least count in each row, one of them at random where several are least."""
+    return np.asarray(np.argmin(counts + TIE_BREAK * rng.random(counts.shape), axis=1))
+
 
 def _gateway_bounds(setting: ModelSetting) -> Floats:
     """Return the cumulative probabilities of the gateways, by their zones' parts of the arrivals."""
-    in_first_zone = np.arange(setting.gateways) % 2 == 0
+    in_first_zone = np.arange(setting.gateways) % ZONES == 0
     first = setting.zone_skew / max(in_first_zone.sum(), 1)
     second = (1 - setting.zone_skew) / max((~in_first_zone).sum(), 1)
     probabilities = np.where(in_first_zone, first, second)
     return np.asarray(np.cumsum(probabilities / probabilities.sum()))
 
 
-def _choose_servers(
-    setting: ModelSetting,
-    rules: tuple[PlacementRule, PlacementRule],
-    arm: Ints,
-    gateway: Ints,
-    outstanding: Ints,
-    rng: np.random.Generator,
-) -> Ints:
-    """Return the server of each request; `outstanding` is what its gateway has in flight at each server."""
-    chosen = np.zeros(len(arm), dtype=np.int64)
-    for number, rule in enumerate(rules):
-        in_arm = np.flatnonzero(arm == number)
-        if rule.choices:
-            sample = _sample_servers(setting.servers, rule, gateway[in_arm], rng)
-            counts = np.take_along_axis(outstanding[in_arm], sample, axis=1)
-            best = np.argmin(counts + TIE_BREAK * rng.random(counts.shape), axis=1)
-            chosen[in_arm] = sample[np.arange(len(in_arm)), best]
-        else:
-            counts = outstanding[in_arm]
-            chosen[in_arm] = np.argmin(counts + TIE_BREAK * rng.random(counts.shape), axis=1)
-    return chosen
-
-
 def _sample_servers(servers: int, rule: PlacementRule, gateway: Ints, rng: np.random.Generator) -> Ints:
     """Return different servers for each request: a random one, and others at random distances from it."""
-    step = 2 if rule.own_zone_only else 1  # the servers of a zone are every other one
-    candidates, shape = servers // step, (len(gateway), 1)
+    step = ZONES if rule.own_zone_only else 1  # the servers of a zone are every other one
+    candidates = servers // step
+    shape = (len(gateway), 1)
     distances = np.zeros(shape, dtype=np.int64)
     if rule.choices > 1:
         distances = np.hstack((distances, rng.integers(1, candidates, size=shape)))
-    if rule.choices > 2:
+    if rule.choices >= THIRD_CHOICE:
         third = rng.integers(1, candidates - 1, size=shape)
         distances = np.hstack((distances, third + (third >= distances[:, 1:2])))
     places = (rng.integers(candidates, size=shape) + distances) % candidates
-    return places * step + (gateway % 2)[:, None] if rule.own_zone_only else places
+    if not rule.own_zone_only:
+        return places
+    return places * step + (gateway % ZONES)[:, None]
--- a/tests/test_placement_estimates.py
+++ b/tests/test_placement_estimates.py
@@ -29,6 +29,7 @@
     RANDOM,
     TWO_CHOICES,
     ModelSetting,
+    SimulationPlan,
     simulate,
 )
 from meadowpulley.placement.time_bins import (
@@ -250,5 +251,6 @@
 
 @pytest.mark.parametrize("load", [0.3, 0.6])
 def test_random_placement_in_the_model_is_an_mm1_queue(load: float) -> None:
-    runs = simulate(ModelSetting(10, 2, load), (RANDOM, RANDOM), 0.5, 40, 4000, 1)
+    plan = SimulationPlan(ModelSetting(10, 2, load), (RANDOM, RANDOM), 0.5, 40, 4000, 1)
+    runs = simulate(plan)
     assert mean_sojourn_time(runs).mean() == pytest.approx(1 / (1 - load), rel=0.04)  # M/M/1
