--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,9 +1,10 @@
-"""Lending by module: division, buckets, the allocator's sum, the stage's answers, invalid settings."""
+"""Lending by module: division, buckets, estimates, records, the stage's answers, invalid settings."""
 
 from __future__ import annotations
 
 import dataclasses
 import math
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -29,8 +30,8 @@
     TransactionResult,
 )
 from meadowpulley.lending import Admission, LendingStage, Quota, QuotaPlan, QuotaPlanError, read_plan
-from meadowpulley.lending.allocator import Allocator
 from meadowpulley.lending.demand_estimator import DemandEstimator
+from meadowpulley.lending.errors import RecordFormatError
 from meadowpulley.lending.max_min_fairness import divide_capacity, water_fill
 from meadowpulley.lending.plan import decode_plan, encode_plan
 from meadowpulley.lending.quota_enforcer import QuotaEnforcer
@@ -111,11 +112,13 @@
 
 
 def test_a_paused_enforcer_resumes_without_its_grant_and_keeps_its_floor() -> None:
+    """A process stands still until its grant has expired, and once more until its floor has."""
     enforcer = QuotaEnforcer(PLAN)
     enforcer.apply_grant(0.0, grant(95.0, (0, 95.0, 0.0)), 5000.0)
     enforcer.set_floor(0.0, 5.0, 60_000.0)
     enforcer.advance(50_000.0)
-    assert enforcer.rate == 5.0 and enforcer.tokens <= enforcer.burst <= 2.5
+    assert enforcer.rate == 5.0
+    assert enforcer.tokens <= enforcer.burst <= 2.5
     enforcer.advance(61_000.0)
     assert enforcer.rate == enforcer.tokens == 0.0
 
@@ -130,7 +133,8 @@
         for place in (1, 0):
             if enforcer.admit(4000.0 + step, place, 0, 1.0) is not Admission.REJECTED:
                 counts[place] += 1
-    assert 75 <= counts[0] <= 85 + 3 * 10 and counts[1] <= 85
+    assert 75 <= counts[0] <= 85 + 3 * 10
+    assert counts[1] <= 85
 
 
 def test_priority_decides_within_a_tenant_and_admits_the_next_class_in_part() -> None:
@@ -142,7 +146,8 @@
     for step in range(900):
         cls = 0 if step % 3 == 0 else 1
         got[cls] += enforcer.admit(step * 22.0, 0, cls, 1.0) is not Admission.REJECTED
-    assert got[0] > 0.9 * 300 and 0 < got[1] < 0.25 * 600
+    assert got[0] > 0.9 * 300
+    assert 0 < got[1] < 0.25 * 600
 
 
 def test_retries_of_rejected_requests_are_spaced() -> None:
@@ -171,99 +176,45 @@
     assert [end_round(0) for _ in range(40)][-1] < 1.0
 
 
-def demand_report(
-    incarnation: Incarnation,
-    round_number: int,
-    acknowledged_round: int,
-    *rates: tuple[int, float],
-    released: bool = False,
-) -> DemandReport:
-    return DemandReport(incarnation, round_number, acknowledged_round, 1, 0.0, 0.0, released, rates)
-
-
-class AllocatorHarness:
-    """An allocator whose grants are all committed; versions rise by one."""
-
-    def __init__(self) -> None:
-        self.allocator, self.version = Allocator(PLAN), 0
-
-    def report(self, now: float, gateway_index: int, demand_report: DemandReport) -> None:
-        self.version += 1
-        self.allocator.observe_report(now, gateway_index, demand_report, self.version)
-
-    def run_round(self, now: float) -> dict[int, QuotaGrant]:
-        grants = {}
-        for write in self.allocator.run_round(now):
-            self.version += 1
-            self.allocator.observe_grant(now, write.gateway_index, write.grant, self.version)
-            grants[write.gateway_index] = write.grant
-        assert sum(self.allocator.reservations.reserved(n) for n in (0, 1)) <= 90.0 + 1e-6
-        return grants
-
-
-def test_a_lowered_grant_is_free_for_others_once_it_is_acknowledged() -> None:
-    harness = AllocatorHarness()
-    harness.report(0.0, 0, demand_report(A, 1, 0, (0, 200.0)))
-    assert harness.run_round(0.0)[0].total == pytest.approx(90.0)
-    harness.report(100.0, 1, demand_report(B, 1, 0, (1, 200.0)))
-    assert harness.run_round(100.0)[1].total == 0.0
-    harness.report(200.0, 0, demand_report(A, 2, 1, (0, 200.0)))
-    lowered = harness.run_round(200.0)[0]
-    assert lowered.total < 70.0 and lowered.reserved == pytest.approx(90.0)
-    harness.report(300.0, 1, demand_report(B, 2, 1, (1, 200.0)))
-    assert harness.run_round(300.0)[1].total == 0.0  # the first may not have seen it
-    harness.report(400.0, 0, demand_report(A, 3, 2, (0, 200.0)))
-    harness.run_round(400.0)
-    harness.report(500.0, 1, demand_report(B, 3, 2, (1, 200.0)))
-    assert harness.run_round(500.0)[1].total == pytest.approx(90.0 - lowered.total)
-
-
-def test_the_grant_of_a_dead_incarnation_is_reclaimed_once_after_its_term() -> None:
-    harness = AllocatorHarness()
-    harness.report(0.0, 0, demand_report(A, 1, 0, (0, 200.0)))
-    harness.run_round(0.0)
-    harness.report(4000.0, 1, demand_report(B, 1, 0, (1, 200.0)))
-    assert harness.run_round(4000.0)[1].total == 0.0
-    harness.report(5001.0, 1, demand_report(B, 2, 1, (1, 200.0)))
-    both = harness.run_round(5001.0)  # it is written as returned first, given away after
-    assert both[0].reserved == 0.0 and both[1].total == 0.0
-    harness.report(5100.0, 1, demand_report(B, 3, 2, (1, 200.0)))
-    assert harness.run_round(5100.0)[1].total == pytest.approx(90.0)
-    assert 0 not in harness.run_round(20_000.0)
-
-
-def test_a_new_incarnation_is_answered_at_once_beside_its_predecessors_grant() -> None:
-    harness = AllocatorHarness()
-    harness.report(0.0, 0, demand_report(A, 1, 0, (0, 40.0)))
-    harness.run_round(0.0)
-    first = harness.allocator.reservations.reserved(0)
-    harness.report(1000.0, 0, demand_report(Incarnation("a", 2), 1, 0, (0, 40.0)))
-    new = harness.run_round(1000.0)[0]
-    assert new.predecessor_reserved == pytest.approx(first) and 0 < new.total <= 90.0 - first + 1e-6
-    harness.report(5001.0, 0, demand_report(Incarnation("a", 2), 2, 1, (0, 40.0)))
-    assert harness.run_round(5001.0)[0].predecessor_reserved == 0.0
-
-
-def test_a_graceful_shutdown_releases_the_grant_at_once() -> None:
-    harness = AllocatorHarness()
-    harness.report(0.0, 0, demand_report(A, 1, 0, (0, 200.0)))
-    harness.run_round(0.0)
-    harness.report(10.0, 0, demand_report(A, 2, 1, released=True))
-    harness.report(20.0, 1, demand_report(B, 1, 0, (1, 200.0)))
-    assert harness.run_round(20.0)[1].total == pytest.approx(90.0)
-
-
-def test_records_survive_a_round_trip_and_other_bytes_are_refused() -> None:
-    report = DemandReport(A, 3, 2, 1, 4.5, 4.5, True, ((0, 1.5), (7, 2.0)))
-    granted = QuotaGrant(A, 3, 1, 10.5, 11.0, 1.0, 2.5, 5000.0, ((0, 1.5, 0.25),))
-    assert decode_report(encode_report(report)) == report
-    assert decode_grant(encode_grant(granted)) == granted
+REPORT = DemandReport(A, 3, 2, 1, 4.5, 4.5, True, ((0, 1.5), (7, 2.0)))
+GRANT = QuotaGrant(A, 3, 1, 10.5, 11.0, 1.0, 2.5, 5000.0, ((0, 1.5, 0.25),))
+
+
+def test_records_survive_a_round_trip() -> None:
+    assert decode_report(encode_report(REPORT)) == REPORT
+    assert decode_grant(encode_grant(GRANT)) == GRANT
     assert decode_plan(encode_plan(PLAN)) == PLAN
-    for bad in (b"", b"\x07" + encode_report(report)[1:], encode_report(report)[:-1]):
-        with pytest.raises(ValueError):
-            decode_report(bad)
-    with pytest.raises(QuotaPlanError):
-        decode_plan(b'{"version": 1}')
+
+
+DAMAGES = {
+    "empty": lambda value: b"",
+    "of another format": lambda value: b"\x07" + value[1:],
+    "cut short": lambda value: value[:-1],
+    "with a name that is no text": lambda value: value.replace(b"a", b"\xff", 1),
+}
+
+
+@pytest.mark.parametrize("damage", DAMAGES.values(), ids=DAMAGES.keys())
+def test_records_that_are_damaged_are_refused(damage: Callable[[bytes], bytes]) -> None:
+    """Another version, or a bug, wrote bytes that can't be counted. Callers see one error for all of them."""
+    with pytest.raises(RecordFormatError, match="not a demand report: "):
+        decode_report(damage(encode_report(REPORT)))
+    with pytest.raises(RecordFormatError, match="not a grant: "):
+        decode_grant(damage(encode_grant(GRANT)))
+
+
+@pytest.mark.parametrize(
+    ("value", "message"),
+    [
+        pytest.param(b"no JSON", "lending/plan: ", id="not JSON"),
+        pytest.param(b'{"version": 1}', "lending/plan: 'tenants'", id="no tenants"),
+        pytest.param(encode_plan(PLAN).replace(b"part", b"share"), "unknown field 'share'", id="unknown"),
+        pytest.param(encode_plan(PLAN).replace(b"0.5", b"0.9"), "add up to 1.4", id="too much"),
+    ],
+)
+def test_plans_that_are_damaged_are_refused(value: bytes, message: str) -> None:
+    with pytest.raises(QuotaPlanError, match=message):
+        decode_plan(value)
 
 
 SETTINGS = dataclasses.replace(plain_settings(PLAN, 2), gateway_index=0)
@@ -296,10 +247,13 @@
 def test_settings_make_a_plan_and_none_without_a_capacity() -> None:
     assert read_plan(SETTINGS, {"HOME": "/"}) is None
     plan = read_plan(SETTINGS, CAPACITY | {"MEADOWPULLEY_LENDING_WEIGHTS": "z=4"})
-    assert plan is not None and plan.tenants[2] == Quota("z", 0.2, 4.0) and plan.tenants[0].weight == 0.5
+    assert plan is not None
+    assert plan.tenants[2] == Quota("z", 0.2, 4.0)
+    assert plan.tenants[0].weight == 0.5
     quotas = tuple(Tenant(t.name, quota_per_s=25.0) for t in PLAN.tenants)
     by_quota = read_plan(dataclasses.replace(SETTINGS, tenants=quotas), CAPACITY)
-    assert by_quota is not None and [t.fraction for t in by_quota.tenants] == [0.25] * 3
+    assert by_quota is not None
+    assert [t.fraction for t in by_quota.tenants] == [0.25] * 3
     with pytest.raises(QuotaPlanError, match="no tenants"):
         read_plan(dataclasses.replace(SETTINGS, tenants=()), CAPACITY)
 
@@ -318,7 +272,8 @@
     lending = stage()
     responses = [lending.handle(1000.0, request(n)) for n in range(60)]
     rejected = [action for actions in responses for action in actions if isinstance(action, Reject)]
-    assert 40 <= len(rejected) < 60 and all(0 < r.retry_after_ms <= 10_000.0 for r in rejected)
+    assert 40 <= len(rejected) < 60
+    assert all(0 < r.retry_after_ms <= 10_000.0 for r in rejected)
     assert rejected[0].retry_after_ms < rejected[5].retry_after_ms
     prior_attempt = PriorAttempt(1, 1, 0, 0, 0.0)
     before, tokens = lending.demand.units_this_round(0), lending.enforcer.tokens
@@ -335,6 +290,7 @@
 
 
 def test_a_fenced_gateway_has_only_its_floor_and_a_leaving_one_nothing() -> None:
+    """A gateway was stopped for longer than its lease and wakes fenced; then it is shut down."""
     lending = stage()
     lending.enforcer.set_floor(0.0, 2.0, 1e6)
     lending.handle(1000.0, Fenced())
@@ -373,6 +329,7 @@
 
 
 def test_an_invalid_plan_changes_nothing_in_a_running_gateway() -> None:
+    """New settings bring quotas above the capacity, then other quotas without a new version."""
     lending = stage()
     for bad in (
         dataclasses.replace(PLAN, version=2, tenants=(Quota("x", 0.8), Quota("y", 0.3))),
@@ -380,4 +337,5 @@
     ):
         with pytest.raises(QuotaPlanError):
             lending.update_plan(0.0, bad)
-    assert lending.plan == PLAN and lending.enforcer.rate == 10.0
+    assert lending.plan == PLAN
+    assert lending.enforcer.rate == 10.0
--- a/tests/test_lending_fleet.py
+++ b/tests/test_lending_fleet.py
@@ -51,6 +51,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_the_sum_never_exceeds_the_capacity_whatever_fails(seed: int) -> None:
+    """Gateways are killed, paused, replaced and cut off at random, and results of their commits are lost."""
     assert capacity_respected(run_with_faults(seed))
 
 
@@ -98,6 +99,7 @@
 
 @pytest.mark.parametrize("bug", INJECTED_BUGS)
 def test_injected_bugs_break_the_sum(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The accounting of reservations has a bug, and gateways fail so that it shows."""
     target, name, inject, kind = INJECTED_BUGS[bug]
     monkeypatch.setattr(target, name, inject(getattr(target, name)))
     assert not all(capacity_respected(run_with_faults(seed, kind)) for seed in range(1, 9))
@@ -112,19 +114,33 @@
     assert admitted(fleet, range(4, 10)) > 0.95 * 200
     arrived = sum(fleet.arrived[s][0] for s in range(15, 22)) / 7
     assert admitted(fleet, range(15, 22), 0) > 0.97 * min(arrived, 100.0)
-    assert admitted(fleet, range(15, 22)) > 0.95 * 200 and capacity_respected(fleet)
+    assert admitted(fleet, range(15, 22)) > 0.95 * 200
+    assert capacity_respected(fleet)
 
 
 @pytest.mark.parametrize(
     ("rates", "least"),
     [
-        (
-            lambda s, g: {0: 100.0} | ({1: 2000.0} if g == 0 else {}),
+        pytest.param(
+            lambda second, gateway: {0: 100.0} | ({1: 2000.0} if gateway == 0 else {}),
             {0: 0.95 * 120, 1: 0.95 * 80},
-        ),  # one hoards
-        (lambda s, g: {2: 400.0} if g == 2 else {}, {2: 0.9 * 200}),  # one tenant, at one gateway, has all
-        (lambda s, g: {g % 3: 300.0}, {0: 0.9 * 100, 1: 0.9 * 60, 2: 0.85 * 40}),  # each gateway sees one
-        (lambda s, g: {9: 100.0, 0: 20.0}, {0: 0.97 * 60, 9: 0.9 * 140}),  # one that no share names
+            id="one tenant hoards",
+        ),
+        pytest.param(
+            lambda second, gateway: {2: 400.0} if gateway == 2 else {},
+            {2: 0.9 * 200},
+            id="one tenant at one gateway has all",
+        ),
+        pytest.param(
+            lambda second, gateway: {gateway % 3: 300.0},
+            {0: 0.9 * 100, 1: 0.9 * 60, 2: 0.85 * 40},
+            id="each gateway sees one tenant",
+        ),
+        pytest.param(
+            lambda second, gateway: {9: 100.0, 0: 20.0},
+            {0: 0.97 * 60, 9: 0.9 * 140},
+            id="one tenant without a quota",
+        ),
     ],
 )
 def test_demand_of_all_shapes_gets_its_entitlement(rates: Rates, least: dict[int, float]) -> None:
@@ -136,68 +152,79 @@
 
 
 def test_disconnected_gateways_use_their_floors_and_reconnect() -> None:
+    """All gateways lose the ledger, every second one without notice. Grants expire; floors stay."""
     fleet = SimulatedFleet(plan_of(4, floor=0.2), 4, 1, saturating(200.0, 4))
-    for g in fleet.gateways:
-        fleet.schedule(6000.0, fleet.disconnect, g, g.gateway_index % 2 == 0)
-        fleet.schedule(15_000.0, fleet.reconnect, g)
+    for gateway in fleet.gateways:
+        fleet.schedule(6000.0, fleet.disconnect, gateway, gateway.gateway_index % 2 == 0)
+        fleet.schedule(15_000.0, fleet.reconnect, gateway)
     fleet.run(22_000.0)
     assert admitted(fleet, range(12, 15)) == pytest.approx(0.2 * 200, rel=0.15)
-    assert admitted(fleet, range(18, 22)) > 0.93 * 200 and capacity_respected(fleet)
+    assert admitted(fleet, range(18, 22)) > 0.93 * 200
+    assert capacity_respected(fleet)
 
 
 def test_a_failed_allocator_is_replaced_before_grants_end() -> None:
+    """The allocator is killed while all capacity is in use. The others go on by their grants meanwhile."""
     fleet = SimulatedFleet(plan_of(6), 6, 2, saturating(200.0, 6))
 
     def kill() -> None:
-        for g in fleet.gateways:
-            if g.stage is not None and g.stage.election.needs_all_records:
-                fleet.kill(g)
+        for gateway in fleet.gateways:
+            if gateway.stage is not None and gateway.stage.election.needs_all_records:
+                fleet.kill(gateway)
 
     fleet.schedule(8000.0, kill)
     fleet.run(20_000.0)
     assert all(admitted(fleet, range(s, s + 1)) > 0.75 * 200 for s in range(9, 20))  # 5 of 6 are left
-    assert admitted(fleet, range(15, 20)) > 0.93 * 200 and capacity_respected(fleet)
+    assert admitted(fleet, range(15, 20)) > 0.93 * 200
+    assert capacity_respected(fleet)
 
 
 def test_quotas_change_in_a_running_fleet_and_older_ones_are_ignored() -> None:
+    """Quotas change for a smaller capacity. Then a gateway is killed and restarted with the earlier ones."""
     fleet = SimulatedFleet(plan_of(4), 4, 1, saturating(200.0, 4))
     new = dataclasses.replace(plan_of(4, 120.0), version=2, tenants=(Quota("z", 0.8), Quota("x", 0.2)))
 
     def change() -> None:
-        g = fleet.gateways[2]
-        assert g.stage is not None
-        for action in g.stage.update_plan(g.clock(fleet.now), new):
+        gateway = fleet.gateways[2]
+        assert gateway.stage is not None
+        for action in gateway.stage.update_plan(gateway.clock(fleet.now), new):
             assert isinstance(action, Commit)
-            fleet.commit(g, action)
+            fleet.commit(gateway, action)
 
     fleet.schedule(8000.0, change)
     fleet.schedule(14_000.0, fleet.kill, fleet.gateways[0])
     fleet.schedule(15_000.0, fleet.restart, fleet.gateways[0])  # with the earlier settings
     fleet.run(24_000.0)
-    assert all(g.stage is not None and g.stage.plan == new for g in fleet.gateways)
+    plans = [gateway.stage.plan for gateway in fleet.gateways if gateway.stage is not None]
+    assert plans == [new] * 4
     assert admitted(fleet, range(20, 24), 2) > 0.9 * 96  # the killed one's grant has ended
     assert 0.93 * 120 < admitted(fleet, range(20, 24)) <= 120 * 1.02 + fleet.stated_burst / 4
     assert fleet.max_rate_fraction <= 1 + 1e-9  # of the greater capacity, all the while
 
 
 def test_two_gateways_with_one_index_are_logged_and_one_of_them_admits() -> None:
+    """The third gateway was given the number of the second by mistake."""
     fleet = SimulatedFleet(plan_of(3), 3, 1, saturating(200.0, 3))
     fleet.settings = dataclasses.replace(fleet.settings)
     fleet.gateways[2].gateway_index = 1
     fleet.run(8000.0)
-    assert any(
-        "give each gateway a number of its own" in line for line in fleet.logged
-    ) and capacity_respected(fleet)
+    assert any("give each gateway a number of its own" in line for line in fleet.logged)
+    assert capacity_respected(fleet)
+
+
+def one_request_a_second(active_tenants: list[list[int]]) -> Rates:
+    """Demand one request per second from each gateway's active tenants."""
+    return lambda second, gateway: dict.fromkeys(active_tenants[gateway], 1.0)
 
 
 def test_ledger_operations_grow_linearly_with_gateways() -> None:
     each = {}
     for gateways in (10, 60):
         rng = Random(1)
-        active = {g: rng.sample(range(300), 5) for g in range(gateways)}
+        active = [rng.sample(range(300), 5) for _ in range(gateways)]
         shares = tuple(Quota(f"t{n}", 1 / 300) for n in range(300))
         plan = QuotaPlan(1, 10.0 * gateways, gateways, shares)
-        fleet = SimulatedFleet(plan, gateways, 1, lambda s, g, a=active: dict.fromkeys(a[g], 1.0))  # type: ignore[misc]
+        fleet = SimulatedFleet(plan, gateways, 1, one_request_a_second(active))
         fleet.run(3000.0)
         before = fleet.ledger_operations["transactions"] + fleet.ledger_operations["read records"]
         fleet.run(6000.0)
--- a/tests/test_lending_formats.py
+++ b/tests/test_lending_formats.py
@@ -93,7 +93,8 @@
 
 
 def test_the_lease_and_the_keys_are_as_before() -> None:
-    assert decode_incarnation(b"3 a") == GATEWAY and encode_incarnation(GATEWAY) == b"3 a"
+    assert decode_incarnation(b"3 a") == GATEWAY
+    assert encode_incarnation(GATEWAY) == b"3 a"
     assert (OWNER, PLAN_KEY, ALLOCATOR_KEY) == ("lending", "lending/plan", "lending/allocator")
     assert record_key(REPORT_PREFIX, 4) == "lending/ask/00004"
     assert record_key(GRANT_PREFIX, 4) == "lending/grant/00004"
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -61,7 +61,7 @@
     assert found.digest != replace(found, carry_ms=found.carry_ms + 1).digest
 
 
-BAD = [
+INVALID_DEFINITIONS = [
     ("version = 1", "version = 2", "x.toml: version: 2 is not known here"),
     ('unit = "request"', 'unit = "color"', "x.toml: unit: Invalid enum value 'color'"),
     ('unit = "request"', "units = 1", "unknown field `units`"),
@@ -75,13 +75,14 @@
 ]
 
 
-@pytest.mark.parametrize("before, after, message", BAD)
+@pytest.mark.parametrize(("before", "after", "message"), INVALID_DEFINITIONS)
 def test_invalid_definitions_are_refused_in_one_line(before: str, after: str, message: str) -> None:
     raw = EXAMPLE.read_text()
     assert before in raw
     with pytest.raises(FleetError) as error:
         parse_experiment(raw.replace(before, after, 1).encode(), "x.toml", ["look", "buy"])
-    assert message in str(error.value) and "\n" not in str(error.value)
+    assert message in str(error.value)
+    assert "\n" not in str(error.value)
 
 
 def test_the_environment_names_the_file_or_none() -> None:
@@ -159,7 +160,8 @@
         for name, policy in made.items()
     }
     assert first["least"] == {0: 4000}
-    assert first["two"][0] == pytest.approx(4000 * 18 / 90, rel=0.1) and not first["two"][9]
+    assert first["two"][0] == pytest.approx(4000 * 18 / 90, rel=0.1)
+    assert not first["two"][9]
     assert set(first["round"].values()) == {400}
     assert set(first["zone"]) == {1, 3, 5, 7}  # of its zone, and never the busiest of two
     quick, slow = (sum(first["speed"][s] for s in range(10) if s % 2 == kind) for kind in (0, 1))
@@ -245,4 +247,5 @@
     code = "import sys, meadowpulley.__main__, meadowpulley.net.gateway; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     names = done.stdout.split()
-    assert "meadowpulley.net.gateway" in names and not [n for n in names if "placement" in n]
+    assert "meadowpulley.net.gateway" in names
+    assert not [n for n in names if "placement" in n]
--- a/tests/test_placement_emulated.py
+++ b/tests/test_placement_emulated.py
@@ -45,12 +45,15 @@
     found = run_experiment(FLEET, experiment(policy), load, 3, FAULTS)
     assert not found.rule_violations
     s = found.summary
-    assert s.incarnations == 3 and s.withheld > 0  # during the rollback, and before the ledger was read
+    assert s.incarnations == 3
+    assert s.withheld > 0  # during the rollback, and before the ledger was read
     asked = sum(1 for _ in load.arrivals(FLEET, 3))
     lost = sum(a.lost for a in s.arms if not a.class_name)
-    assert 0 < lost < 100 and not sum(a.still_open for a in s.arms)
+    assert 0 < lost < 100
+    assert not sum(a.still_open for a in s.arms)
     assert 0.85 * asked < s.requests + s.withheld <= asked
-    assert min(a.served for a in s.arms if not a.class_name) > 600 and s.sample_ratio_p_value > 0.001
+    assert min(a.served for a in s.arms if not a.class_name) > 600
+    assert s.sample_ratio_p_value > 0.001
     if policy == "two":
         assert run_experiment(FLEET, experiment(policy), load, 3, FAULTS) == found
 
@@ -94,7 +97,8 @@
     names = list(dict.fromkeys(row.name for row in found))
     assert names == ["try-all-now", "try-all-new", "try"]
     change = next(d for d in paired_differences(found, *names[:2]) if d.metric == "mean_ms")
-    assert change.first > 100 and change.change.count == 2
+    assert change.first > 100
+    assert change.change.count == 2
     assert "new.naive_ms" in found[2].figures
     write_tables(found, tmp_path, {"experiment": "try"})
     assert (tmp_path / "table.csv").read_text().startswith("configuration,seed,")
@@ -103,6 +107,9 @@
 def test_the_guard_ends_a_harmful_arm_and_not_an_equal_one() -> None:
     load = LoadSpec(per_s=170.0, seconds=15.0)  # 0.85 of what the fleet can do; requests have no keys
     harmed, equal = (run_experiment(FLEET, experiment(policy, "two"), load, 1) for policy in ("key", "two"))
-    assert harmed.guard_times_ms and harmed.summary.ended_arms[0][0] == "new" and not harmed.rule_violations
+    assert harmed.guard_times_ms
+    assert harmed.summary.ended_arms[0][0] == "new"
+    assert not harmed.rule_violations
     assert harmed.summary.requests < equal.summary.requests
-    assert not equal.guard_times_ms and not equal.summary.ended_arms
+    assert not equal.guard_times_ms
+    assert not equal.summary.ended_arms
--- a/tests/test_placement_estimates.py
+++ b/tests/test_placement_estimates.py
@@ -83,7 +83,8 @@
     r = q_residuals(taken, cost, held, still)
     for b in range(60):
         if b < WARMUP_BINS + LOOKAHEAD_BINS + 1 or b + LOOKAHEAD_BINS >= 60:
-            assert np.isnan(r.by_cost[b]) and np.isnan(r.by_outstanding[b])
+            assert np.isnan(r.by_cost[b])
+            assert np.isnan(r.by_outstanding[b])
             continue
         rows = np.array(
             [[1, still[j], taken[j : j + LOOKAHEAD_BINS + 1].sum()] for j in range(b - LOOKAHEAD_BINS)]
@@ -148,7 +149,8 @@
     numbers = [b.number for s in segments for b in s.bins]
     assert numbers == list(range(numbers[0], numbers[0] + len(numbers)))
     assert sum(sum(b.arm_counts.values()) for s in segments for b in s.bins) == 1500
-    assert all(decode_segment(encode_segment(s)) == s for s in segments) and decode_segment(b"\xc1") is None
+    assert all(decode_segment(encode_segment(s)) == s for s in segments)
+    assert decode_segment(b"\xc1") is None
 
 
 def total_bins(segments: list[BinSegment], over: set[str]) -> list[TimeBin]:
@@ -166,7 +168,8 @@
     assert total_bins(shuffled, set()) == one
     assert one[-1].number == b[-1].bins[-1].number
     whole = total_bins([*a, *b], {"b.1"})
-    assert whole[-1].number == a[-1].bins[-1].number and whole[: len(one)] == one
+    assert whole[-1].number == a[-1].bins[-1].number
+    assert whole[: len(one)] == one
     assert one[5].accepted[0] == a[0].bins[5].accepted[0] + b[0].bins[5].accepted[0]
 
 
@@ -192,7 +195,8 @@
         once += bool((np.abs(means) > 1.96 * error).any())
         halves = [sequence_half_width(e, m, 0.05, 20_000.0) for e, m in zip(error, n.tolist(), strict=True)]
         kept += bool((np.abs(means) > halves).any())
-    assert once > 60 and kept <= 15
+    assert once > 60
+    assert kept <= 15
 
 
 def test_units_that_share_an_arm_widen_the_error() -> None:
@@ -220,7 +224,8 @@
         arm, level = block % 2, rng.normal(100, 4)
         merged.blocks[block, 0] = BlockCosts(block, arm, 0, 200, 200 * (level + 10 * arm))
     found = estimate_switchback(merged, 1, 0, 0.05)
-    assert found.low < 10.0 < found.high and found.sample_size == 60
+    assert found.low < 10.0 < found.high
+    assert found.sample_size == 60
     assert found.standard_error == pytest.approx(4 * (2 / 30) ** 0.5, rel=0.3)
     assert found.sequence_low < found.low
     few = MergedCounters(blocks={k: v for k, v in merged.blocks.items() if k[0] < 10})
@@ -235,17 +240,18 @@
     e = Experiment(1, "try", arms, EndCondition(requests=10**9))
     assert "with what it costs others" in harm_reason(e, simulated_counters(1, -2.0, 60.0), 1)
     assert "as measured" in harm_reason(e, simulated_counters(1, 9.0, 0.0), 1)
-    assert not harm_reason(e, simulated_counters(1, 0.0, 0.0), 1) and not harm_reason(
-        e, simulated_counters(1, -9.0, 0.0), 1
-    )
+    assert not harm_reason(e, simulated_counters(1, 0.0, 0.0), 1)
+    assert not harm_reason(e, simulated_counters(1, -9.0, 0.0), 1)
 
 
 def test_the_mixed_estimate_has_less_bias_where_the_truth_is_known() -> None:
     case = CalibrationCase(ModelSetting(10, 1, 0.85), (TWO_CHOICES, LEAST_OUTSTANDING), arrivals=8000)
     found = calibrate(case, 50, 1, (15.0,))[0]
     plain, full = estimator_quality(found, "naive"), estimator_quality(found, "mixed")
-    assert found.truth < 0 and plain.bias > 0.1
-    assert abs(full.bias) < plain.bias + full.bias_uncertainty and full.coverage >= 0.9
+    assert found.truth < 0
+    assert plain.bias > 0.1
+    assert abs(full.bias) < plain.bias + full.bias_uncertainty
+    assert full.coverage >= 0.9
     assert full.spread == pytest.approx(full.mean_standard_error, rel=0.3)
 
 
--- a/tests/test_placement_gateway.py
+++ b/tests/test_placement_gateway.py
@@ -148,7 +148,8 @@
     found = world.summary(e)
     assert (found.requests, found.withheld, found.unassigned, found.incarnations) == (REQUEST_COUNT, 0, 0, 3)
     whole = [a for a in found.arms if not a.class_name]
-    assert sum(a.served for a in whole) == REQUEST_COUNT and all(a.requests > OPEN for a in whole)
+    assert sum(a.served for a in whole) == REQUEST_COUNT
+    assert all(a.requests > OPEN for a in whole)
     assert sum(a.still_open + a.lost + a.disconnected + a.failed + a.rejected for a in whole) == 0
     assert not [line for gateway in gateways for line in gateway.events("fault")]
 
@@ -184,7 +185,8 @@
         requested_experiment(
             settings(), {"MEADOWPULLEY_PLACEMENT": str(file), "MEADOWPULLEY_LEDGER": str(tmp_path)}
         )
-    assert "\n" not in str(bad.value) and str(file) in str(bad.value)
+    assert "\n" not in str(bad.value)
+    assert str(file) in str(bad.value)
 
 
 def test_missing_libraries_are_reported_in_one_line() -> None:
@@ -196,4 +198,5 @@
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=False)
     line = done.stderr.strip().splitlines()[-1]
-    assert "LedgerUnusableError: MEADOWPULLEY_PLACEMENT: " in line and "requirements-placement.txt" in line
+    assert "LedgerUnusableError: MEADOWPULLEY_PLACEMENT: " in line
+    assert "requirements-placement.txt" in line
--- a/tests/test_placement_stage.py
+++ b/tests/test_placement_stage.py
@@ -4,33 +4,25 @@
 
 from collections import Counter
 from datetime import UTC, datetime
-from typing import Any
 
 import pytest
 
-from meadowpulley.cli.demo import demo_fleet
-from meadowpulley.fleet import gateway_settings
 from meadowpulley.interface import (
-    LOG_EVENT_TYPES,
     ClientDisconnected,
     Fail,
     Outcome,
     Phase,
     ProbeResult,
     Reject,
-    Request,
     Result,
     RolloutUpdate,
     Timer,
 )
-from meadowpulley.interface.log_wording import log_text
 from meadowpulley.ledger import (
     Commit,
     CommitCompleted,
     Fence,
     Fenced,
-    Incarnation,
-    LedgerChanged,
     LedgerRecovered,
     LedgerUnavailable,
     MemoryStore,
@@ -41,105 +33,18 @@
 from meadowpulley.placement import (
     Arm,
     EndCondition,
-    Experiment,
-    PlacementStage,
     RequestOrigin,
     incarnations_by_version,
-    read_summary,
 )
 from meadowpulley.placement.time_bins import decode_segment
-
-SETTINGS = gateway_settings(demo_fleet(), 0)
-ARMS = (Arm("now", "own", 0.5), Arm("other", "least", 0.5))
-OTHER_LABEL = 1  # the label of arm "other"; the default policy's label is that of no placement
-
-
-class RecordingStage:
-    """Records all events, and returns the actions that a test sets."""
-
-    def __init__(self) -> None:
-        self.events: list[Any] = []
-        self.next_actions: list[Any] = []
-
-    def handle(self, now: float, event: Any) -> list[Any]:
-        self.events.append(event)
-        answers, self.next_actions = self.next_actions, []
-        return answers
-
-
-class StubOrigins:
-    """Origins: a request's own number unless `known` says otherwise; departures as a test sets them."""
-
-    def __init__(self, incarnation: Incarnation, known: dict[int, RequestOrigin]) -> None:
-        self.incarnation, self.known, self.departures = incarnation, known, dict[int, Any]()
-
-    def origin_of(self, request: int) -> RequestOrigin | None:
-        return self.known.get(request, RequestOrigin(str(self.incarnation), request, 0.0))
-
-    def departure(self, request: int) -> Any:
-        return self.departures.get(request, "gone")
-
-
-class StageHarness:
-    """A stage on a shared ledger in memory; it may be disconnected from the ledger, or killed."""
-
-    def __init__(
-        self, store: MemoryStore, name: str, origins: dict[int, RequestOrigin] | None = None, **more: Any
-    ):
-        self.store, self.disconnected = store, False
-        self.inner, self.incarnation = RecordingStage(), store.register(name, 1000.0)
-        fields: dict[str, Any] = {"arms": ARMS, "end": EndCondition(requests=10**6), "carry_ms": 500.0} | more
-        e = Experiment(1, "try", **fields)
-        self.origins = StubOrigins(self.incarnation, origins or {})
-        self.stage = PlacementStage(self.inner, e, SETTINGS, self.incarnation, origins=self.origins)
-        self.log_lines: list[str] = []
-        self.seen_version = 0
-
-    def deliver(self, now: float, event: Any) -> list[Any]:
-        found = self.stage.handle(now, event)
-        for action in found:
-            if isinstance(action, Commit) and not self.disconnected:
-                done = self.store.commit(self.incarnation, action.transactions)
-                self.deliver(now, CommitCompleted(action.ticket, tuple(done), action.owner))
-            elif isinstance(action, LOG_EVENT_TYPES):
-                self.log_lines.append(log_text(action))
-        return found
-
-    def observe_ledger(self, now: float) -> None:
-        changes = self.store.changes(self.seen_version)
-        self.seen_version = changes.version
-        self.deliver(now, LedgerChanged(changes))
-
-    def check(self, now: float) -> None:
-        self.deliver(now, Timer(4))
-
-    def accept(self, now: float, number: int, **more: Any) -> Request:
-        self.deliver(now, Request(number, 0, 0, 0, now + 2000.0, **more))
-        found: Request = self.inner.events[-1]
-        return found
-
-    def serve(self, now: float, number: int) -> None:
-        self.deliver(now, Outcome(number, 0, 1, Result.OK, 10.0, True))
-
-    def kill(self) -> None:
-        self.store.dead_incarnations.add(self.incarnation)
-
-    def summary(self, over: bool = True) -> Any:
-        store = self.store
-        members = [m for m in store.members() if not (over and m.incarnation in store.dead_incarnations)]
-        return read_summary(self.stage.experiment, SETTINGS.classes, store.scan("placement/"), members)
-
-
-def started(name: str = "a", store: MemoryStore | None = None, **more: Any) -> StageHarness:
-    gateway = StageHarness(store or MemoryStore(), name, **more)
-    gateway.observe_ledger(0.0)
-    return gateway
+from tests.placement_harness import OTHER_LABEL, SETTINGS, StageHarness, serve_slow_arm, started
 
 
 def test_requests_are_labelled_and_other_events_pass() -> None:
     g = started()
     arms = Counter(g.accept(1.0, n).arm for n in range(400))
-    assert set(arms) == {1, 2} and min(arms.values()) > 150
+    assert set(arms) == {1, 2}
+    assert min(arms.values()) > 150
     for event in (Timer(1), ProbeResult(1, Result.OK, 1.0), LedgerUnavailable("gone"), LedgerRecovered()):
         g.deliver(2.0, event)
         assert g.inner.events[-1] == event
@@ -189,7 +94,8 @@
     assert found.adopted == 9
     assert found.requests == (20 if written else 9)  # what was never written is lost
     ours = [a for a in found.arms if not a.class_name]
-    assert sum(a.lost for a in ours) == (10 if written else 0) and not sum(a.still_open for a in ours)
+    assert sum(a.lost for a in ours) == (10 if written else 0)
+    assert not sum(a.still_open for a in ours)
     assert second.stage.tracker.counters.record.adopted_completions[0].cost_ms == 1000.0
 
 
@@ -216,7 +122,9 @@
     for g in (a, b):
         g.accept(3.0, 1)
         g.check(4.0)
-    assert not a.log_lines and len(b.log_lines) == 1 and "is not the fleet's" in b.log_lines[0]
+    assert not a.log_lines
+    assert len(b.log_lines) == 1
+    assert "is not the fleet's" in b.log_lines[0]
     assert incarnations_by_version(a.stage.experiment, a.store.scan("placement/")) == {
         a.stage.experiment.digest: 1,
         b.stage.experiment.digest: 1,
@@ -224,13 +132,6 @@
     assert a.summary().requests == b.summary().requests == 1
 
 
-def serve_slow_arm(g: StageHarness, now: float, number: int, until: int) -> None:
-    for n in range(number, until):
-        g.deliver(now, Request(n, 0, 0, 0, now + 2000.0))
-        slow = g.inner.events[-1].arm == OTHER_LABEL
-        g.serve(now + (80.0 if slow else 20.0) + n % 7, n)
-
-
 def test_the_guard_ends_a_harmful_arm_once_for_all_gateways() -> None:
     a = started()
     b, c = started("b", a.store), started("c", a.store)
@@ -245,7 +146,8 @@
     assert any("arm 'other' has ended" in line for line in c.log_lines)
     late = started("d", a.store)
     assert OTHER_LABEL not in {late.accept(120.0, n).arm for n in range(50)}
-    assert a.summary().ended_arms[0][0] == "other" and "as measured" in a.summary().ended_arms[0][1]
+    assert a.summary().ended_arms[0][0] == "other"
+    assert "as measured" in a.summary().ended_arms[0][1]
 
 
 def test_a_disconnected_gateway_ends_an_arm_alone_and_records_it_later() -> None:
@@ -259,7 +161,8 @@
     a.disconnected = False
     a.deliver(120.0, LedgerRecovered())
     a.check(130.0)
-    assert a.summary().ended_arms[0][0] == "other" and a.summary().requests == 1000
+    assert a.summary().ended_arms[0][0] == "other"
+    assert a.summary().requests == 1000
 
 
 @pytest.mark.parametrize(
@@ -320,7 +223,8 @@
         a.check(10.0 * n + 5.0)
     written = [decode_segment(r.value) for r in a.store.scan(a.stage.experiment.record_key("bins/"))]
     numbers = [b.number for s in written if s is not None for b in s.bins]
-    assert numbers == list(range(96)) and not a.stage.writer.unwritten_segments
+    assert numbers == list(range(96))
+    assert not a.stage.writer.unwritten_segments
     assert all(s is not None and s.incarnation == "a.1" for s in written)
     seen = [b.cost_ms[0] for s in written if s is not None for b in s.bins]
     assert seen == pytest.approx([4.0] * 96)
@@ -337,7 +241,8 @@
     assert all(len(found) == 1 for found in arms.values())
     assert {min(found) for found in arms.values()} == {1, 2}
     assert [b.count for b in a.stage.tracker.counters.blocks.values()] == [6] * 20
-    assert a.summary().requests == 200 and not a.stage.tracker.bin_recorder.bins
+    assert a.summary().requests == 200
+    assert not a.stage.tracker.bin_recorder.bins
 
 
 def test_an_adopted_request_that_was_in_no_arm_is_not_counted() -> None:
@@ -359,10 +264,8 @@
     for g in fleet:
         g.observe_ledger(1.0)
     evaluators = [g for g in fleet if g.stage.is_evaluator]
-    assert (
-        len(evaluators) == 1
-        and evaluators[0].stage.experiment.record_key("bins/") in evaluators[0].stage.watched_prefixes()
-    )
+    assert len(evaluators) == 1
+    assert evaluators[0].stage.experiment.record_key("bins/") in evaluators[0].stage.watched_prefixes()
     others = [g for g in fleet if g is not evaluators[0]]
     for g in others:  # many evaluators would raise many false alarms
         serve_slow_arm(g, 10.0, 0, 1000)
@@ -389,6 +292,9 @@
             a.check(now + 1.0)
     a.observe_ledger(20_000.0)
     found = {c.arm: c.mixed for c in a.summary().comparisons if not c.class_name}
-    assert a.summary().ended_arms[0][0] == "bad" and not a.stage.finished
-    assert found["good"].low < 0 < found["good"].high and found["good"].sample_size > 2000
-    assert found["bad"].sample_size < 2000 and found["bad"].low < 60 < found["bad"].high
+    assert a.summary().ended_arms[0][0] == "bad"
+    assert not a.stage.finished
+    assert found["good"].low < 0 < found["good"].high
+    assert found["good"].sample_size > 2000
+    assert found["bad"].sample_size < 2000
+    assert found["bad"].low < 60 < found["bad"].high
--- a/tests/test_placements_hook.py
+++ b/tests/test_placements_hook.py
@@ -137,7 +137,8 @@
         Candidate(1, 0, 0, 0, 41, 0, 1.0, 0.0, True),
         Candidate(3, 1, 2, 1, 41, 0, 0.7, 0.0, False),
     ]
-    assert last[0] == replace(seen[0], outstanding=1, typical_latency_ms=80.0) and last[1] == seen[1]
+    assert last[0] == replace(seen[0], outstanding=1, typical_latency_ms=80.0)
+    assert last[1] == seen[1]
 
 
 def test_the_randomization_does_not_depend_on_the_arm() -> None:
@@ -155,7 +156,8 @@
                 trial += send.server >= 10
                 driver.finish(send, elapsed_ms=5.0)
         part.append(trial / 2000)
-    assert part[0] == pytest.approx(0.4, abs=0.03) and part[1] == pytest.approx(0.4, abs=0.03)
+    assert part[0] == pytest.approx(0.4, abs=0.03)
+    assert part[1] == pytest.approx(0.4, abs=0.03)
 
 
 @pytest.mark.parametrize(("ejected", "asked"), [((14,), {13}), ((13, 14), set())])
