--- a/meadowpulley/lending/allocator.py
+++ b/meadowpulley/lending/allocator.py
@@ -56,7 +56,7 @@
     # What is observed
 
     def observe_report(self, now: float, gateway_index: int, report: DemandReport, version: int) -> None:
-        """Take up a gateway's report, unless one at least as new is known."""
+        """Record a gateway's report, unless one at least as new is known."""
         replaced = self.reservations.reports.get(gateway_index)
         if not self.reservations.observe_report(now, gateway_index, report, version):
             return
@@ -65,7 +65,7 @@
         self._add_demand(report)
 
     def observe_grant(self, now: float, gateway_index: int, grant: QuotaGrant, version: int) -> None:
-        """Take up a gateway's grant, unless one at least as new is known."""
+        """Record a gateway's grant, unless one at least as new is known."""
         self.reservations.observe_grant(now, gateway_index, grant, version)
 
     def update_plan(self, plan: QuotaPlan) -> None:
@@ -114,7 +114,7 @@
         return report.round_number > observed_grant.grant.round_number
 
     def _is_fresh(self, now: float, observed: ObservedReport) -> bool:
-        """Whether a gateway still runs by its report, so that its demand counts."""
+        """Return whether a report is recent and its gateway not shut down, so that its demand counts."""
         return not observed.report.released and now < observed.observed_at + self.plan.term_ms
 
     def _reclaim_expired(self, now: float, gateway_indices: Iterable[int]) -> list[GrantWrite]:
--- a/meadowpulley/lending/allocator_election.py
+++ b/meadowpulley/lending/allocator_election.py
@@ -46,7 +46,7 @@
     write_if_unchanged,
 )
 
-ELECTION_TIMEOUT_ROUNDS = 2.0  # without an answer, and up to one more at random, before a gateway stands
+ELECTION_TIMEOUT_ROUNDS = 2.0  # without an answer, and up to one more at random, before an election
 COMMIT_TIMEOUT_ROUNDS = 4.0  # without a result of its own commit, after which a leader steps down
 PLAN_CHECK_INDEX = 1  # in a grant's transaction: a conflict there means another plan, not another leader
 
@@ -101,14 +101,14 @@
         self.allocator.update_plan(plan)
 
     def on_lease_expired(self, now: float, event: LeaseExpired) -> None:
-        """Stand for election early if the leader's membership lease has expired."""
+        """Start an election early if the leader's membership lease has expired."""
         if any(member.incarnation == self.leader for member in event.members):
             self.early_election_at = now + self.jitter * self.plan.round_ms
 
     # Records
 
     def observe(self, now: float, record: Record) -> None:
-        """Take up a changed record of this package."""
+        """Process a changed record of this package."""
         if record.key == ALLOCATOR_KEY:
             self._observe_lease(now, record)
         elif self.needs_all_records:
@@ -136,7 +136,7 @@
             self.step_down(now)
 
     def on_scanned(self, now: float, event: ScanCompleted) -> None:
-        """Take up all records, read after the lease was won: no former leader can write any more."""
+        """Process all records, read after the lease was won: no former leader can write any more."""
         if self.state is not LeaderState.LOADING or event.ticket != self.ticket:
             return
         self.ticket = 0
@@ -159,7 +159,7 @@
             self.step_down(now)
         if self.ticket:
             return []
-        if self.state is LeaderState.FOLLOWER and self._must_stand(now, unanswered_since):
+        if self.state is LeaderState.FOLLOWER and self._election_due(now, unanswered_since):
             self.state = LeaderState.CANDIDATE
             self._wait_for(ticket, now)
             value = encode_incarnation(self.incarnation)
@@ -172,7 +172,8 @@
         self.ticket = ticket
         self.pending_since = now
 
-    def _must_stand(self, now: float, unanswered_since: float) -> bool:
+    def _election_due(self, now: float, unanswered_since: float) -> bool:
+        """Return whether to replace the lease: reports stay unanswered, or the leader's process is gone."""
         if not self.plan_version:
             return False
         if not self.lease_version and unanswered_since < now:
@@ -204,7 +205,7 @@
     # Results
 
     def on_committed(self, now: float, event: CommitCompleted) -> list[Scan]:
-        """Take up the result of an own commit; others' are ignored."""
+        """Process the result of an own commit; others' are ignored."""
         if not self.ticket or event.ticket != self.ticket:
             return []
         self.ticket = 0
--- a/meadowpulley/lending/demand_estimator.py
+++ b/meadowpulley/lending/demand_estimator.py
@@ -134,7 +134,7 @@
         return {tenant: reported.per_s for tenant, reported in self.reported.items()}
 
     def _repeats(self, last: ReportedDemand, demand: float) -> bool:
-        """Whether the demand reported last is recent, and close enough to be reported again."""
+        """Return whether the demand reported last is recent, and close enough to be reported again."""
         is_recent = self.round_started_at < last.since + HYSTERESIS_DECAYS * self.decay_ms
         is_close = HYSTERESIS_LOW * last.per_s < demand < HYSTERESIS_HIGH * last.per_s
         return is_close and is_recent
--- a/meadowpulley/lending/entitlement.py
+++ b/meadowpulley/lending/entitlement.py
@@ -81,6 +81,6 @@
 def _entitled_rates(report: DemandReport, allocation: Allocation) -> list[GrantedRate]:
     rates = []
     for place, demand in report.rates:
-        fractions = allocation.granted_fractions.get(place, NOTHING_GRANTED)
-        rates.append((place, demand * fractions.own, demand * fractions.borrowed))
+        own, borrowed = allocation.granted_fractions.get(place, NOTHING_GRANTED)
+        rates.append((place, demand * own, demand * borrowed))
     return rates
--- a/meadowpulley/lending/plan_agreement.py
+++ b/meadowpulley/lending/plan_agreement.py
@@ -33,7 +33,10 @@
         return [conditional_write(self.ticket, PLAN_KEY, value, self.record_version)]
 
     def on_committed(self, ticket: int) -> bool:
-        """Take up the end of the write in flight, whose result comes as a change; whether it was one."""
+        """Process the end of the write in flight; return whether this was one.
+
+        Its result comes as a change of the record.
+        """
         if ticket != self.ticket:
             return False
         self.ticket = 0
--- a/meadowpulley/lending/quota_client.py
+++ b/meadowpulley/lending/quota_client.py
@@ -66,7 +66,7 @@
         return self.report_key, self.grant_key
 
     def report_due(self, now: float, early: bool) -> bool:
-        """Whether to report now; `early`: for a reason that can't wait for the next round."""
+        """Return whether to report now; `early`: for a reason that can't wait for the next round."""
         round_ms = self.enforcer.plan.round_ms
         if self.ticket:
             if now < self.reported_at + REPORT_TIMEOUT_ROUNDS * round_ms:
@@ -114,7 +114,7 @@
         self.unanswered_since = math.inf
 
     def on_committed(self, now: float, event: CommitCompleted) -> bool:
-        """Take up the result of the report in flight; whether it was one."""
+        """Process the result of the report in flight; return whether this was one."""
         if event.ticket != self.ticket or not self.ticket:
             return False
         self.ticket = 0
@@ -137,7 +137,7 @@
     # Records
 
     def observe(self, now: float, record: Record) -> None:
-        """Take up one of this gateway's two records, as another gateway or incarnation wrote it."""
+        """Process one of this gateway's two records, as another gateway or incarnation wrote it."""
         try:
             if record.key == self.report_key:
                 self._observe_report(now, record)
@@ -172,7 +172,7 @@
             self._apply_grant(now, grant)
 
     def _is_usable(self, grant: QuotaGrant) -> bool:
-        """Whether a grant of this incarnation is newer than the one applied, and of the plan in force."""
+        """Return whether a grant is newer than the one applied, and of the plan in force."""
         return (
             grant.round_number > self.acknowledged_round
             and grant.round_number in self.round_started_at
--- a/meadowpulley/lending/quota_enforcer.py
+++ b/meadowpulley/lending/quota_enforcer.py
@@ -240,7 +240,7 @@
 
 
 def _move_rates(grant: QuotaGrant, new_places: Mapping[int, int]) -> QuotaGrant:
-    """Return a grant whose rates stand under new places; those of tenants without one are dropped."""
+    """Return a grant with its rates under new places; those of tenants without one are dropped."""
     rates = []
     for place, own, borrowed in grant.rates:
         if place in new_places:
--- a/meadowpulley/lending/records.py
+++ b/meadowpulley/lending/records.py
@@ -144,7 +144,7 @@
         reserved_floor=header.reserved_floor,
         floor_in_use=header.floor_in_use,
         released=header.released,
-        rates=tuple((place, demanded) for place, demanded in _REPORT_RATE.iter_unpack(rows)),
+        rates=tuple(_REPORT_RATE.iter_unpack(rows)),
     )
 
 
@@ -186,7 +186,7 @@
         predecessor_reserved=header.predecessor_reserved,
         floor=header.floor,
         term_ms=header.term_ms,
-        rates=tuple((place, own, borrowed) for place, own, borrowed in _GRANT_RATE.iter_unpack(rows)),
+        rates=tuple(_GRANT_RATE.iter_unpack(rows)),
     )
 
 
--- a/meadowpulley/lending/reservations.py
+++ b/meadowpulley/lending/reservations.py
@@ -58,7 +58,7 @@
     # What is observed
 
     def observe_report(self, now: float, gateway_index: int, report: DemandReport, version: int) -> bool:
-        """Take up a gateway's report; return whether it is newer than the one known."""
+        """Record a gateway's report; return whether it is newer than the one known."""
         known = self.reports.get(gateway_index)
         if known is not None and known.version >= version:
             return False
@@ -69,7 +69,7 @@
         return True
 
     def observe_grant(self, now: float, gateway_index: int, grant: QuotaGrant, version: int) -> None:
-        """Take up a gateway's grant, unless one at least as new is known."""
+        """Record a gateway's grant, unless one at least as new is known."""
         known = self.grants.get(gateway_index)
         if known is not None and known.version >= version:
             return
@@ -159,7 +159,7 @@
     # Floors
 
     def reserved_floor(self, now: float, gateway_index: int) -> float:
-        """Return what a gateway may use beside grants, in any incarnation, even cut off."""
+        """Return what a gateway may use beside grants, in any incarnation, even without the ledger."""
         observed_report = self.reports.get(gateway_index)
         observed_grant = self.grants.get(gateway_index)
         term_ms = self.plan.observer_term_ms(self.plan.floor_term_ms)
--- a/meadowpulley/lending/stage.py
+++ b/meadowpulley/lending/stage.py
@@ -1,7 +1,7 @@
 """The lending stage: it admits a request, or rejects it at once with a time to retry after.
 
 It stands before the next stage as `handle(now, event) -> actions`. It reports demand in rounds, applies what
-it is granted, and stands for election as the allocator of all gateways when the current one falls silent. It
+it is granted, and starts an election of the allocator when the current one does not answer any more. It
 owns the timers of `TIMER_TOKEN` and the commits of owner "lending"; all else passes unchanged.
 
 Whoever carries out its actions sends it the changes of all keys below `watched_prefixes()`, which may differ
@@ -81,7 +81,7 @@
 
 
 class NextStage(Protocol):
-    """What stands behind this stage."""
+    """The stage that gets the events and requests which this one passes on."""
 
     def handle(self, now: float, event: StageEvent) -> list[StageAction]:
         """Return the actions that follow from an event at `now` (ms)."""
@@ -127,7 +127,7 @@
         return (PLAN_KEY, ALLOCATOR_KEY, *self.client.keys)
 
     def handle(self, now: float, event: StageEvent) -> list[StageAction]:
-        """Return the actions that follow from an event at `now` (ms), here and behind."""
+        """Return the actions that follow from an event at `now` (ms), of this stage and the next ones."""
         if isinstance(event, Timer) and event.token == TIMER_TOKEN:
             return self._on_tick(now)
         if isinstance(event, CommitCompleted) and event.owner == OWNER:
@@ -192,7 +192,7 @@
         return min(retry_after_ms, limits.max_retry_after_ms or math.inf)
 
     def _demand_rose(self, place: int) -> bool:
-        """Whether a tenant demands clearly more than was reported, which can't wait for the next round."""
+        """Return whether a tenant demands so much more than was reported that it can't wait for a round."""
         reported_units = self.client.reported_rates.get(place, 0.0) * self.plan.round_ms / MS_PER_SECOND
         threshold = EARLY_REPORT_FACTOR * reported_units + self.enforcer.max_request_cost
         return self.demand.units_this_round(place) > threshold
--- a/meadowpulley/lending/tenant_buckets.py
+++ b/meadowpulley/lending/tenant_buckets.py
@@ -57,7 +57,7 @@
         self.borrowed_tokens = min(self.borrowed_tokens + self.borrowed_rate * seconds, self.borrowed_burst)
 
     def admits_class(self, class_index: int, bucket_is_full: bool) -> bool:
-        """Whether a request of a class may take tokens.
+        """Return whether a request of a class may take tokens.
 
         A class of which only a fraction is admitted collects credit with each request. A full bucket admits
         any class: its tokens would be lost otherwise.
--- a/meadowpulley/placement/fleet_view.py
+++ b/meadowpulley/placement/fleet_view.py
@@ -24,7 +24,7 @@
         self.bin_totals = BinTotals()  # of all incarnations
 
     def observe_members(self, members: Iterable[Member]) -> None:
-        """Take up which incarnations run, and which have ended."""
+        """Record which incarnations run, and which have ended."""
         for member in members:
             if member.fenced:
                 self.fenced_incarnations.add(str(member.incarnation))
--- a/meadowpulley/placement/record_names.py
+++ b/meadowpulley/placement/record_names.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-DEFINITION = "running"  # the only one that stands at a key of its own: `Experiment.definition_key`
+DEFINITION = "running"  # the only one with a key of its own: `Experiment.definition_key`
 FINISHED = "over"
 COUNTERS = "count/"  # of an incarnation
 SEGMENTS = "bins/"  # of an incarnation, numbered
--- a/meadowpulley/placement/record_writer.py
+++ b/meadowpulley/placement/record_writer.py
@@ -25,12 +25,12 @@
 class WriteObstacle(Flag):
     """Why this incarnation commits nothing."""
 
-    LEDGER_UNREAD = auto()  # the ledger has not said what it holds
+    LEDGER_UNREAD = auto()  # its content was not read yet
     LEDGER_UNAVAILABLE = auto()
     FENCED = auto()  # for good: this incarnation has ended in the ledger
 
 
-IGNORANT = WriteObstacle.LEDGER_UNREAD | WriteObstacle.FENCED  # of arms that have ended
+ENDED_ARMS_UNKNOWN = WriteObstacle.LEDGER_UNREAD | WriteObstacle.FENCED
 
 
 class RecordWriter:
@@ -55,10 +55,10 @@
     @property
     def knows_ended_arms(self) -> bool:
         """Whether this incarnation has read the ledger and is not fenced; the ledger may be unavailable."""
-        return not self.obstacles & IGNORANT
+        return not self.obstacles & ENDED_ARMS_UNKNOWN
 
     def on_ledger_read(self) -> None:
-        """Take up that the ledger has said what it holds."""
+        """Note that the ledger's content was read."""
         self.obstacles &= ~(WriteObstacle.LEDGER_UNREAD | WriteObstacle.LEDGER_UNAVAILABLE)
 
     def on_ledger_unavailable(self) -> None:
