--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 from functools import partial
-from typing import Any
 
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
@@ -17,79 +17,62 @@
 from meadowpulley.net.http1 import Message, forwarded_headers, request_bytes
 from meadowpulley.net.instance_connection import ConnectionPool, InstanceConnection
 from meadowpulley.net.instance_pools import InstancePools
+from meadowpulley.net.instance_response import classify_response, parse_load_report
 from meadowpulley.net.request_table import AcceptedRequest, RequestTable
 from meadowpulley.net.write_permission import WriteConditions, write_refusal
-from meadowpulley.settings import LOAD_REPORT_COLUMNS
 
 _NOT_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
+_MIN_PROBE_TIMEOUT_MS = 1.0
 
 
-def classify_response(response: Message) -> Result:
-    """Return the result that an instance's response stands for."""
-    if response.status == 200:
-        return Result.OK
-    if response.status in (503, 504) and response.headers.get(protocol.REJECTED_HEADER) == "1":
-        return Result.REJECTED
-    return Result.ERROR
-
-
-def parse_load_report(text: str, columns: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the values of a load report in the order of `columns`; empty unless each column has a number."""
-    values_by_column: dict[str, float] = {}
-    for item in text.split(","):
-        name, _, value = item.strip().partition("=")
-        try:
-            values_by_column[LOAD_REPORT_COLUMNS.get(name, name)] = float(value)
-        except ValueError:
-            return ()
-    values = tuple(values_by_column.get(column, math.nan) for column in columns)
-    return values if all(math.isfinite(v) for v in values) else ()
-
-
+@dataclass(slots=True, eq=False)
 class Attempt:
     """One attempt of a request, or a probe where `request` is None.
 
     It is the exchange that an instance connection carries. Times are milliseconds on the gateway's clock.
     """
 
-    def __init__(
-        self,
-        runner: AttemptRunner,
-        server: int,
-        request: AcceptedRequest | None,
-        number: int,
-        sent_at: float,
-        deadline: float,
-        write_by: float = math.inf,
-    ) -> None:
-        self.runner, self.server, self.request, self.number = runner, server, request, number
-        self.sent_at, self.deadline, self.write_by = sent_at, deadline, write_by
-        self.connection: InstanceConnection | None = None
-        self.connecting: Deferred[Any] | None = None
-        self.written = False  # the kernel has the last byte of the request
-        self.finished = False
-        self.timeout: Deadline | None = None
-        self.connect_timeout: Deadline | None = None
-        self.write_timeout: Deadline | None = None
+    runner: AttemptRunner
+    server: int
+    request: AcceptedRequest | None
+    number: int  # among the attempts of the request, from 0
+    sent_at: float
+    deadline: float
+    write_by: float = math.inf  # until when the policy allows the write
+    connection: InstanceConnection | None = None
+    connecting: Deferred[InstanceConnection] | None = None
+    written: bool = False  # the kernel has the last byte of the request
+    finished: bool = False
+    timeout: Deadline | None = None
+    connect_timeout: Deadline | None = None
+    write_timeout: Deadline | None = None
+
+    def schedule_timeout(self) -> None:
+        """End the attempt at its deadline."""
+        self.timeout = self.runner.gateway.deadlines.at(self.deadline, self.time_out)
+
+    def schedule_write_timeout(self) -> None:
+        """End the attempt if it is not written by the time that the policy gave."""
+        self.write_timeout = self.runner.gateway.deadlines.at(self.write_by, self._write_timed_out)
 
     def start(self, pool: ConnectionPool) -> None:
         """Send the request on a pooled connection, or on a new one."""
-        runner = self.runner
         connection = pool.acquire()
         if connection is not None:
-            if connection.reusable_at <= runner.gateway.deadlines.now():
-                self._write(connection)
-            else:
-                runner.gateway.counters.add("up.reuse_delayed")
-                runner.gateway.deadlines.at(
-                    connection.reusable_at, partial(self._connection_reusable, connection)
-                )
-            return
-        if not runner.instances.evict_idle():
-            runner.gateway.counters.add("up.no_socket")
+            self._use_pooled(connection)
+        elif self.runner.instances.evict_idle():
+            self._open_connection(pool)
+        else:
+            self.runner.gateway.counters.add("up.no_socket")
             self.finish(Result.CONNECT_FAILED)
+
+    def _use_pooled(self, connection: InstanceConnection) -> None:
+        gateway = self.runner.gateway
+        if connection.reusable_at <= gateway.deadlines.now():
+            self._write(connection)
             return
-        self._open_connection(pool)
+        gateway.counters.add("up.reuse_delayed")
+        gateway.deadlines.at(connection.reusable_at, partial(self._connection_reusable, connection))
 
     def _open_connection(self, pool: ConnectionPool) -> None:
         runner = self.runner
@@ -99,8 +82,7 @@
         if timeout_ms > 0:
             self.connect_timeout = runner.gateway.deadlines.after(timeout_ms, self._connect_timed_out)
         self.connecting = connecting  # set before the callbacks, which clear it and may run at once
-        connecting.addCallbacks(self._connected, self._connect_failed)
-        connecting.addErrback(self._connect_raised)
+        connecting.addCallbacks(self._connected, self._connect_failed).addErrback(self._connect_raised)
 
     def _connection_reusable(self, connection: InstanceConnection) -> None:
         """Use the connection that was reserved for this attempt, if nothing was received on it meanwhile."""
@@ -123,7 +105,9 @@
         gateway.counters.add(f"up.not_written.{refusal.value}")
         if refusal.is_violation:
             gateway.counters.add(f"violation.{refusal.value}")
-            gateway.log.error("violation", what=refusal.value, server=self.server, attempt=self.number)
+            gateway.log.error(
+                "write_not_permitted", what=refusal.value, server=self.server, attempt=self.number
+            )
         connection.abort()
         self.finish(refusal.result)
 
@@ -168,8 +152,7 @@
         if self.connection is None:
             self.finish(Result.CONNECT_FAILED)
 
-    def write_timed_out(self) -> None:
-        """End an attempt that is not written by the time the policy gave."""
+    def _write_timed_out(self) -> None:
         if not self.written:
             self.runner.gateway.counters.add("up.past_window")
             self.finish(Result.CONNECT_FAILED)
@@ -194,20 +177,24 @@
 
     def response_received(self, response: Message) -> None:
         """End the attempt with the instance's response, which also answers the client if it is good."""
-        result, request = classify_response(response), self.request
+        result = classify_response(response)
         if not self.written and result is not Result.REJECTED:
             # An instance starts with the last byte, which it can't have: this responds to an earlier request.
             self.runner.gateway.counters.add("up.unsolicited")
             self.connection_lost()
             return
+        request = self.request
         if result is Result.OK and request is not None and not request.finished:
-            content_type = response.headers.get("content-type")
-            headers = {"content-type": content_type} if content_type else {}
-            request.outstanding.pop(self.number, None)
-            self.runner.requests.respond(request, 200, headers, response.body)
+            self._answer_client(request, response)
         load_report = response.headers.get(protocol.LOAD_REPORT_HEADER, "")
         self.finish(result, parse_load_report(load_report, self.runner.report_columns))
 
+    def _answer_client(self, request: AcceptedRequest, response: Message) -> None:
+        content_type = response.headers.get("content-type")
+        headers = {"content-type": content_type} if content_type else {}
+        request.outstanding.pop(self.number, None)
+        self.runner.requests.respond(request, response.status, headers, response.body)
+
     def finish(self, result: Result, load_report: tuple[float, ...] = ()) -> None:
         """Report the one outcome of the attempt and close what is left of it on the network."""
         if self.finished:
@@ -215,17 +202,22 @@
         self.finished = True
         gateway = self.runner.gateway
         self._release_resources()
-        elapsed_ms, request = gateway.deadlines.now() - self.sent_at, self.request
+        elapsed_ms = gateway.deadlines.now() - self.sent_at
         gateway.counters.add(f"up.{result.name.lower()}")
-        if request is None:
+        if self.request is None:
             gateway.dispatch(ProbeResult(self.server, result, elapsed_ms, load_report))
-            return
+        else:
+            self._report_outcome(self.request, result, elapsed_ms, load_report)
+
+    def _report_outcome(
+        self, request: AcceptedRequest, result: Result, elapsed_ms: float, load_report: tuple[float, ...]
+    ) -> None:
         request.outstanding.pop(self.number, None)
         if result not in _NOT_EXECUTED:
             request.first_execution_at = min(request.first_execution_at, self.sent_at)
         request_complete = request.finished
         self.runner.requests.free_if_done(request)
-        gateway.dispatch(
+        self.runner.gateway.dispatch(
             Outcome(
                 request.handle, self.number, self.server, result, elapsed_ms, request_complete, load_report
             )
@@ -237,7 +229,8 @@
         deadlines.cancel(self.timeout)
         deadlines.cancel(self.connect_timeout)
         deadlines.cancel(self.write_timeout)
-        connection, self.connection = self.connection, None
+        connection = self.connection
+        self.connection = None
         if connection is not None and connection.exchange is self:
             connection.exchange = None
             connection.abort()
@@ -249,56 +242,63 @@
     """Carry out the policy's actions on attempts and probes."""
 
     def __init__(self, gateway: GatewayContext, instances: InstancePools, requests: RequestTable) -> None:
-        self.gateway, self.instances, self.requests = gateway, instances, requests
+        self.gateway = gateway
+        self.instances = instances
+        self.requests = requests
         self.limits = gateway.config.settings.limits
         self.report_columns = gateway.config.settings.report_columns
 
     def send(self, action: Send) -> None:
         """Start an attempt of a request."""
         request = self.requests.slots.get(action.request)
-        now = self.gateway.deadlines.now()
         if request is None:
             self.gateway.counters.add("up.late_actions")
             return
-        number, request.attempt_count = request.attempt_count, request.attempt_count + 1
-        deadline = request.deadline
-        if action.timeout_ms != 0:
-            deadline = min(deadline, now + action.timeout_ms)
+        attempt = self._create_attempt(request, action)
+        is_too_late = request.finished or attempt.deadline <= attempt.sent_at
         pool = self.instances.pools.get(action.server)
-        write_by = action.write_by_ms
-        attempt = Attempt(self, action.server, request, number, now, deadline, write_by)
-        request.outstanding[number] = attempt
-        if request.finished or deadline <= now or number >= self.limits.max_attempts:
+        if is_too_late or attempt.number >= self.limits.max_attempts:
             attempt.finish(Result.NOT_SENT)
         elif pool is None:
             attempt.finish(Result.CONNECT_FAILED)
         else:
             self.gateway.counters.add("up.attempts")
-            if deadline < request.deadline:
-                attempt.timeout = self.gateway.deadlines.at(deadline, attempt.time_out)
-            if write_by < deadline:
-                attempt.write_timeout = self.gateway.deadlines.at(write_by, attempt.write_timed_out)
+            if attempt.deadline < request.deadline:  # at that of the request its table ends the attempt
+                attempt.schedule_timeout()
+            if attempt.write_by < attempt.deadline:
+                attempt.schedule_write_timeout()
             self.start(attempt, pool, "send")
 
+    def _create_attempt(self, request: AcceptedRequest, action: Send) -> Attempt:
+        now = self.gateway.deadlines.now()
+        number = request.attempt_count
+        request.attempt_count += 1
+        deadline = request.deadline
+        if action.timeout_ms != 0:
+            deadline = min(deadline, now + action.timeout_ms)
+        attempt = Attempt(self, action.server, request, number, now, deadline, action.write_by_ms)
+        request.outstanding[number] = attempt
+        return attempt
+
     def start(self, attempt: Attempt, pool: ConnectionPool, fault_name: str) -> None:
         """Start an attempt. An exception is logged as `fault_name` and ends only the attempt."""
         try:
             attempt.start(pool)
-        except Exception:
+        except Exception:  # a connect that raises at once, for want of ports, say, must not stop the gateway
             self.gateway.log_fault(fault_name)
             attempt.connection_lost()
 
     def probe(self, action: Probe) -> None:
         """Start a health check of a server."""
         now = self.gateway.deadlines.now()
-        deadline = now + max(self.limits.connect_timeout_ms, 1.0)
+        deadline = now + max(self.limits.connect_timeout_ms, _MIN_PROBE_TIMEOUT_MS)
         pool = self.instances.pools.get(action.server)
         attempt = Attempt(self, action.server, None, 0, now, deadline)
         if pool is None:
             attempt.finish(Result.CONNECT_FAILED)
             return
         self.gateway.counters.add("up.probes")
-        attempt.timeout = self.gateway.deadlines.at(deadline, attempt.time_out)
+        attempt.schedule_timeout()
         self.start(attempt, pool, "probe")
 
     def cancel(self, action: Cancel) -> None:
--- a/meadowpulley/net/protocol.py
+++ b/meadowpulley/net/protocol.py
@@ -13,7 +13,8 @@
 ENV_DISCOVERY = "PROXY_DISCOVERY"
 ENV_CONFIG = "PROXY_CONFIG"
 
-# Headers, in lower case, as the parser keeps them and as they are written; the Host that instances expect.
+# Headers, in lower case, as the parser keeps them and as they are written. The Host of instances and that of
+# discovery.
 REQUEST_ID_HEADER = "x-txn"
 ENTITY_KEY_HEADER = "x-entity"
 TENANT_HEADER = "x-org"
@@ -22,7 +23,9 @@
 WORK_ESTIMATE_HEADER = "x-estimate"
 LOAD_REPORT_HEADER = "x-pressure"
 REJECTED_HEADER = "x-turned-away"
+REJECTED_VALUE = "1"
 SERVICE_HOST = "app.svc"
+DISCOVERY_HOST = "discovery"
 
 # Paths, and the query parameters of the endpoint list.
 READINESS_PATH = "/health/ready"
