--- a/meadowpulley/model_checking/connection_mutants.py
+++ b/meadowpulley/model_checking/connection_mutants.py
@@ -300,10 +300,10 @@
         "whoever is missing from a whole list stays in service",
         "drains",
         "lists",
-        "meadowpulley.net.discovery_client",
+        "meadowpulley.net.current_endpoint_list",
         (
-            "kind = EndpointUpdateKind.FULL if is_snapshot else EndpointUpdateKind.INCREMENTAL",
-            "kind = EndpointUpdateKind.INCREMENTAL",
+            "EndpointUpdateKind.FULL if endpoint_list.is_snapshot else EndpointUpdateKind.INCREMENTAL",
+            "EndpointUpdateKind.INCREMENTAL",
         ),
         ("if endpoint_list.is_snapshot or is_cached:", "if is_cached:"),
         servers=1,
--- a/meadowpulley/net/discovery_call.py
+++ b/meadowpulley/net/discovery_call.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Protocol
+from http import HTTPStatus
+from typing import Protocol
 
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
@@ -21,7 +21,34 @@
 from meadowpulley.net.gateway_context import GatewayContext
 from meadowpulley.net.http1 import Message
 
-STATUS_OK = 200
+
+@dataclass(frozen=True, slots=True)
+class CallRequest:
+    """What a call asks for. Durations are milliseconds."""
+
+    target: str  # path and query
+    wait_ms: float  # how long discovery may wait for changes before it answers
+    timeout_ms: float  # until the call is given up
+
+
+@dataclass(frozen=True, slots=True)
+class CallReport:
+    """What is known of a call that has ended. Times are milliseconds."""
+
+    request: CallRequest
+    started_at: float  # on the gateway's clock
+    elapsed_ms: float
+    was_sent: bool  # the request was handed to a connection that discovery accepted
+    lists_applied_at_send: int  # how many lists had been applied when the request was written
+
+
+@dataclass(frozen=True, slots=True)
+class CallFailure:
+    """Why a call brought no list."""
+
+    reason: str
+    kind: EndpointUpdateKind  # FAILED, TIMED_OUT, or BROKEN where discovery may have answered
+    report: CallReport
 
 
 class DiscoveryCallOwner(Protocol):
@@ -40,52 +67,41 @@
         """How many lists have been applied so far."""
 
 
-@dataclass(frozen=True, slots=True)
-class CallReport:
-    """What is known of a call that has ended. Times are milliseconds."""
+class CallReceiver(Protocol):
+    """Who learns how a call goes."""
 
-    target: str  # path and query
-    wait_ms: float  # how long discovery was asked to wait for changes
-    started_at: float  # on the gateway's clock
-    elapsed_ms: float
-    was_sent: bool  # the request was handed to a connection that discovery accepted
-    lists_applied_at_send: int  # how many lists had been applied when the request was written
+    def call_sent(self, request: CallRequest) -> None:
+        """Handle that the request was handed to a connection."""
 
+    def call_succeeded(self, raw: object, report: CallReport) -> None:
+        """Handle the decoded JSON of the response."""
 
-class DiscoveryCall:
-    """Asks discovery once and calls back exactly once, unless it is cancelled.
+    def call_failed(self, failure: CallFailure) -> None:
+        """Handle that no JSON was received."""
 
-    `on_success` gets the decoded JSON and the report of the call; `on_failure` gets a reason, whether the
-    call failed or timed out, and the report. `on_sent` is called once the request was handed to a connection.
-    """
 
-    def __init__(
-        self,
-        client: DiscoveryCallOwner,
-        target: str,
-        wait_ms: float,
-        timeout_ms: float,
-        on_success: Callable[[Any, CallReport], None],
-        on_failure: Callable[[str, EndpointUpdateKind, CallReport], None],
-        on_sent: Callable[[], None] = lambda: None,
-    ) -> None:
-        self._client, self._gateway, self._target = client, client.gateway, target
-        self._wait_ms = wait_ms
-        self._on_success, self._on_failure, self._on_sent = on_success, on_failure, on_sent
+class DiscoveryCall:
+    """Asks discovery once, and reports success or failure exactly once unless it is cancelled."""
+
+    def __init__(self, owner: DiscoveryCallOwner, request: CallRequest, receiver: CallReceiver) -> None:
+        self._owner = owner
+        self._gateway = owner.gateway
+        self._request = request
+        self._receiver = receiver
         self._completed = False
         self._started_at = self._gateway.deadlines.now()
         self._lists_applied_at_send = 0
         self._was_sent = False
         self._connection: DiscoveryConnection | None = None
-        self._connecting: Deferred[Any] | None = None
-        self._timeout: Deadline = self._gateway.deadlines.after(timeout_ms, self._timed_out)
+        self._connecting: Deferred[DiscoveryConnection] | None = None
+        self._timeout: Deadline = self._gateway.deadlines.after(request.timeout_ms, self._timed_out)
 
     def start(self) -> None:
         """Send the request, on a new connection if there is no idle one.
 
         To be called once the owner has stored the call, which may fail before this returns.
         """
-        idle_connection = self._client.idle_connection.take()
+        idle_connection = self._owner.idle_connection.take()
         if idle_connection is not None:
             self._send_request(idle_connection)
             return
@@ -97,10 +113,12 @@
         connecting.addCallbacks(self._send_request, self._connection_failed).addErrback(self._log_fault)
 
     def cancel(self) -> None:
-        """End the call without calling back."""
+        """End the call without notifying the receiver."""
         self._complete()
-        connecting, self._connecting = self._connecting, None
-        connection, self._connection = self._connection, None
+        connecting = self._connecting
+        connection = self._connection
+        self._connecting = None
+        self._connection = None
         if connecting is not None:
             connecting.cancel()
         if connection is not None:
@@ -111,18 +129,20 @@
         if self._completed:
             connection.abort()
             return
-        self._connection, self._lists_applied_at_send = connection, self._client.lists_applied
+        self._connection = connection
+        self._lists_applied_at_send = self._owner.lists_applied
         self._was_sent = True
-        response = connection.request(self._target)
+        response = connection.request(self._request.target)
         response.addCallbacks(self._handle_response, self._connection_failed).addErrback(self._log_fault)
         if not self._completed:
-            self._on_sent()
+            self._receiver.call_sent(self._request)
 
     def _handle_response(self, message: Message) -> None:
         if self._completed:
             return
-        connection, self._connection = self._connection, None
-        if message.status != STATUS_OK:
+        connection = self._connection
+        self._connection = None
+        if message.status != HTTPStatus.OK:
             self._fail(f"status {message.status}", connection)
             return
         try:
@@ -132,8 +152,8 @@
             return
         self._complete()
         if connection is not None and connection.is_open:
-            self._client.idle_connection.put(connection)
-        self._on_success(raw, self._report())
+            self._owner.idle_connection.put(connection)
+        self._receiver.call_succeeded(raw, self._report())
 
     def _connection_failed(self, failure: Failure) -> None:
         self._connecting = None
@@ -152,12 +172,7 @@
     def _report(self) -> CallReport:
         elapsed_ms = self._gateway.deadlines.now() - self._started_at
         return CallReport(
-            self._target,
-            self._wait_ms,
-            self._started_at,
-            elapsed_ms,
-            self._was_sent,
-            self._lists_applied_at_send,
+            self._request, self._started_at, elapsed_ms, self._was_sent, self._lists_applied_at_send
         )
 
     def _complete(self) -> None:
@@ -173,7 +188,7 @@
         self.cancel()
         if connection is not None:
             connection.abort()
-        self._on_failure(reason, kind, self._report())
+        self._receiver.call_failed(CallFailure(reason, kind, self._report()))
 
     def _log_fault(self, _: Failure) -> None:
         self._gateway.log_fault("discovery")
--- a/meadowpulley/net/discovery_connection.py
+++ b/meadowpulley/net/discovery_connection.py
@@ -6,17 +6,16 @@
 
 from twisted.internet.defer import Deferred
 
+from meadowpulley.net import protocol
 from meadowpulley.net.connection import Connection
 from meadowpulley.net.deadlines import Deadlines
 from meadowpulley.net.endpoint_list import DiscoveryError
 from meadowpulley.net.http1 import BadMessageError, Message, Parser, request_bytes
 
-PARTIAL_RESPONSE_TIMEOUT_MS = (
-    500.0  # for the rest of a response that has begun: discovery writes it in one piece
-)
+# For the rest of a response that has begun: discovery writes it in one piece.
+PARTIAL_RESPONSE_TIMEOUT_MS = 500.0
 MAX_LIST_BYTES = 8 * 1024 * 1024  # a list of thousands of instances
 MAX_REQUEST_BYTES = 4096
-HOST = "discovery"
 
 
 class DiscoveryConnection(Connection):
@@ -36,7 +35,7 @@
         """Send a GET request for a target."""
         response: Deferred[Message] = Deferred()
         self.response = response
-        self.send(request_bytes("GET", target, {"host": HOST}))
+        self.send(request_bytes("GET", target, {"host": protocol.DISCOVERY_HOST}))
         return response
 
     def received(self) -> None:
@@ -73,7 +72,7 @@
         self.abort()
 
     def _deliver(self, message: Message) -> None:
-        response, self.response = self.response, None
+        response = self._take_pending_response()
         self.timeout.clear()
         if not message.keep_alive or response is None or self.parser.has_partial_message:
             self.abort()
@@ -81,10 +80,15 @@
             response.callback(message)
 
     def _fail(self, reason: str) -> None:
-        response, self.response = self.response, None
+        response = self._take_pending_response()
         if response is not None:
             response.errback(DiscoveryError(reason))
 
+    def _take_pending_response(self) -> Deferred[Message] | None:
+        response = self.response
+        self.response = None
+        return response
+
 
 class IdleConnectionSlot:
     """Holds at most one idle connection, for the next request."""
@@ -94,7 +98,8 @@
 
     def take(self) -> DiscoveryConnection | None:
         """Return the connection if it can be reused, and hold none from then on."""
-        connection, self._connection = self._connection, None
+        connection = self._connection
+        self._connection = None
         if connection is None or connection.is_reusable:
             return connection
         connection.abort()
@@ -107,6 +112,7 @@
 
     def discard(self) -> None:
         """Close the connection that is held."""
-        connection, self._connection = self._connection, None
+        connection = self._connection
+        self._connection = None
         if connection is not None:
             connection.abort()
--- a/meadowpulley/net/endpoint_list.py
+++ b/meadowpulley/net/endpoint_list.py
@@ -6,21 +6,30 @@
 import zlib
 from collections.abc import Set
 from dataclasses import dataclass
-from typing import Any
 
 from meadowpulley.interface import ServerEntry, ServerState, Settings
 from meadowpulley.net import protocol
 from meadowpulley.net.config import Address, parse_address
+from meadowpulley.net.errors import NetError
+from meadowpulley.net.json_fields import FIELD_ERRORS, FieldError, JsonObject, require_object
 
 
-class DiscoveryError(Exception):
+class DiscoveryError(NetError):
     """Discovery gave no list: it is out of reach or failed, or its answer cannot be read."""
 
 
-class StaleListError(Exception):
+class StaleListError(NetError):
     """A list may be older than one that was applied before it."""
 
 
+@dataclass(frozen=True, slots=True)
+class ServerIncarnation:
+    """What tells a server from one that was at its address before."""
+
+    build: int
+    started_ms: float  # on the gateway's clock
+
+
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """An instance as discovery describes it; a removed one may have no address."""
@@ -33,6 +42,11 @@
         """Whether discovery says that the instance is gone."""
         return self.entry.state is ServerState.REMOVED
 
+    @property
+    def incarnation(self) -> ServerIncarnation:
+        """Which incarnation of the server is meant."""
+        return ServerIncarnation(self.entry.build, self.entry.started_ms)
+
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
@@ -81,41 +95,48 @@
 
     def remove(self, removed_ids: Set[int]) -> None:
         """Forget instances by their numbers."""
-        self.server_ids = {name: n for name, n in self.server_ids.items() if n not in removed_ids}
+        self.server_ids = {
+            name: server_id for name, server_id in self.server_ids.items() if server_id not in removed_ids
+        }
         self._assigned_ids -= removed_ids
 
-    def decode(self, raw: Any) -> EndpointList:
+    def decode(self, raw: object) -> EndpointList:
         """Decode a list; of several entries with one name the last counts.
 
-        Raises DiscoveryError, and then keeps no number for a name that only this list holds.
+        Raises:
+            DiscoveryError: the list is malformed. No number is kept for a name that only this list holds.
         """
         known_count = len(self.server_ids)
         try:
-            is_snapshot = raw[protocol.LIST_IS_SNAPSHOT]
-            if is_snapshot not in (True, False):
-                raise ValueError(f"'{protocol.LIST_IS_SNAPSHOT}' is {is_snapshot!r}")
-            version = int(raw[protocol.LIST_VERSION])
-            endpoints = [self._decode_endpoint(entry) for entry in raw[protocol.LIST_ENDPOINTS]]
-        except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            self.remove(set(list(self.server_ids.values())[known_count:]))
+            return self._decode_list(require_object(raw, "the list"))
+        except FIELD_ERRORS as error:
+            new_ids = list(self.server_ids.values())[known_count:]
+            self.remove(set(new_ids))
             raise DiscoveryError(f"malformed list: {type(error).__name__}: {error}") from None
+
+    def _decode_list(self, raw: JsonObject) -> EndpointList:
+        is_snapshot = raw[protocol.LIST_IS_SNAPSHOT]
+        if is_snapshot not in (True, False):
+            raise FieldError(f"'{protocol.LIST_IS_SNAPSHOT}' is {is_snapshot!r}")
+        version = int(raw[protocol.LIST_VERSION])
+        endpoints = [self._decode_endpoint(entry) for entry in raw[protocol.LIST_ENDPOINTS]]
         last_by_server = {endpoint.entry.server: endpoint for endpoint in endpoints}
         return EndpointList(is_snapshot, version, tuple(last_by_server.values()))
 
-    def _decode_endpoint(self, raw: Any) -> Endpoint:
+    def _decode_endpoint(self, raw_entry: object) -> Endpoint:
+        raw = require_object(raw_entry, f"an entry of '{protocol.LIST_ENDPOINTS}'")
         entry = self._decode_entry(raw)
         if entry.state is ServerState.REMOVED and protocol.ENDPOINT_ADDRESS not in raw:
             return Endpoint(entry, None)
         return Endpoint(entry, parse_address(raw[protocol.ENDPOINT_ADDRESS]))
 
-    def _decode_entry(self, raw: Any) -> ServerEntry:
-        name, state = raw[protocol.ENDPOINT_NAME], protocol.ENDPOINT_STATES[raw[protocol.ENDPOINT_STATE]]
+    def _decode_entry(self, raw: JsonObject) -> ServerEntry:
+        name = raw[protocol.ENDPOINT_NAME]
+        state = protocol.ENDPOINT_STATES[raw[protocol.ENDPOINT_STATE]]
         if not isinstance(name, str) or not name:
-            raise ValueError(f"'{protocol.ENDPOINT_NAME}' is {name!r}")
-        started_unix_ms = float(raw.get(protocol.ENDPOINT_STARTED, 0))
-        weight = float(raw.get(protocol.ENDPOINT_WEIGHT, 1.0))
-        if not (math.isfinite(started_unix_ms) and math.isfinite(weight)):
-            raise ValueError("a number of an entry is not finite")
+            raise FieldError(f"'{protocol.ENDPOINT_NAME}' is {name!r}")
+        started_unix_ms = _finite_number(raw, protocol.ENDPOINT_STARTED, 0.0)
+        weight = _finite_number(raw, protocol.ENDPOINT_WEIGHT, 1.0)
         return ServerEntry(
             server=self.server_id(name),
             cell=int(raw.get(protocol.ENDPOINT_CELL, 0)),
@@ -129,6 +150,13 @@
         )
 
 
+def _finite_number(raw: JsonObject, field: str, default: float) -> float:
+    value = float(raw.get(field, default))
+    if not math.isfinite(value):
+        raise FieldError(f"'{field}' is {value}")
+    return value
+
+
 def _index_of(name: object, indexes: dict[str, int]) -> int:
     """Return a name's index; names that the settings do not list get the ones after theirs."""
     return indexes.setdefault(str(name), len(indexes))
--- a/meadowpulley/net/errors.py
+++ b/meadowpulley/net/errors.py
@@ -1,4 +1,4 @@
-"""The base of the errors of this package."""
+"""The root of the errors of the gateway on sockets."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class NetError(MeadowpulleyError):
-    """The base of all errors that the gateway's network code raises."""
+    """The base of all errors of the gateway on sockets."""
--- a/meadowpulley/net/instance_connection.py
+++ b/meadowpulley/net/instance_connection.py
@@ -8,6 +8,7 @@
 
 from meadowpulley.net.config import Address
 from meadowpulley.net.connection import Connection
+from meadowpulley.net.endpoint_list import ServerIncarnation
 from meadowpulley.net.gateway_context import GatewayContext
 from meadowpulley.net.http1 import (
     MAX_BODY_BYTES,
@@ -23,9 +24,9 @@
 # connection that has carried a response is therefore not reused for so long. The delay is stated as under 10
 # ms; the same again allows for the two taking different times through the network.
 REUSE_DELAY_MS = 20.0
-IDLE_TIMEOUT_FRACTION = (
-    0.75  # of the time after which an instance may close an idle connection: close it before
-)
+FIRST_FINAL_STATUS = 200  # a response with a lower one is interim (RFC 9110, 15.2)
+# Of the time after which an instance may close an idle connection: this gateway closes it before.
+IDLE_TIMEOUT_FRACTION = 0.75
 
 
 class Exchange(Protocol):
@@ -50,10 +51,10 @@
     gateway: GatewayContext
     idle_timeout_ms: float
 
-    def connection_opened(self, connection: InstanceConnection) -> None:
+    def connection_opened(self) -> None:
         """Handle that a connection was established."""
 
-    def connection_closed(self, connection: InstanceConnection) -> None:
+    def connection_closed(self) -> None:
         """Handle that a connection has ended."""
 
 
@@ -81,14 +82,16 @@
 
     def opened(self) -> None:
         """Report the connection; close it if its pool was retired meanwhile."""
-        self.pool.owner.connection_opened(self)
+        self.pool.owner.connection_opened()
         if self.pool.retired:  # another build may run there by now, for which the request was not meant
             self.abort()
 
     def send_request(self, exchange: Exchange, data: bytes) -> None:
         """Write a request whose result goes to `exchange`."""
         self.timeout.clear()
-        self.state, self.exchange, exchange.connection = InstanceConnectionState.BUSY, exchange, self
+        self.state = InstanceConnectionState.BUSY
+        self.exchange = exchange
+        exchange.connection = self
         self.send(data)
 
     def flushed(self) -> None:
@@ -105,7 +108,7 @@
             return
         try:
             response = self.parser.next_message()
-            while response is not None and response.status < 200:
+            while response is not None and response.status < FIRST_FINAL_STATUS:
                 response = self.parser.next_message()
         except BadMessageError:
             exchange.malformed_response()
@@ -142,7 +145,8 @@
             return
         self.state = InstanceConnectionState.CLOSED
         self.pool.connection_closed(self)
-        exchange, self.exchange = self.exchange, None
+        exchange = self.exchange
+        self.exchange = None
         if exchange is None:
             if not self.aborted:
                 self.pool.ended_by_server()
@@ -155,7 +159,8 @@
 
     def abort(self) -> None:
         """Reset the connection and report its end at once."""
-        was_open, self.aborted = self.is_open, True
+        was_open = self.is_open
+        self.aborted = True
         super().abort()
         if was_open:
             self.closed()
@@ -169,12 +174,15 @@
 
 
 class ConnectionPool:
-    """The connections to one address of one incarnation of a server: its build and the time of its start."""
+    """The connections to one address of one incarnation of a server."""
 
     def __init__(
-        self, owner: PoolOwner, server: int, address: Address, incarnation: tuple[int, float] = (0, 0.0)
+        self, owner: PoolOwner, server: int, address: Address, incarnation: ServerIncarnation
     ) -> None:
-        self.owner, self.server, self.address, self.incarnation = owner, server, address, incarnation
+        self.owner = owner
+        self.server = server
+        self.address = address
+        self.incarnation = incarnation
         self.idle: list[InstanceConnection] = []  # oldest first
         self.retired = False  # the server was removed, or restarted with another build
 
@@ -186,8 +194,7 @@
         """
         now = self.owner.gateway.deadlines.now()
         while self.idle:
-            reusable = (n for n in range(len(self.idle) - 1, -1, -1) if self.idle[n].reusable_at <= now)
-            connection = self.idle.pop(next(reusable, 0))
+            connection = self.idle.pop(self._preferred_index(now))
             if connection.timeout.at <= now:  # this gateway stalled: the instance may close it any moment
                 connection.abort()
                 continue
@@ -198,6 +205,13 @@
             self.ended_by_server()
         return None
 
+    def _preferred_index(self, now: float) -> int:
+        """Return which idle connection to use: the newest that may carry a request now, else the oldest."""
+        for index in range(len(self.idle) - 1, -1, -1):
+            if self.idle[index].reusable_at <= now:
+                return index
+        return 0
+
     def release(self, connection: InstanceConnection) -> None:
         """Return a connection to the pool."""
         if self.retired:  # nobody would acquire or close it again
@@ -211,7 +225,7 @@
         """Remove a connection that has ended."""
         if connection in self.idle:
             self.idle.remove(connection)
-        self.owner.connection_closed(connection)
+        self.owner.connection_closed()
 
     def ended_by_server(self) -> None:
         """Count a connection on which nothing was outstanding and which the server has ended."""
--- a/meadowpulley/net/instance_pools.py
+++ b/meadowpulley/net/instance_pools.py
@@ -9,26 +9,29 @@
 from meadowpulley.net.config import Address
 from meadowpulley.net.connection import connect
 from meadowpulley.net.deadlines import Deadline
+from meadowpulley.net.endpoint_list import ServerIncarnation
 from meadowpulley.net.gateway_context import GatewayContext
 from meadowpulley.net.instance_connection import ConnectionPool, InstanceConnection
 
 PRECONNECT_PER_INSTANCE = 4  # connections opened to each instance at start
 PRECONNECT_FLEET_TOTAL = 12  # by all gateways together: an instance accepts few, and each costs it work
 PRECONNECT_TIMEOUT_MS = 1000.0  # where the settings name no connect time-out
+PRECONNECT_SOCKET_FRACTION = 0.5  # of the sockets to instances: the other half is left for requests
 
 
 class InstancePools:
     """One pool per server, and a limit on their sockets."""
 
     def __init__(self, gateway: GatewayContext, max_sockets: int) -> None:
-        self.gateway, self.max_sockets = gateway, max_sockets
+        self.gateway = gateway
+        self.max_sockets = max_sockets
         self.limits = gateway.config.settings.limits
         self.idle_timeout_ms = self.limits.idle_timeout_ms
         self.open_sockets = 0  # open or opening
         self.pools: dict[int, ConnectionPool] = {}  # by the number of the server
 
-    def register(self, server: int, address: Address, incarnation: tuple[int, float]) -> None:
-        """Set the address of a server and its incarnation: its build and the time of its start.
+    def register(self, server: int, address: Address, incarnation: ServerIncarnation) -> None:
+        """Set the address and incarnation of a server.
 
         A server that returns with another address or incarnation inherits no connection: old ones may lead
         nowhere without ever reporting an error.
@@ -56,11 +59,11 @@
             self.remove(server)
             self.pools[server] = ConnectionPool(self, server, pool.address, pool.incarnation)
 
-    def connection_opened(self, connection: InstanceConnection) -> None:
+    def connection_opened(self) -> None:
         """Count a connection."""
         self.gateway.counters.add("up.connections")
 
-    def connection_closed(self, connection: InstanceConnection) -> None:
+    def connection_closed(self) -> None:
         """Free the socket of a connection."""
         self.open_sockets -= 1
         self.gateway.stop_if_drained()
@@ -73,11 +76,10 @@
         requests in a day.
         """
         fleet_share = PRECONNECT_FLEET_TOTAL // max(self.gateway.config.settings.gateway_count, 1)
+        max_preconnected = int(self.max_sockets * PRECONNECT_SOCKET_FRACTION)
         for pool in list(self.pools.values()):
-            per_instance = min(
-                PRECONNECT_PER_INSTANCE, fleet_share, self.max_sockets // (2 * len(self.pools))
-            )
-            for _ in range(per_instance):
+            socket_share = max_preconnected // len(self.pools)
+            for _ in range(min(PRECONNECT_PER_INSTANCE, fleet_share, socket_share)):
                 self._open_ahead(pool)
 
     def _open_ahead(self, pool: ConnectionPool) -> None:
--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -68,7 +68,8 @@
         self.silent_from = float("inf")  # calls that come after so many answers are never answered
         self.down_until = 0.0  # each call ends in a reset, open ones too
         self.queue_ms = 0.0  # how long a call waits for that
-        self.version, self.updates = 1, list[tuple[float, int]]()
+        self.version = 1
+        self.updates = list[tuple[float, int]]()  # when, and of which version
         failures: list[str] = []
         self.gateway: Any = SimpleNamespace(
             reactor=self.reactor,
@@ -86,10 +87,10 @@
             ),
         )
         self.failures = failures
-        registry: Any = SimpleNamespace(
+        self.registry: Any = SimpleNamespace(
             register=lambda *_: None, remove=lambda _: None, close_idle=lambda _: None
         )
-        self.discovery = DiscoveryClient(self.gateway, registry, 0.0)
+        self.discovery = DiscoveryClient(self.gateway, self.registry, 0.0)
 
     @property
     def now(self) -> float:
@@ -159,7 +160,8 @@
     """A call that discovery received: the test answers it, breaks its connection or leaves it open."""
 
     def __init__(self, connection: Any, target: str) -> None:
-        self.connection, self.target = connection, target
+        self.connection = connection
+        self.target = target
 
     def respond(self, body: bytes) -> None:
         self.connection.dataReceived(HEAD % (len(body), body))
@@ -181,12 +183,12 @@
         self.gateway.config.settings = replace(
             driver_settings, rules=replace(driver_settings.rules, drain_grace_ms=grace_ms)
         )
-        registry: Any = SimpleNamespace(
+        self.registry = SimpleNamespace(
             register=lambda server, address, _: self.addresses.update({server: address}),
             remove=lambda server: self.addresses.pop(server, None),
             close_idle=lambda _: None,
         )
-        self.discovery = DiscoveryClient(self.gateway, registry, 0.0)
+        self.discovery = DiscoveryClient(self.gateway, self.registry, 0.0)
 
     def dispatch(self, event: Event) -> None:
         self.events.append(event)
@@ -208,6 +210,7 @@
 
     def take_updates(self) -> list[tuple[int, list[ServerState]]]:
         """Return the versions and states of the updates since the last look."""
-        events, self.events = self.events, []
+        events = self.events
+        self.events = []
         updates = [event for event in events if isinstance(event, EndpointUpdate)]
         return [(update.version, [e.state for e in update.entries]) for update in updates]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -32,7 +32,8 @@
     harness.discovery.start()
     harness.next_call().respond(list_body(version, *entries, is_snapshot=True))
     watch = harness.next_call()
-    assert harness.take_updates() and watch.target == f"after={version}&wait_ms=10000"
+    assert harness.take_updates()
+    assert watch.target == f"after={version}&wait_ms=10000"
     return watch
 
 
@@ -56,12 +57,13 @@
 def test_a_superseded_retry_neither_cancels_nor_opens_a_watch(
     step: Callable[[DiscoveryClient], None], open_calls: int
 ) -> None:
-    # The pending try was never called off: it abandoned the newer watch, or opened one that nobody wanted.
+    """A retry that was left pending cancelled the newer watch, or opened one that nobody wanted."""
     harness = ManualDiscoveryHarness()
     fail_watches(harness, 2)
     step(harness.discovery)
     harness.run(3_000.0)
-    assert len(harness.calls) == 2 + open_calls and all(call.connection.is_open for call in harness.calls[2:])
+    assert len(harness.calls) == 2 + open_calls
+    assert all(call.connection.is_open for call in harness.calls[2:])
 
 
 def test_a_watch_opened_when_notified_of_a_failure_is_the_only_one() -> None:
@@ -71,7 +73,8 @@
     )
     fail_watches(harness, 2)
     harness.run(3_000.0)
-    assert len(harness.calls) == 3 and harness.calls[2].connection.is_open
+    assert len(harness.calls) == 3
+    assert harness.calls[2].connection.is_open
 
 
 def test_a_watch_that_the_policy_cancels_on_its_update_is_not_renewed() -> None:
@@ -84,7 +87,7 @@
 
 
 def test_an_older_snapshot_that_arrives_last_revives_nothing_and_is_fetched_again() -> None:
-    # The version went back, and the instance that drains was sent to again until the next change.
+    """The version went back, and the draining instance got requests again until the next change."""
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
     harness.discovery.fetch()
@@ -95,7 +98,8 @@
     harness.run(20.0)
     assert [call.target for call in harness.calls[-2:]] == ["after=43&wait_ms=10000", ""]
     harness.calls[-1].respond(list_body(43, DRAINING_ENTRY, is_snapshot=True))
-    assert harness.take_updates() == [(43, [DRAINING])] and not harness.failures
+    assert harness.take_updates() == [(43, [DRAINING])]
+    assert not harness.failures
 
 
 def test_older_changes_that_arrive_last_revive_nothing_and_are_watched_again() -> None:
@@ -151,10 +155,11 @@
 
 
 class StalledGateway:
-    """What a gateway does that stood still: its clock runs on, and what came meanwhile lies unread."""
+    """A gateway whose process was stopped: its clock runs on, and what arrived meanwhile is unread."""
 
     def __init__(self, harness: ManualDiscoveryHarness, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.harness, self.stalled_ms = harness, 0.0
+        self.harness = harness
+        self.stalled_ms = 0.0
         monkeypatch.setattr(
             ManualDiscoveryHarness,
             "now",
@@ -185,7 +190,8 @@
         watch.connection.dataReceived(response[:part_bytes])
     stalled.stall(20_000.0, watch.connection if in_kernel else None)
     watch.connection.dataReceived(response[part_bytes:])
-    assert harness.take_updates() == [(42, [DRAINING])] and watch.connection.is_open
+    assert harness.take_updates() == [(42, [DRAINING])]
+    assert watch.connection.is_open
 
 
 def call_intervals(harness: ManualDiscoveryHarness, duration_ms: float) -> list[float]:
@@ -205,13 +211,19 @@
 def test_with_pushed_lists_the_retry_backoff_stays_within_half_the_drain_grace(
     grace_ms: float, longest: float
 ) -> None:
-    # What is told at the return counts at once; the next try came up to 4 s later, whatever drains allow.
+    """Retries came up to 4 s apart, longer than the drain grace allowed.
+
+    Changes count as notified as soon as discovery is back, whether or not the gateway has read them.
+    """
     intervals = call_intervals(ManualDiscoveryHarness(grace_ms=grace_ms), 40_000.0)
     assert longest / 2 < max(intervals) <= longest + 20.0
 
 
 def test_with_pushed_lists_a_watch_silent_after_an_outage_is_reopened_at_once() -> None:
-    # Its pause was that of the failures before it: up to 4 s on top of the 4 s after which it was found.
+    """The retry of a silent watch waited for the backoff of the failures before it.
+
+    That was up to 4 s, on top of the 4 s after which the silence was detected.
+    """
     harness = ManualDiscoveryHarness()
     assert max(call_intervals(harness, 10_000.0)) > 1_000.0
     known_count = len(harness.calls)
@@ -242,7 +254,7 @@
 def test_the_last_entry_of_a_duplicate_name_in_a_list_wins(
     entries: list[dict[str, Any]], states: list[ServerState], ports: list[int], is_snapshot: bool
 ) -> None:
-    # An instance that was gone and back in one list was told to the decisions, and its place forgotten.
+    """An instance that was gone and back in one list was ready for the policy, but had no address."""
     harness = ManualDiscoveryHarness()
     open_watch(harness, 41).respond(list_body(42, *entries, is_snapshot=is_snapshot))
     assert harness.take_updates() == [(42, states)] * (is_snapshot or bool(entries))
@@ -294,32 +306,37 @@
 
 @pytest.mark.parametrize("body", UNREADABLE, ids=range(len(UNREADABLE)))
 def test_a_malformed_list_changes_nothing_and_is_requested_again(body: bytes) -> None:
-    # The names of its entries before the one that can't be read were kept for good.
+    """The decoder kept the names of the entries before the malformed one for good."""
     harness = ManualDiscoveryHarness()
     open_watch(harness, 41, READY_ENTRY).respond(body)
-    assert harness.take_updates() == [(41, [])] and list(harness.discovery.decoder.server_ids) == ["s-1"]
-    assert harness.next_call().target == "after=41&wait_ms=0" and not harness.failures
+    assert harness.take_updates() == [(41, [])]
+    assert list(harness.discovery.decoder.server_ids) == ["s-1"]
+    assert harness.next_call().target == "after=41&wait_ms=0"
+    assert not harness.failures
 
 
 def test_a_fault_while_a_list_is_applied_is_logged_and_the_list_requested_again() -> None:
-    # No watch stood from then on: where lists are pushed nothing opened another.
+    """No watch was open from then on: where lists are pushed nothing opened another."""
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
-    register, harness.discovery.registry.register = harness.discovery.registry.register, None  # type: ignore[method-assign,assignment]
+    register = harness.registry.register
+    harness.registry.register = None
     watch.respond(list_body(42, DRAINING_ENTRY))
-    harness.discovery.registry.register = register  # type: ignore[method-assign]
+    harness.registry.register = register
     assert harness.failures.pop() == "discovery"
     reopened = harness.next_call()
     assert reopened.target == "after=41&wait_ms=0"
     reopened.respond(list_body(42, DRAINING_ENTRY))
-    assert harness.take_updates() == [(41, []), (42, [DRAINING])] and not harness.failures
+    assert harness.take_updates() == [(41, []), (42, [DRAINING])]
+    assert not harness.failures
 
 
 def test_a_watch_that_fails_while_it_is_opened_is_reopened() -> None:
-    # It was stored after its failure was told, as the watch that stands.
+    """The failed call was stored as the open watch after its failure had been reported."""
     harness = ManualDiscoveryHarness()
     reactor: Any = harness.reactor
-    connect, pending_failures = reactor.connectTCP, [True, True]
+    connect = reactor.connectTCP
+    pending_failures = [True, True]
 
     def refuse_at_once(host: str, port: int, factory: Any, **more: Any) -> Any:
         connector = connect(host, port, factory, **more)
@@ -332,11 +349,12 @@
     harness.discovery.start()
     harness.run(1_100.0)
     harness.calls[0].respond(list_body(41, READY_ENTRY, is_snapshot=True))
-    assert harness.next_call().target == "after=41&wait_ms=10000" and len(harness.calls) == 2
+    assert harness.next_call().target == "after=41&wait_ms=10000"
+    assert len(harness.calls) == 2
 
 
 def test_only_one_idle_connection_is_reused() -> None:
-    # The one kept before was forgotten, and stood open until discovery closed it.
+    """The idle connection that was replaced stayed open until discovery closed it."""
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
     harness.discovery.fetch()
@@ -354,4 +372,5 @@
     watch.respond(list_body(42, DRAINING_ENTRY))
     watch.connection.dataReceived(b"HTTP/1.1 200")
     harness.discovery.watch(True)
-    assert not watch.connection.is_open and harness.next_call().target == "after=42&wait_ms=0"
+    assert not watch.connection.is_open
+    assert harness.next_call().target == "after=42&wait_ms=0"
--- a/tests/test_instance_connections.py
+++ b/tests/test_instance_connections.py
@@ -1,5 +1,7 @@
-"""Connections to instances, at moments that cut a turn of the gateway in two: bytes that come between a look
-and what follows it. The gateway's own objects, on the checker's reactor, whose time moves when told to."""
+"""Connections to instances, with input that arrives between a check and what follows from it.
+
+The gateway's own objects run on the model checker's reactor, whose time the tests advance.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +14,7 @@
 from meadowpulley.interface import Effect, Outcome, Probe, ProbeResult, RequestClass, Result
 from meadowpulley.model_checking.connection_model.configurations import CLASSES
 from meadowpulley.net import protocol
+from meadowpulley.net.endpoint_list import ServerIncarnation
 from meadowpulley.net.http1 import response_bytes
 from meadowpulley.net.instance_connection import PARTIAL_RESPONSE_TIMEOUT_MS, REUSE_DELAY_MS
 from meadowpulley.policy.endpoint_lease import STALL_ALLOWANCE_MS
@@ -62,7 +65,8 @@
     bench.gateway.deadlines.after(100.0, lambda: clients.append(send_request(bench, "r2")))
     skip_time(bench, 101.0)
     bench.instance.receive(FIRST_RESPONSE)  # run before it: the deadline, and with it the next request
-    assert bench.gateway.counters["up.found_closed"] == 1 and b"r2" not in bench.instance.received_by_peer
+    assert bench.gateway.counters["up.found_closed"] == 1
+    assert b"r2" not in bench.instance.received_by_peer
     assert not clients[0].received_by_peer
 
 
@@ -72,7 +76,8 @@
     bench.instance.receive(FIRST_RESPONSE[:-1])
     skip_time(bench, 550.0)
     bench.instance.receive(FIRST_RESPONSE[-1:])
-    assert client.received_by_peer.endswith(b"r1") and b" 200 " in client.received_by_peer
+    assert client.received_by_peer.endswith(b"r1")
+    assert b" 200 " in client.received_by_peer
 
 
 def test_request_being_read_keeps_its_connection() -> None:
@@ -82,7 +87,8 @@
     skip_time(bench, 2101.0)
     client.receive(request_bytes("r2"))
     bench.respond(b"r2")
-    assert client.received_by_peer.count(b" 200 ") == 2 and client.received_by_peer.endswith(b"r2")
+    assert client.received_by_peer.count(b" 200 ") == 2
+    assert client.received_by_peer.endswith(b"r2")
 
 
 def test_reset_found_by_a_peek_does_not_end_a_response() -> None:
@@ -101,7 +107,8 @@
     skip_time(bench, 550.0)
     bench.reactor.run_due()  # the limit of an answer's rest finds the reset before the reactor does
     bench.instance.deliver()
-    assert not bench.instance.connected and b" 200 " not in client.received_by_peer
+    assert not bench.instance.connected
+    assert b" 200 " not in client.received_by_peer
 
 
 def test_split_interim_response_starts_no_timeout() -> None:
@@ -111,7 +118,8 @@
         bench.instance.receive(piece)
     bench.wait(PARTIAL_RESPONSE_TIMEOUT_MS + 1.0)
     bench.respond(b"r1")
-    assert client.received_by_peer.endswith(b"r1") and b" 200 " in client.received_by_peer
+    assert client.received_by_peer.endswith(b"r1")
+    assert b" 200 " in client.received_by_peer
 
 
 def test_trickled_response_times_out() -> None:
@@ -120,7 +128,8 @@
     for n in range(3):  # each drop well within the time
         bench.instance.receive(FIRST_RESPONSE[n : n + 1])
         bench.wait(0.8 * PARTIAL_RESPONSE_TIMEOUT_MS)
-    assert not bench.instance.connected and b" 502 " in client.received_by_peer
+    assert not bench.instance.connected
+    assert b" 502 " in client.received_by_peer
 
 
 # Answers to a request that the kernel has not taken whole
@@ -134,13 +143,14 @@
     bench.instance.write_blocked = True
     client = send_request(bench, "r1", b"money")
     bench.instance.receive(raw)  # a second answer to the request before, say
-    assert (
-        not client.received_by_peer and not bench.instance.connected and not bench.instance.received_by_peer
-    )
+    assert not client.received_by_peer
+    assert not bench.instance.connected
+    assert not bench.instance.received_by_peer
     retry = connect_pending(bench)  # it never ran, so that it may go once more
     assert retry.received_by_peer.endswith(b"money")
     retry.receive(FIRST_RESPONSE)
-    assert b" 200 " in client.received_by_peer and client.received_by_peer.endswith(b"r1")
+    assert b" 200 " in client.received_by_peer
+    assert client.received_by_peer.endswith(b"r1")
 
 
 # A server that comes back with another build, at the same address, or that drains
@@ -148,7 +158,7 @@
 
 def replace_server(bench: GatewayBench) -> None:
     ((server, pool),) = bench.gateway.instances.pools.items()
-    bench.gateway.instances.register(server, pool.address, (42, 5.0))
+    bench.gateway.instances.register(server, pool.address, ServerIncarnation(42, 5.0))
 
 
 def drain_server(bench: GatewayBench) -> None:
@@ -162,9 +172,9 @@
     client = send_request(bench, "r2")  # the one connection is in use: its own is opened
     change_server(bench)
     late_connection = connect_pending(bench)
-    assert (
-        not late_connection.connected and not late_connection.received_by_peer and not client.received_by_peer
-    )
+    assert not late_connection.connected
+    assert not late_connection.received_by_peer
+    assert not client.received_by_peer
     retry = connect_pending(bench)  # that attempt never ran: the decisions choose anew
     assert b"r2" in retry.received_by_peer
 
@@ -175,11 +185,9 @@
     client = send_request(bench, "r1")
     change_server(bench)
     bench.respond(b"r1")
-    assert (
-        b" 200 " in client.received_by_peer
-        and not bench.instance.connected
-        and bench.gateway.instances.open_sockets == 0
-    )
+    assert b" 200 " in client.received_by_peer
+    assert not bench.instance.connected
+    assert bench.gateway.instances.open_sockets == 0
 
 
 # Connections that fail before whoever asked for them has heard of them
@@ -200,9 +208,11 @@
     assert b" 503 " in send_request(bench, "r1", b"money").received_by_peer
     bench.gateway.attempts.probe(Probe(server))
     outcomes = [e for e in bench.recorder.events if isinstance(e, Outcome | ProbeResult)]
-    assert len(outcomes) > 1 and isinstance(outcomes[-1], ProbeResult)
+    assert len(outcomes) > 1
+    assert isinstance(outcomes[-1], ProbeResult)
     assert {e.result for e in outcomes} == {Result.CONNECT_FAILED}
-    assert bench.gateway.instances.open_sockets == 0 and not len(bench.gateway.requests.slots)
+    assert bench.gateway.instances.open_sockets == 0
+    assert not len(bench.gateway.requests.slots)
     faults = [e.partition(":")[0] for e in bench.world.log.errors]
     assert faults == (["send"] * (len(outcomes) - 1) + ["probe"] if failure == "raised" else [])
 
@@ -217,7 +227,8 @@
     bench.respond(b"r1")
     client = send_request(bench, "r2")
     # It waits for this one.
-    assert b"r2" not in bench.instance.received_by_peer and bench.gateway.instances.open_sockets == 1
+    assert b"r2" not in bench.instance.received_by_peer
+    assert bench.gateway.instances.open_sockets == 1
     bench.wait(REUSE_DELAY_MS - 1.0)
     if happening.startswith("gone"):
         client.disconnect()
@@ -230,14 +241,15 @@
     )
     bench.wait(2.0)
     reused = happening in ("nothing", "gone")
-    assert bench.instance.connected is reused and (b"r2" in bench.instance.received_by_peer) is (
-        happening == "nothing"
-    )
+    assert bench.instance.connected is reused
+    assert (b"r2" in bench.instance.received_by_peer) is (happening == "nothing")
     if happening.startswith("gone"):
-        assert bench.gateway.instances.open_sockets == reused and not len(bench.gateway.requests.slots)
+        assert bench.gateway.instances.open_sockets == reused
+        assert not len(bench.gateway.requests.slots)
         return
     (bench.instance if reused else connect_pending(bench)).receive(response_bytes(200, {}, b"r2"))
-    assert client.received_by_peer.count(b" 200 ") == 1 and client.received_by_peer.endswith(b"r2")
+    assert client.received_by_peer.count(b" 200 ") == 1
+    assert client.received_by_peer.endswith(b"r2")
 
 
 def test_newest_reusable_connection_is_preferred() -> None:
@@ -248,9 +260,8 @@
     bench.wait(REUSE_DELAY_MS)
     bench.respond(b"r1")  # the newest, and it rests
     send_request(bench, "r3")
-    assert [b"r3" in w.received_by_peer for w in wires] == [False, True] and all(
-        b" 200 " in c.received_by_peer for c in clients
-    )
+    assert [b"r3" in w.received_by_peer for w in wires] == [False, True]
+    assert all(b" 200 " in c.received_by_peer for c in clients)
 
 
 # Further attempts of a keyed request against the window in which what it repeats is known
--- a/tests/test_watch_timeouts.py
+++ b/tests/test_watch_timeouts.py
@@ -17,9 +17,11 @@
 def test_a_silent_watch_is_reopened_before_the_updates_it_misses_count_as_notified(
     must_poll: bool, answers: int
 ) -> None:
-    # A watch of 10 s that fell silent was given up 4 s after its wait and asked anew up to 5 s later still,
-    # with the spread that calls need which fail at all gateways at once: for seconds a gateway of the full
-    # fleet sent to servers of which it counted as told, 2 s after the wait, that they drained.
+    """A silent watch of 10 s was given up 4 s after its wait, and retried up to 5 s later.
+
+    The jitter of the retry is meant for calls that fail at all gateways at once. 2 s after the wait changes
+    count as notified: for seconds a gateway of a full fleet sent to servers that were known to drain.
+    """
     harness = DiscoveryHarness(must_poll)
     harness.silent_from = answers
     if must_poll:
@@ -35,7 +37,8 @@
     harness.run(wait_ms + 8_000.0)
     notified_by = max(since + NOTIFIED_AFTER_SILENCE_MS, since + wait_ms + NOTIFIED_AFTER_WAIT_MS)
     update_times = [at for at, version in harness.updates if at > since and version == harness.version]
-    assert update_times and update_times[0] <= notified_by, (since, wait_ms, update_times)
+    assert update_times, (since, wait_ms, update_times)
+    assert update_times[0] <= notified_by, (since, wait_ms, update_times)
     assert not harness.failures
 
 
@@ -60,11 +63,14 @@
     harness.version += 1
     harness.run(wait_ms + 8_000.0)
     update_times = [at for at, version in harness.updates if at > since and version == harness.version]
-    assert update_times and update_times[0] <= since + NOTIFIED_AFTER_SILENCE_MS and not harness.failures
+    assert update_times
+    assert update_times[0] <= since + NOTIFIED_AFTER_SILENCE_MS
+    assert not harness.failures
 
 
 def test_retries_after_a_failure_common_to_all_gateways_are_jittered() -> None:
-    # The other half: only silence, which each finds at its own time, is answered at once.
+    """Only a silent watch, which each gateway detects at another time, is retried at once."""
+
     def backoff_ms(kind: EndpointUpdateKind, seed: int) -> float:
         driver = Driver(settings(must_poll=True, gateway_count=200), seed=seed)
         driver.update_endpoints([server_entry(1)])
