--- a/meadowpulley/net/platform_connection.py
+++ b/meadowpulley/net/platform_connection.py
@@ -3,32 +3,33 @@
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 from typing import Protocol
 
 from meadowpulley.interface import Vote
 from meadowpulley.net.connection import Connection
 from meadowpulley.net.deadlines import Deadline
 from meadowpulley.net.gateway_context import GatewayContext
-from meadowpulley.net.platform_messages import JsonObject, encode_call
+from meadowpulley.net.json_fields import JsonObject
+from meadowpulley.net.platform_messages import encode_call
 
 MAX_LINE_BYTES = 8 * 1024
 MAX_BUFFERED_BYTES = MAX_LINE_BYTES + 64 * 1024
-HEARTBEAT_TIMEOUT_MS = (
-    3_500.0  # a heartbeat comes every second: the connection is dead after three are missed
-)
-PARTIAL_LINE_TIMEOUT_MS = (
-    500.0  # for the rest of a line that has begun: the platform writes lines in one piece
-)
+# A heartbeat comes every second: the connection is dead after three are missed.
+HEARTBEAT_TIMEOUT_MS = 3_500.0
+# For the rest of a line that has begun: the platform writes lines in one piece.
+PARTIAL_LINE_TIMEOUT_MS = 500.0
 
 
+@dataclass(slots=True, eq=False)
 class PendingCall:
     """A call that awaits its response; `vote` is None for the call that subscribes to notifications."""
 
-    def __init__(self, number: int, vote: Vote | None) -> None:
-        self.number, self.vote = number, vote
-        self.written = False  # the kernel has all of it
-        self.completed = False  # its result has been dispatched
-        self.timeout: Deadline | None = None
+    number: int
+    vote: Vote | None
+    written: bool = False  # the kernel has all of it
+    completed: bool = False  # its result has been dispatched
+    timeout: Deadline | None = None
 
 
 class PlatformConnectionOwner(Protocol):
@@ -89,18 +90,19 @@
             if end < 0 or end >= MAX_LINE_BYTES:
                 self.owner.protocol_error(self, "line too long")
                 return
-            self._scanned_bytes, self._line_started = 0, False
+            self._scanned_bytes = 0
+            self._line_started = False
             line = self.input_buffer.take(end + 1).strip()
             self._restart_heartbeat_timeout()
             if line:
                 self.owner.handle_line(self, line)
 
     def closed(self) -> None:
-        """Tell the owner, once."""
+        """Notify the owner, once."""
         self.owner.connection_lost(self)
 
     def abort(self) -> None:
-        """Close the connection at once; the owner is told as of any other end."""
+        """Close the connection at once; the owner is notified as of any other end."""
         was_open = self.is_open
         super().abort()
         if was_open:
--- a/meadowpulley/net/platform_messages.py
+++ b/meadowpulley/net/platform_messages.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any, TypeAlias
+from typing import TypeAlias
 
 from meadowpulley.interface import (
     BuildStatistics,
@@ -20,21 +20,16 @@
     Vote,
 )
 from meadowpulley.net import protocol
+from meadowpulley.net.errors import NetError
+from meadowpulley.net.json_fields import FIELD_ERRORS, FieldError, JsonObject, require_object
 
 JSONRPC_VERSION = "2.0"
 MAX_QUOTED = 40  # characters of a foreign word that an error message quotes
-FIELD_ERRORS = (
-    KeyError,
-    TypeError,
-    ValueError,
-    OverflowError,
-)  # of a field that is missing or of a wrong type
-
-JsonObject: TypeAlias = dict[str, Any]
+
 Notification: TypeAlias = RolloutUpdate | BuildStatistics | IncorrectResponse
 
 
-class MalformedMessageError(ValueError):
+class MalformedMessageError(NetError, ValueError):
     """A message of the platform cannot be read; the text says in one line what is wrong with it."""
 
 
@@ -74,16 +69,25 @@
     return message
 
 
-def parse_rollout_update(raw: Any, is_vote_reply: bool = False) -> RolloutUpdate:
+def parse_rollout_update(raw: object, is_vote_reply: bool = False) -> RolloutUpdate:
     """Parse the state of the newest build: of a notification, a vote's result or the configuration."""
     try:
-        cap, age_ms = float(raw[protocol.ROLLOUT_CAP]), float(raw[protocol.MESSAGE_AGE])
-        build, stage = int(raw[protocol.MESSAGE_BUILD]), int(raw[protocol.ROLLOUT_STAGE])
-        if not (0.0 <= cap <= 1.0 and math.isfinite(age_ms) and stage >= 0):
-            raise ValueError("a number is out of range")
-        phase = protocol.ROLLOUT_PHASES[raw[protocol.ROLLOUT_PHASE]]
+        return _parse_rollout_fields(require_object(raw, "it"), is_vote_reply)
     except FIELD_ERRORS as error:
         raise _malformed("rollout update", error) from None
+
+
+def _parse_rollout_fields(raw: JsonObject, is_vote_reply: bool) -> RolloutUpdate:
+    cap = float(raw[protocol.ROLLOUT_CAP])
+    age_ms = float(raw[protocol.MESSAGE_AGE])
+    build = int(raw[protocol.MESSAGE_BUILD])
+    stage = int(raw[protocol.ROLLOUT_STAGE])
+    if not (0.0 <= cap <= 1.0 and math.isfinite(age_ms) and stage >= 0):
+        raise FieldError(
+            f"out of range: '{protocol.ROLLOUT_CAP}' {cap}, '{protocol.MESSAGE_AGE}' {age_ms}, "
+            f"'{protocol.ROLLOUT_STAGE}' {stage}"
+        )
+    phase = protocol.ROLLOUT_PHASES[raw[protocol.ROLLOUT_PHASE]]
     return RolloutUpdate(build, stage, phase, cap, max(age_ms, 0.0), Result.OK, is_vote_reply)
 
 
@@ -113,7 +117,8 @@
 
     def parse(self, message: JsonObject) -> Notification | None:
         """Parse one notification; None for a heartbeat, or one about an instance that is not known here."""
-        method, params = message.get("method"), message.get("params")
+        method = message.get("method")
+        params = message.get("params")
         if method == protocol.ROLLOUT_NOTIFICATION:
             return parse_rollout_update(params)
         if method == protocol.STATISTICS_NOTIFICATION:
@@ -124,7 +129,7 @@
             return None
         raise MalformedMessageError(f"unknown notification {str(method)[:MAX_QUOTED]!r}")
 
-    def _parse_class(self, raw: Any) -> int:
+    def _parse_class(self, raw: object) -> int:
         """Return a class's index; the platform names it by its name or its index."""
         if isinstance(raw, str) and raw in self._class_indexes:
             return self._class_indexes[raw]
@@ -132,30 +137,40 @@
             return raw
         raise MalformedMessageError(f"unknown class {str(raw)[:MAX_QUOTED]!r}")
 
-    def _parse_statistics(self, raw: Any) -> BuildStatistics:
+    def _parse_statistics(self, raw: object) -> BuildStatistics:
         try:
-            attempts, failed = int(raw[protocol.STATISTICS_ATTEMPTS]), int(raw[protocol.STATISTICS_FAILURES])
-            mean_ms, age_ms = float(raw[protocol.STATISTICS_MEAN_MS]), float(raw[protocol.MESSAGE_AGE])
-            if not (0 <= failed <= attempts and math.isfinite(mean_ms) and math.isfinite(age_ms)):
-                raise ValueError("a number is out of range")
-            build, class_index = (
-                int(raw[protocol.MESSAGE_BUILD]),
-                self._parse_class(raw[protocol.REQUEST_CLASS]),
-            )
+            return self._parse_statistics_fields(require_object(raw, "it"))
         except FIELD_ERRORS as error:
             raise _malformed("build statistics", error) from None
+
+    def _parse_statistics_fields(self, raw: JsonObject) -> BuildStatistics:
+        attempts = int(raw[protocol.STATISTICS_ATTEMPTS])
+        failed = int(raw[protocol.STATISTICS_FAILURES])
+        mean_ms = float(raw[protocol.STATISTICS_MEAN_MS])
+        age_ms = float(raw[protocol.MESSAGE_AGE])
+        if not (0 <= failed <= attempts and math.isfinite(mean_ms) and math.isfinite(age_ms)):
+            raise FieldError(
+                f"out of range: '{protocol.STATISTICS_ATTEMPTS}' {attempts}, "
+                f"'{protocol.STATISTICS_FAILURES}' {failed}, '{protocol.STATISTICS_MEAN_MS}' {mean_ms}, "
+                f"'{protocol.MESSAGE_AGE}' {age_ms}"
+            )
+        build = int(raw[protocol.MESSAGE_BUILD])
+        class_index = self._parse_class(raw[protocol.REQUEST_CLASS])
         return BuildStatistics(build, class_index, attempts, failed, mean_ms, age_ms)
 
-    def _parse_incorrect_response(self, raw: Any) -> IncorrectResponse | None:
+    def _parse_incorrect_response(self, raw: object) -> IncorrectResponse | None:
         try:
-            server = self._server_id_of(str(raw[protocol.INCORRECT_RESPONSE_SERVER]))
-            class_index, age_ms = (
-                self._parse_class(raw[protocol.REQUEST_CLASS]),
-                float(raw[protocol.MESSAGE_AGE]),
-            )
+            return self._parse_incorrect_response_fields(require_object(raw, "it"))
         except FIELD_ERRORS as error:
             raise _malformed("incorrect response", error) from None
-        return None if server is None else IncorrectResponse(server, class_index, age_ms)
+
+    def _parse_incorrect_response_fields(self, raw: JsonObject) -> IncorrectResponse | None:
+        server = self._server_id_of(str(raw[protocol.INCORRECT_RESPONSE_SERVER]))
+        class_index = self._parse_class(raw[protocol.REQUEST_CLASS])
+        age_ms = float(raw[protocol.MESSAGE_AGE])
+        if server is None:
+            return None
+        return IncorrectResponse(server, class_index, age_ms)
 
 
 def _malformed(message: str, error: Exception) -> MalformedMessageError:
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -1,31 +1,23 @@
 """The client of the platform: follows the rollout's state on one connection and casts votes on it.
 
-`platform_connection` frames the lines, `platform_messages` parses them. This module keeps the connection
-alive, matches responses to votes, and dispatches to the policy what the platform says.
+`platform_connector` opens the connection, `platform_connection` frames the lines, `platform_messages` parses
+them. This module matches responses to votes, and dispatches to the policy what the platform says.
 """
 
 from __future__ import annotations
 
-import math
-import random
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 from functools import partial
-from typing import Any
-
-from twisted.internet.defer import Deferred
-from twisted.python.failure import Failure
 
 from meadowpulley.interface import Phase, Result, RolloutUpdate, Vote
 from meadowpulley.net import protocol
-from meadowpulley.net.backoff import Backoff
-from meadowpulley.net.connection import connect
-from meadowpulley.net.deadlines import Deadline
 from meadowpulley.net.gateway_context import GatewayContext
+from meadowpulley.net.json_fields import JsonObject
 from meadowpulley.net.platform_connection import PARTIAL_LINE_TIMEOUT_MS, PendingCall, PlatformConnection
+from meadowpulley.net.platform_connector import PlatformConnector
 from meadowpulley.net.platform_messages import (
-    JsonObject,
     MalformedMessageError,
     NotificationParser,
     check_follow_response,
@@ -35,10 +27,6 @@
     vote_params,
 )
 
-CONNECT_TIMEOUT_MS = 2_000.0
-STABLE_CONNECTION_MS = 1_000.0  # after a connection that lasted so long the next one is opened at once
-RECONNECT_BACKOFF = Backoff(first_ms=100.0, longest_ms=2_000.0)
-RECONNECT_JITTER = (0.5, 1.5)  # factors of the backoff, drawn uniformly
 DEFAULT_VOTE_TIMEOUT_MS = 5_000.0  # where the settings name none
 VOTE_RESULT_COUNTERS = {result: f"platform.vote_{result.name.lower()}" for result in Result} | {
     Result.NOT_SENT: "platform.vote_moot",  # the platform's own word for a vote that no longer counts
@@ -62,14 +50,10 @@
     def __init__(self, gateway: GatewayContext, server_id_of: Callable[[str], int | None]) -> None:
         self.gateway = gateway
         self.connection: PlatformConnection | None = None
-        self._connecting: Deferred[Any] | None = None
+        self._connector = PlatformConnector(gateway, partial(PlatformConnection, self), self._follow)
         self._retired_connections: list[PlatformConnection] = []
-        self._connect_timeout: Deadline | None = None
-        self._reconnect: Deadline | None = None
         self._last_update: _ReceivedUpdate | None = None  # from the platform's present address
-        self._connect_started_at = -math.inf
-        self._consecutive_failures = self._last_call_number = 0
-        self._random = random.Random(gateway.config.seed + 1)
+        self._last_call_number = 0
         self._notifications = NotificationParser(gateway.config.settings.classes, server_id_of)
 
     def start(self) -> None:
@@ -80,13 +64,11 @@
                 self.gateway.dispatch(parse_rollout_update(initial_rollout))
             except MalformedMessageError as error:
                 self._report_malformed(str(error))
-        self._connect()
+        self._connector.connect()
 
     def stop(self) -> None:
         """Close all connections; votes that await a response are completed as lost."""
-        self.gateway.deadlines.cancel(self._reconnect)
-        if self._connecting is not None:
-            self._connecting.cancel()
+        self._connector.stop()
         for connection in (self.connection, *self._retired_connections):
             if connection is not None:
                 connection.abort()
@@ -96,76 +78,35 @@
 
         Votes under way are neither dropped nor sent twice: the old connection stays until they are answered.
         """
-        if self._connecting is not None:
-            self._connecting.cancel()
-        connection, self.connection = self.connection, None
+        connection = self.connection
+        self.connection = None
         if connection is not None:
             self._retired_connections.append(connection)
             connection.retire()
         self._last_update = None
-        self.gateway.deadlines.cancel(self._reconnect)
-        self._consecutive_failures = 0
-        self._connect()
+        self._connector.restart()
 
     # The connection
 
-    def _connect(self) -> None:
-        address = self.gateway.config.platform
-        if address is None or self.gateway.stopping:
-            return
-        self.gateway.counters.add("platform.connects")
-        self._connect_started_at = self.gateway.deadlines.now()
-        self._connect_timeout = self.gateway.deadlines.after(CONNECT_TIMEOUT_MS, self._connect_timed_out)
-        connecting = connect(self.gateway.reactor, address, lambda: PlatformConnection(self))
-        self._connecting = connecting
-        connecting.addCallbacks(self._connected, self._connect_failed)
-        connecting.addErrback(lambda _: self.gateway.log_fault("platform"))
-
-    def _connected(self, connection: PlatformConnection) -> None:
-        self._connecting = None
-        self.gateway.deadlines.cancel(self._connect_timeout)
-        if not connection.is_open or self.gateway.stopping:
-            connection.abort()
-            self._schedule_reconnect()
-            return
+    def _follow(self, connection: PlatformConnection) -> None:
         self.connection = connection
         connection.send_call(self._new_call(None), protocol.FOLLOW_METHOD, None)
 
-    def _connect_timed_out(self) -> None:
-        if self._connecting is not None:
-            self._connecting.cancel()
-
-    def _connect_failed(self, _: Failure) -> None:
-        self._connecting = None
-        self.gateway.deadlines.cancel(self._connect_timeout)
-        self._schedule_reconnect()
-
     def connection_lost(self, connection: PlatformConnection) -> None:
         """Complete the calls of a connection that has ended, and replace it if it was the followed one."""
         was_followed = self.connection is connection
         if was_followed:
             self.connection = None
-            calls = len(connection.pending_calls)
-            self.gateway.log.warning("platform_connection_lost", pending_calls=calls)
+            self.gateway.log.warning("platform_connection_lost", pending_calls=len(connection.pending_calls))
         elif connection in self._retired_connections:
             self._retired_connections.remove(connection)
-        pending_calls, connection.pending_calls = connection.pending_calls, deque()
+        pending_calls = connection.pending_calls
+        connection.pending_calls = deque()
         for call in pending_calls:
             # A line that was never written whole was not carried out; of any other nobody knows.
             self._complete(call, Result.TIMEOUT if call.written else Result.CONNECT_FAILED)
         if was_followed:
-            self._schedule_reconnect()
-
-    def _schedule_reconnect(self) -> None:
-        if self.gateway.stopping:
-            return
-        lasted_ms = self.gateway.deadlines.now() - self._connect_started_at
-        self._consecutive_failures = (
-            0 if lasted_ms >= STABLE_CONNECTION_MS else self._consecutive_failures + 1
-        )
-        delay_ms = RECONNECT_BACKOFF.delay_ms(self._consecutive_failures)
-        delay_ms *= self._random.uniform(*RECONNECT_JITTER)
-        self._reconnect = self.gateway.deadlines.after(delay_ms, self._connect)
+            self._connector.connect_later()
 
     # Votes
 
--- a/tests/test_rollout_client.py
+++ b/tests/test_rollout_client.py
@@ -39,7 +39,8 @@
         connection.dataReceived(json.dumps({"jsonrpc": "2.0", **fields}).encode() + b"\n")
 
     def take_rollout_updates(self) -> list[tuple[int, float, bool, Result]]:
-        events, self.events = self.events, []
+        events = self.events
+        self.events = []
         return [(e.stage, e.cap, e.is_vote_reply, e.result) for e in events]
 
 
@@ -47,7 +48,7 @@
 def test_a_vote_answered_at_the_old_address_does_not_revert_a_newer_rollout_state(
     answered_late: bool,
 ) -> None:
-    # The state that the old address had written before was told after the newer one: its cap held again.
+    """A state that the old address had written was dispatched after a newer one, and its cap held again."""
     harness = RolloutHarness()
     old = harness.accept_connection()
     harness.send(old, id=1, result=True)
@@ -65,7 +66,8 @@
         assert [result for *_, result in harness.take_rollout_updates()] == [Result.TIMEOUT]
     harness.send(old, id=2, result=TRIAL)
     assert harness.take_rollout_updates() == ([] if answered_late else [(1, 0.1, True, Result.OK)])
-    assert not old.is_open and new.is_open
+    assert not old.is_open
+    assert new.is_open
 
 
 def test_the_old_address_s_response_is_the_state_until_the_new_address_sends_one() -> None:
@@ -81,7 +83,7 @@
 
 
 def test_unread_heartbeats_keep_the_connection_of_a_stalled_gateway() -> None:
-    # It was dropped as silent, and each vote under way counted as lost.
+    """A gateway that had been stopped closed the connection as silent, and counted its votes as lost."""
     harness = RolloutHarness()
     connection = harness.accept_connection()
     connection.transport.getHandle = lambda: SimpleNamespace(recv=lambda *_: b"{")
@@ -93,7 +95,7 @@
 
 
 def test_a_follow_call_that_the_platform_rejects_is_retried_on_a_new_connection() -> None:
-    # The connection was kept: no news until it was found silent.
+    """The connection was kept, and no rollout updates came until its heartbeat timed out."""
     harness = RolloutHarness()
     connection = harness.accept_connection()
     harness.send(connection, id=1, error={"code": -32602, "message": "error"})
@@ -103,7 +105,7 @@
 
 
 def test_a_response_that_lies_unread_at_a_vote_s_timeout_still_counts() -> None:
-    # A gateway that stood still told a time-out, and would have voted again.
+    """A gateway that had been stopped reported a time-out, and would have voted again."""
     harness = RolloutHarness()
     connection = harness.accept_connection()
     harness.send(connection, id=1, result=True)
