--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -23,6 +23,7 @@
 
 _NOT_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
 _MIN_PROBE_TIMEOUT_MS = 1.0
+_MICROSECONDS_PER_MS = 1000
 
 
 @dataclass(slots=True, eq=False)
@@ -128,9 +129,10 @@
             return request_bytes("GET", protocol.LIVENESS_PATH, {"host": protocol.SERVICE_HOST})
         message = self.request.message
         remaining_ms = max(self.deadline - self.runner.gateway.deadlines.now(), 0.0)
+        remaining_us = remaining_ms * _MICROSECONDS_PER_MS
         headers = {
             **forwarded_headers(message.headers, protocol.SERVICE_HOST),
-            protocol.REMAINING_TIME_HEADER: f"{remaining_ms * 1000:.0f}u",
+            protocol.REMAINING_TIME_HEADER: f"{remaining_us:.0f}{protocol.MICROSECONDS_UNIT}",
         }
         return request_bytes(message.method, message.target, headers, message.body)
 
--- a/meadowpulley/net/backoff.py
+++ b/meadowpulley/net/backoff.py
@@ -16,7 +16,7 @@
 
     def delay_ms(self, consecutive_failures: int) -> float:
         """Return the delay before the next attempt, without jitter; 0 while nothing has failed."""
-        if not consecutive_failures:
+        if consecutive_failures == 0:
             return 0.0
         doublings = min(consecutive_failures, MAX_DOUBLINGS)
         return min(self.first_ms * 2.0**doublings, self.longest_ms)
--- a/meadowpulley/net/protocol.py
+++ b/meadowpulley/net/protocol.py
@@ -24,6 +24,7 @@
 LOAD_REPORT_HEADER = "x-pressure"
 REJECTED_HEADER = "x-turned-away"
 REJECTED_VALUE = "1"
+MICROSECONDS_UNIT = "u"  # of a remaining time
 SERVICE_HOST = "app.svc"
 DISCOVERY_HOST = "discovery"
 
--- a/meadowpulley/net/slots.py
+++ b/meadowpulley/net/slots.py
@@ -9,26 +9,30 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-T = TypeVar("T")
+from meadowpulley.net.errors import NetError
 
+Item = TypeVar("Item")
 
-class SlotsFullError(Exception):
+
+class SlotsFullError(NetError):
     """All slots of the table are in use."""
 
 
-class SlotTable(Generic[T]):
+class SlotTable(Generic[Item]):
     """A table of at most `size` items, each reached by the handle that `put` returned for it."""
 
     def __init__(self, size: int) -> None:
         self.size = size
-        self._items: list[T | None] = [None] * size
+        self._items: list[Item | None] = [None] * size
         self._generations = [0] * size
         self._free = list(range(size - 1, -1, -1))
 
     def __len__(self) -> int:
+        """Return how many items it holds."""
         return self.size - len(self._free)
 
-    def __iter__(self) -> Iterator[T]:
+    def __iter__(self) -> Iterator[Item]:
+        """Iterate over the items as they are now: the table may change meanwhile."""
         return iter([item for item in self._items if item is not None])
 
     @property
@@ -36,25 +40,25 @@
         """Whether no slot is free."""
         return not self._free
 
-    def put(self, item: T) -> int:
+    def put(self, item: Item) -> int:
         """Store an item and return its handle.
 
         Raises:
             SlotsFullError: no slot is free.
         """
         if not self._free:
-            raise SlotsFullError(f"all {self.size} slots are taken")
+            raise SlotsFullError(f"all {self.size} slots are in use: free one, or make the table larger")
         slot = self._free.pop()
         self._items[slot] = item
         self._generations[slot] += 1
         return self._generations[slot] * self.size + slot
 
-    def get(self, handle: int) -> T | None:
+    def get(self, handle: int) -> Item | None:
         """Return the item of a handle, or None if the handle is stale."""
         generation, slot = divmod(handle, self.size)
         return self._items[slot] if self._generations[slot] == generation else None
 
-    def free(self, handle: int) -> T | None:
+    def free(self, handle: int) -> Item | None:
         """Empty the slot of a handle and return its item; a stale handle frees nothing."""
         item = self.get(handle)
         if item is not None:
--- a/tests/net_program/test_control_plane.py
+++ b/tests/net_program/test_control_plane.py
@@ -47,7 +47,7 @@
 def test_malformed_endpoint_list_is_fetched_again_on_a_new_connection(
     start: StartGateway, malformed: bytes
 ) -> None:
-    # A part of a list held the watch up for its whole wait, and a failed one was asked again 1.5 s later.
+    """Part of a list blocked the watch for its whole wait, and a failed call was retried 1.5 s later."""
     old, new = FakeInstance(), FakeInstance()
     discovery = FakeDiscovery([endpoint("s-1", old.address)])
     gateway = start([endpoint("s-1", old.address)], discovery=discovery.address)
@@ -73,7 +73,7 @@
     ],
 )
 def test_platform_is_followed_again_after_a_malformed_line(start: StartGateway, malformed: bytes) -> None:
-    # The connection was kept, though nothing more of use comes on it: no news until it was found silent.
+    """The connection was kept after a malformed line, and no updates came until its heartbeat timed out."""
     platform = FakePlatform(TRIAL, malformed, malformed)
     entries = [endpoint("s-1", FakeInstance().address), endpoint("s-2", FakeInstance().address, build=42)]
     start(entries, discovery=FakeDiscovery(entries).address, platform=platform.address, rollout=TRIAL)
@@ -85,7 +85,7 @@
 
 
 def test_reload_moves_only_the_discovery_and_platform_connections(start: StartGateway) -> None:
-    # Nothing handled SIGHUP, which ended the gateway with requests unanswered.
+    """Nothing handled SIGHUP, which ended the gateway with requests unanswered."""
     old, new = FakeInstance(), FakeInstance()
     entries = [endpoint("s-1", old.address)]
     first, second, third = (FakeDiscovery(entries) for _ in range(3))
@@ -111,7 +111,8 @@
     client.reader.close()
     client.socket.close()
     counters = gateway.wait_for("counters")
-    assert counters["reload.done"] == 2 and "reload.rejected" not in counters
+    assert counters["reload.done"] == 2
+    assert "reload.rejected" not in counters
     assert gateway.process.wait(TIMEOUT_S) == 0
 
 
@@ -161,10 +162,13 @@
     gateway.reload(platform={"address": new.address, "news": TRIAL})
     connection = new.followers.get(timeout=TIMEOUT_S)
     old.may_respond.set()  # in time: it counts, and nothing is left to send
-    assert connection is not None and old.closed.wait(TIMEOUT_S) and new.votes.empty()
+    assert connection is not None
+    assert old.closed.wait(TIMEOUT_S)
+    assert new.votes.empty()
     os.kill(gateway.process.pid, signal.SIGUSR1)
     counters = gateway.wait_for("counters")
-    assert counters["platform.vote_ok"] == 1 and "platform.vote_timeout" not in counters
+    assert counters["platform.vote_ok"] == 1
+    assert "platform.vote_timeout" not in counters
 
 
 def test_stray_datagrams_are_dropped_and_counted(start: StartGateway) -> None:
@@ -217,7 +221,7 @@
 def test_counters_are_logged_with_tracing_stages(
     start: StartGateway, monkeypatch: pytest.MonkeyPatch, stage: str
 ) -> None:
-    # The count of unusable datagrams was looked for at the stage, and the gateway ended with a traceback.
+    """The counter of dropped datagrams was read from the tracing stage: the end logged a traceback."""
     monkeypatch.setenv(stage, "1")
     gateway = start([])
     gateway.process.send_signal(signal.SIGTERM)
@@ -244,5 +248,5 @@
         gateway.client().request("GET", "/health/ready")
         os.kill(gateway.process.pid, signal.SIGUSR1)
         counters = gateway.wait_for("counters")
-    # Again, cut, of another version, older; and one too long to be a digest at all.
+    # Repeated, truncated, of another version, older, and too long to be a digest.
     assert (counters["peers.dropped"], counters["gossip.rejected"]) == (4, 1)
--- a/tests/net_program/test_instance_races.py
+++ b/tests/net_program/test_instance_races.py
@@ -33,7 +33,11 @@
 
 @pytest.mark.parametrize("ending", LINGER_OPTIONS)
 def test_truncated_response_is_not_accepted(start: StartGateway, ending: str) -> None:
-    # Only the end of the connection in order ends an answer that no length frames (RFC 9112, 6.3 and 8).
+    """A response that was cut off may not count as complete.
+
+    Without a length only an orderly end of the connection ends a response (RFC 9112, 6.3 and 8).
+    """
+
     def handle(handler: BaseHTTPRequestHandler, body: bytes) -> None:
         if body == b"whole":
             respond(handler, 200, body)
--- a/tests/net_program/test_list_races.py
+++ b/tests/net_program/test_list_races.py
@@ -15,7 +15,7 @@
 
 
 def test_delayed_gateway_reads_response_that_arrived_in_time(start: StartGateway) -> None:
-    # The call was given up with its answer unread in the kernel, as if discovery had fallen silent.
+    """A call timed out while its response lay unread in the kernel, as if discovery were silent."""
     old, new = FakeInstance(), FakeInstance()
     discovery = FakeDiscovery([endpoint("s-1", old.address)])
     rules = SETTINGS["rules"] | {"ask-within-ms": LONG_POLL_MS}
@@ -34,7 +34,7 @@
 
 
 def test_watch_opened_by_reload_survives_pending_retry_of_old_address(start: StartGateway) -> None:
-    # The try that was pending abandoned it.
+    """The pending retry of the old address cancelled the watch that the reload had opened."""
     old, new = FakeInstance(), FakeInstance()
     nobody, settings = f"127.0.0.1:{free_port()}", SETTINGS | {"discovery": "automatic"}
     gateway = start([endpoint("s-1", old.address)], discovery=nobody, settings=settings)
--- a/tests/net_program/test_stale_lists.py
+++ b/tests/net_program/test_stale_lists.py
@@ -6,7 +6,7 @@
 from http.server import BaseHTTPRequestHandler
 
 from tests.net_program.conftest import StartGateway
-from tests.standins import SETTINGS, FakeDiscovery, FakeInstance, endpoint, respond
+from tests.standins import SETTINGS, Client, FakeDiscovery, FakeInstance, endpoint, respond
 
 GRACE_MS = 500.0
 REQUEST_SPACING_S = 0.02
@@ -28,9 +28,29 @@
             respond(handler, 200, b"served " + body)
 
 
+def request_until_unsent(client: Client, instance: FakeInstance) -> int:
+    """Send requests until enough in a row were rejected without reaching the instance.
+
+    Returns how many that were in the end: QUIET_REQUESTS, or fewer if the gateway did not cease to send.
+    """
+    unsent = 0
+    for _ in range(MAX_REQUESTS):
+        arrived = instance.received.qsize()
+        status = client.request("GET", "/look")[0]
+        was_sent = instance.received.qsize() != arrived
+        unsent = 0 if was_sent or status != 503 else unsent + 1
+        if unsent == QUIET_REQUESTS:
+            break
+        threading.Event().wait(REQUEST_SPACING_S)
+    return unsent
+
+
 def test_restarted_gateway_does_not_go_on_with_a_list_it_cannot_confirm(start: StartGateway) -> None:
-    # Of 200 gateways 133 were killed. They came back with the list of before an outage, and sent by it to
-    # servers that drained, or had gone and come back at their address, until discovery answered (incident-1).
+    """A restarted gateway sent by its cached list to servers that had drained, until discovery answered.
+
+    133 of 200 gateways were killed during an outage of discovery, and came back with the list from before
+    it. Some of its servers were draining, others gone and replaced at the same address.
+    """
     old, new = DrainingInstance(), FakeInstance()
     discovery = FakeDiscovery([endpoint("s-1", old.address)])
     settings = SETTINGS | {"rules": SETTINGS["rules"] | {"stop-sending-within-ms": GRACE_MS}}
@@ -43,14 +63,8 @@
     old.draining.set()
     discovery.update([endpoint("s-2", new.address)])
     restarted = start(cached, discovery=discovery.address, settings=settings)
-    client, unsent = restarted.client(), 0
-    for _ in range(MAX_REQUESTS):
-        arrived = old.received.qsize()
-        status = client.request("GET", "/look")[0]
-        unsent = unsent + 1 if status == 503 and old.received.qsize() == arrived else 0
-        if unsent == QUIET_REQUESTS:
-            break
-        threading.Event().wait(REQUEST_SPACING_S)
+    client = restarted.client()
+    unsent = request_until_unsent(client, old)
     assert unsent == QUIET_REQUESTS, "requests went on to a server that had drained"
 
     discovery.crowded = False
@@ -59,25 +73,21 @@
         if status == 200:
             break
         threading.Event().wait(REQUEST_SPACING_S)
-    assert status == 200 and new.received.qsize() == 1
+    assert status == 200
+    assert new.received.qsize() == 1
 
 
 def test_responses_of_a_later_incarnation_do_not_keep_a_removed_server_in_use(start: StartGateway) -> None:
-    # A gateway was killed. Meanwhile a server drained, ended, and came back at its address; discovery listed
-    # it as gone, and was too crowded to answer. Good responses of the later incarnation kept the server in
-    # use for as long as discovery did not answer.
+    """Good responses of a later incarnation kept a server in use while discovery did not answer.
+
+    A gateway was killed. Meanwhile a server drained, ended, and came back at its address; discovery listed
+    it as gone, and was too busy to answer.
+    """
     returned, discovery = FakeInstance(), FakeDiscovery([])
     discovery.crowded = True
     settings = SETTINGS | {"rules": SETTINGS["rules"] | {"stop-sending-within-ms": GRACE_MS}}
     cached = [endpoint("s-1", returned.address)]
     restarted = start(cached, discovery=discovery.address, settings=settings)
-    client, unsent = restarted.client(), 0
-    for _ in range(MAX_REQUESTS):
-        arrived = returned.received.qsize()
-        status = client.request("GET", "/look")[0]
-        unsent = unsent + 1 if status == 503 and returned.received.qsize() == arrived else 0
-        if unsent == QUIET_REQUESTS:
-            break
-        threading.Event().wait(REQUEST_SPACING_S)
+    unsent = request_until_unsent(restarted.client(), returned)
     assert returned.received.qsize() > 0, "the server was in use at first"
     assert unsent == QUIET_REQUESTS, "requests went on to a server that discovery lists as gone"
