--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -139,6 +139,7 @@
 @pytest.mark.parametrize(
     ("is_snapshot", "next_target"),
     [(True, "after=3&wait_ms=10000"), (False, "after=0&wait_ms=10000")],  # what it never knew may be gone
+    ids=["snapshot", "changes"],
 )
 def test_lower_versions_after_discovery_restarted_or_moved_are_accepted(
     disrupt: Callable[[ManualDiscoveryHarness, ReceivedCall], ReceivedCall],
@@ -240,7 +241,7 @@
 OTHER_ENTRY = endpoint("s-2", "127.0.0.1:9")
 
 
-@pytest.mark.parametrize("is_snapshot", [True, False])
+@pytest.mark.parametrize("is_snapshot", [True, False], ids=["snapshot", "changes"])
 @pytest.mark.parametrize(
     ("entries", "states", "ports"),
     [
@@ -250,6 +251,7 @@
         ([READY_ENTRY, OTHER_ENTRY], [READY, READY], [9, 9]),  # two names at one address are two instances
         ([], [], []),
     ],
+    ids=["gone, then back", "back, then gone", "four entries of one name", "two names", "empty"],
 )
 def test_the_last_entry_of_a_duplicate_name_in_a_list_wins(
     entries: list[dict[str, Any]], states: list[ServerState], ports: list[int], is_snapshot: bool
@@ -265,7 +267,11 @@
 BODY = list_body(42, DRAINING_ENTRY)  # indented
 
 
-@pytest.mark.parametrize("response", [HEAD % (len(BODY), BODY), b"HTTP/1.1 200 OK\r\n\r\n" + BODY])
+@pytest.mark.parametrize(
+    "response",
+    [HEAD % (len(BODY), BODY), b"HTTP/1.1 200 OK\r\n\r\n" + BODY],
+    ids=["length", "end of connection"],
+)
 def test_an_indented_list_is_read_however_it_is_split(response: bytes) -> None:
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
--- a/tests/test_instance_connections.py
+++ b/tests/test_instance_connections.py
@@ -21,16 +21,17 @@
 from tests.test_net_extension import GatewayBench
 
 FIRST_RESPONSE = response_bytes(200, {}, b"r1")
+REQUEST_LINES = {b"": "GET /look", b"order": "POST /order"}  # by body; others go to /pay
 
 
 def request_bytes(request_id: str, body: bytes = b"") -> bytes:
-    """One that its client waits 0.9 s for."""
+    """Return a request whose client waits 0.9 s for the response."""
     headers = (
         f"host: app.svc\r\n{protocol.REQUEST_ID_HEADER}: {request_id}\r\n"
         f"{protocol.REMAINING_TIME_HEADER}: 900m\r\n"
     )
     content_length = f"content-length: {len(body)}\r\n" if body else ""
-    request_line = "POST /order" if body == b"order" else "POST /pay" if body else "GET /look"
+    request_line = REQUEST_LINES.get(body, "POST /pay")
     return f"{request_line} HTTP/1.1\r\n{headers}{content_length}\r\n".encode() + body
 
 
@@ -44,20 +45,26 @@
 
 
 def connect_pending(bench: GatewayBench) -> Any:
-    """The connection in the making comes up."""
+    """Accept the only connection that is being established."""
     (opening,) = bench.world._pending_instance_connections()
     return opening.accept()
 
 
+def connect_if_pending(bench: GatewayBench) -> Any:
+    """Accept the connection that is being established, if there is one."""
+    return connect_pending(bench) if bench.world._pending_instance_connections() else None
+
+
 def skip_time(bench: GatewayBench, delay_ms: float) -> None:
     """Let the gateway stall: time advances, and nothing that is due runs before the next input."""
     bench.reactor.now += delay_ms
 
 
-# Input that is out of the kernel while what was due before it runs
+# Input that was read from the kernel, while deadlines that were due before it run
 
 
 def test_connection_with_unsolicited_input_is_not_reused() -> None:
+    """Input that is being read is no longer in the kernel when a due deadline reuses its connection."""
     bench = GatewayBench(None)
     send_request(bench, "r1")
     bench.respond(b"r1")
@@ -97,7 +104,7 @@
     bench.instance.receive(b"HTTP/1.1 200 OK\r\n\r\npart")
 
     class Reset:
-        """A socket whose error is told once, as the kernel does; after that it only reads as ended."""
+        """A socket that reports its error once, as the kernel does; then it reads as ended."""
 
         def recv(self, size: int, flags: int) -> bytes:
             bench.instance.end_of_input = True
@@ -105,7 +112,7 @@
 
     bench.instance.getHandle = Reset
     skip_time(bench, 550.0)
-    bench.reactor.run_due()  # the limit of an answer's rest finds the reset before the reactor does
+    bench.reactor.run_due()  # the time-out of the partial response finds the reset before the reactor
     bench.instance.deliver()
     assert not bench.instance.connected
     assert b" 200 " not in client.received_by_peer
@@ -125,35 +132,37 @@
 def test_trickled_response_times_out() -> None:
     bench = GatewayBench(None)
     client = send_request(bench, "r1", b"money")
-    for n in range(3):  # each drop well within the time
+    for n in range(3):  # each byte well within the time-out
         bench.instance.receive(FIRST_RESPONSE[n : n + 1])
         bench.wait(0.8 * PARTIAL_RESPONSE_TIMEOUT_MS)
     assert not bench.instance.connected
     assert b" 502 " in client.received_by_peer
 
 
-# Answers to a request that the kernel has not taken whole
+# Responses to a request that is not fully written
 
 
 @pytest.mark.parametrize(
-    "raw", [response_bytes(200, {}, b"r0"), response_bytes(500, {}), b"\x00noise\r\n\r\n"]
+    "raw",
+    [response_bytes(200, {}, b"r0"), response_bytes(500, {}), b"\x00noise\r\n\r\n"],
+    ids=["response", "error", "noise"],
 )
 def test_input_before_the_request_is_written_is_not_its_response(raw: bytes) -> None:
     bench = GatewayBench(None)
     bench.instance.write_blocked = True
     client = send_request(bench, "r1", b"money")
-    bench.instance.receive(raw)  # a second answer to the request before, say
+    bench.instance.receive(raw)  # for example a duplicate response to the previous request
     assert not client.received_by_peer
     assert not bench.instance.connected
     assert not bench.instance.received_by_peer
-    retry = connect_pending(bench)  # it never ran, so that it may go once more
+    retry = connect_pending(bench)  # it was not executed: a retry is allowed
     assert retry.received_by_peer.endswith(b"money")
     retry.receive(FIRST_RESPONSE)
     assert b" 200 " in client.received_by_peer
     assert client.received_by_peer.endswith(b"r1")
 
 
-# A server that comes back with another build, at the same address, or that drains
+# A server that returns at the same address with another build, or that drains
 
 
 def replace_server(bench: GatewayBench) -> None:
@@ -167,15 +176,16 @@
 
 @pytest.mark.parametrize("change_server", [replace_server, drain_server])
 def test_connection_opened_after_its_server_left_carries_nothing(change_server: Any) -> None:
+    """A connection may be established after its server drained, or was replaced by another build."""
     bench = GatewayBench(None)
     send_request(bench, "r1")
-    client = send_request(bench, "r2")  # the one connection is in use: its own is opened
+    client = send_request(bench, "r2")  # the only connection is in use: another is opened
     change_server(bench)
     late_connection = connect_pending(bench)
     assert not late_connection.connected
     assert not late_connection.received_by_peer
     assert not client.received_by_peer
-    retry = connect_pending(bench)  # that attempt never ran: the decisions choose anew
+    retry = connect_pending(bench)  # that attempt was not executed: the policy chooses anew
     assert b"r2" in retry.received_by_peer
 
 
@@ -190,10 +200,10 @@
     assert bench.gateway.instances.open_sockets == 0
 
 
-# Connections that fail before whoever asked for them has heard of them
+# Connections that fail while they are being opened
 
 
-@pytest.mark.parametrize("failure", ["told", "raised"])
+@pytest.mark.parametrize("failure", ["reported", "raised"])
 def test_immediate_connect_failure_ends_its_attempt(failure: str) -> None:
     bench = GatewayBench(None)
     (server,) = bench.gateway.instances.pools
@@ -217,16 +227,21 @@
     assert faults == (["send"] * (len(outcomes) - 1) + ["probe"] if failure == "raised" else [])
 
 
-# A second answer that comes late, on a connection that has answered
+# A duplicate response that arrives late, on a connection that has carried a response
+
+LATE_INPUT = {"again": FIRST_RESPONSE, "gone, again": FIRST_RESPONSE, "noise": b"\x00"}
 
 
 @pytest.mark.parametrize("happening", ["nothing", "again", "noise", "end", "replaced", "gone", "gone, again"])
 def test_connection_is_reused_after_a_delay_unless_input_arrives(happening: str) -> None:
+    """A duplicate response may follow, and nothing in it names its request.
+
+    On a connection that was reused at once it was read as the response to the next request.
+    """
     bench = GatewayBench(None)
     send_request(bench, "r1")
     bench.respond(b"r1")
-    client = send_request(bench, "r2")
-    # It waits for this one.
+    client = send_request(bench, "r2")  # waits for the same connection
     assert b"r2" not in bench.instance.received_by_peer
     assert bench.gateway.instances.open_sockets == 1
     bench.wait(REUSE_DELAY_MS - 1.0)
@@ -236,9 +251,7 @@
         replace_server(bench)
     if happening == "end":
         bench.instance.disconnect()
-    bench.instance.receive(
-        FIRST_RESPONSE if "again" in happening else b"\x00" if happening == "noise" else b""
-    )
+    bench.instance.receive(LATE_INPUT.get(happening, b""))
     bench.wait(2.0)
     reused = happening in ("nothing", "gone")
     assert bench.instance.connected is reused
@@ -258,24 +271,26 @@
     wires = [bench.instance, connect_pending(bench)]
     wires[1].receive(response_bytes(200, {}, b"r2"))
     bench.wait(REUSE_DELAY_MS)
-    bench.respond(b"r1")  # the newest, and it rests
+    bench.respond(b"r1")  # the newest, which may not be reused yet
     send_request(bench, "r3")
-    assert [b"r3" in w.received_by_peer for w in wires] == [False, True]
-    assert all(b" 200 " in c.received_by_peer for c in clients)
+    assert [b"r3" in wire.received_by_peer for wire in wires] == [False, True]
+    assert all(b" 200 " in client.received_by_peer for client in clients)
 
 
-# Further attempts of a keyed request against the window in which what it repeats is known
+# Retries of a request with an idempotency key, and the window in which the key is remembered
 
 
 @pytest.mark.parametrize("timing", ["in time", "up late", "up late, and nobody looked", "written late"])
 def test_retry_not_written_within_the_window_is_never_written(
     timing: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A retry that is written after the deduplication window may be executed a second time."""
     monkeypatch.setattr("meadowpulley.model_checking.connection_model.state.CLASSES", (*CLASSES, ORDER_CLASS))
     bench = GatewayBench(None)
     send_request(bench, "r1")
     send_request(bench, "r2")
-    spare, tick = connect_pending(bench), bench.gateway.config.settings.tick_ms
+    spare = connect_pending(bench)
+    tick = bench.gateway.config.settings.tick_ms
     spare.receive(response_bytes(200, {}, b"r2"))
     bench.respond(b"r1")
     bench.wait(REUSE_DELAY_MS)
@@ -285,14 +300,13 @@
     client = send_request(bench, "r3", b"order")
     assert bench.instance.received_by_peer.endswith(b"order")
     bench.wait(ORDER_CLASS.deduplication_window_ms - STALL_ALLOWANCE_MS - 40.0)
-    bench.instance.disconnect()  # it may have run, and is sent again: it may be written for 40 ms yet
+    bench.instance.disconnect()  # it may have been executed: its retry may be written for another 40 ms
     if timing == "up late, and nobody looked":
         skip_time(bench, 41.0 - tick)
     else:
         bench.wait(39.0 - tick if timing == "in time" else 41.0 - tick)
     if timing == "written late":
         spare.unblock_writes()
-    openings = bench.world._pending_instance_connections()
-    second = spare if timing == "written late" else connect_pending(bench) if openings else None
+    second = spare if timing == "written late" else connect_if_pending(bench)
     assert (second is not None and second.received_by_peer.endswith(b"order")) is (timing == "in time")
     assert bool(client.received_by_peer) is (timing != "in time")  # and not left waiting
--- a/tests/test_watch_timeouts.py
+++ b/tests/test_watch_timeouts.py
@@ -12,7 +12,7 @@
 from tests.driver import Driver, server_entry, settings
 
 
-@pytest.mark.parametrize("must_poll", [True, False])
+@pytest.mark.parametrize("must_poll", [True, False], ids=["polled", "pushed"])
 @pytest.mark.parametrize("answers", [0, 1, 2])
 def test_a_silent_watch_is_reopened_before_the_updates_it_misses_count_as_notified(
     must_poll: bool, answers: int
@@ -28,12 +28,12 @@
         harness.dispatch(EndpointUpdate(EndpointUpdateKind.CACHED, 0, (server_entry(1),)))
     else:
         harness.discovery.start()
-    for _ in range(500):  # till the call that falls silent
+    for _ in range(500):  # until the call that is not answered
         if len(harness.calls_received) <= answers:
             harness.run(50.0)
     since, wait_ms = harness.calls_received[answers]
     harness.silent_from = float("inf")
-    harness.version += 1  # a change that this call will never tell
+    harness.version += 1  # a change that this call will never report
     harness.run(wait_ms + 8_000.0)
     notified_by = max(since + NOTIFIED_AFTER_SILENCE_MS, since + wait_ms + NOTIFIED_AFTER_WAIT_MS)
     update_times = [at for at, version in harness.updates if at > since and version == harness.version]
@@ -42,7 +42,7 @@
     assert not harness.failures
 
 
-@pytest.mark.parametrize("must_poll", [True, False])
+@pytest.mark.parametrize("must_poll", [True, False], ids=["polled", "pushed"])
 @pytest.mark.parametrize("step", ["moved", "outage"])
 def test_the_first_watch_after_sighup_or_an_outage_may_fall_silent(must_poll: bool, step: str) -> None:
     harness = DiscoveryHarness(must_poll)
