--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -221,7 +221,13 @@
         self.runner.requests.free_if_done(request)
         self.runner.gateway.dispatch(
             Outcome(
-                request.handle, self.number, self.server, result, elapsed_ms, request_complete, load_report
+                request=request.handle,
+                attempt=self.number,
+                server=self.server,
+                result=result,
+                elapsed_ms=elapsed_ms,
+                request_complete=request_complete,
+                load_report=load_report,
             )
         )
 
@@ -278,7 +284,15 @@
         deadline = request.deadline
         if action.timeout_ms != 0:
             deadline = min(deadline, now + action.timeout_ms)
-        attempt = Attempt(self, action.server, request, number, now, deadline, action.write_by_ms)
+        attempt = Attempt(
+            runner=self,
+            server=action.server,
+            request=request,
+            number=number,
+            sent_at=now,
+            deadline=deadline,
+            write_by=action.write_by_ms,
+        )
         request.outstanding[number] = attempt
         return attempt
 
@@ -295,7 +309,9 @@
         now = self.gateway.deadlines.now()
         deadline = now + max(self.limits.connect_timeout_ms, _MIN_PROBE_TIMEOUT_MS)
         pool = self.instances.pools.get(action.server)
-        attempt = Attempt(self, action.server, None, 0, now, deadline)
+        attempt = Attempt(
+            runner=self, server=action.server, request=None, number=0, sent_at=now, deadline=deadline
+        )
         if pool is None:
             attempt.finish(Result.CONNECT_FAILED)
             return
--- a/meadowpulley/net/platform_messages.py
+++ b/meadowpulley/net/platform_messages.py
@@ -88,7 +88,15 @@
             f"'{protocol.ROLLOUT_STAGE}' {stage}"
         )
     phase = protocol.ROLLOUT_PHASES[raw[protocol.ROLLOUT_PHASE]]
-    return RolloutUpdate(build, stage, phase, cap, max(age_ms, 0.0), Result.OK, is_vote_reply)
+    return RolloutUpdate(
+        build=build,
+        stage=stage,
+        phase=phase,
+        cap=cap,
+        age_ms=max(age_ms, 0.0),
+        result=Result.OK,
+        is_vote_reply=is_vote_reply,
+    )
 
 
 def parse_vote_response(message: JsonObject) -> VoteResponse:
@@ -156,7 +164,14 @@
             )
         build = int(raw[protocol.MESSAGE_BUILD])
         class_index = self._parse_class(raw[protocol.REQUEST_CLASS])
-        return BuildStatistics(build, class_index, attempts, failed, mean_ms, age_ms)
+        return BuildStatistics(
+            build=build,
+            class_index=class_index,
+            attempts=attempts,
+            failed=failed,
+            mean_ms=mean_ms,
+            age_ms=age_ms,
+        )
 
     def _parse_incorrect_response(self, raw: object) -> IncorrectResponse | None:
         try:
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -227,4 +227,12 @@
 
 def _failed_vote_reply(vote: Vote, result: Result) -> RolloutUpdate:
     """Return the reply to a vote without a rollout state; the policy reads only its result."""
-    return RolloutUpdate(vote.build, vote.stage, Phase.TRIAL, 0.0, 0.0, result, is_vote_reply=True)
+    return RolloutUpdate(
+        build=vote.build,
+        stage=vote.stage,
+        phase=Phase.TRIAL,
+        cap=0.0,
+        age_ms=0.0,
+        result=result,
+        is_vote_reply=True,
+    )
