--- a/tests/test_instance_connections.py
+++ b/tests/test_instance_connections.py
@@ -1,5 +1,7 @@
-"""Connections to instances, at moments that cut a turn of the gateway in two: bytes that come between a look
-and what follows it. The gateway's own objects, on the checker's reactor, whose time moves when told to."""
+"""Connections to instances, with input that arrives between a check and what follows from it.
+
+The gateway's own objects run on the model checker's reactor, whose time the tests advance.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +14,24 @@
 from meadowpulley.interface import Effect, Outcome, Probe, ProbeResult, RequestClass, Result
 from meadowpulley.model_checking.connection_model.configurations import CLASSES
 from meadowpulley.net import protocol
+from meadowpulley.net.endpoint_list import ServerIncarnation
 from meadowpulley.net.http1 import response_bytes
 from meadowpulley.net.instance_connection import PARTIAL_RESPONSE_TIMEOUT_MS, REUSE_DELAY_MS
 from meadowpulley.policy.endpoint_lease import STALL_ALLOWANCE_MS
 from tests.test_net_extension import GatewayBench
 
 FIRST_RESPONSE = response_bytes(200, {}, b"r1")
+REQUEST_LINES = {b"": "GET /look", b"order": "POST /order"}  # by body; others go to /pay
 
 
 def request_bytes(request_id: str, body: bytes = b"") -> bytes:
-    """One that its client waits 0.9 s for."""
+    """Return a request whose client waits 0.9 s for the response."""
     headers = (
         f"host: app.svc\r\n{protocol.REQUEST_ID_HEADER}: {request_id}\r\n"
         f"{protocol.REMAINING_TIME_HEADER}: 900m\r\n"
     )
     content_length = f"content-length: {len(body)}\r\n" if body else ""
-    request_line = "POST /order" if body == b"order" else "POST /pay" if body else "GET /look"
+    request_line = REQUEST_LINES.get(body, "POST /pay")
     return f"{request_line} HTTP/1.1\r\n{headers}{content_length}\r\n".encode() + body
 
 
@@ -41,20 +45,26 @@
 
 
 def connect_pending(bench: GatewayBench) -> Any:
-    """The connection in the making comes up."""
+    """Accept the only connection that is being established."""
     (opening,) = bench.world._pending_instance_connections()
     return opening.accept()
 
 
+def connect_if_pending(bench: GatewayBench) -> Any:
+    """Accept the connection that is being established, if there is one."""
+    return connect_pending(bench) if bench.world._pending_instance_connections() else None
+
+
 def skip_time(bench: GatewayBench, delay_ms: float) -> None:
     """Let the gateway stall: time advances, and nothing that is due runs before the next input."""
     bench.reactor.now += delay_ms
 
 
-# Input that is out of the kernel while what was due before it runs
+# Input that was read from the kernel, while deadlines that were due before it run
 
 
 def test_connection_with_unsolicited_input_is_not_reused() -> None:
+    """Input that is being read is no longer in the kernel when a due deadline reuses its connection."""
     bench = GatewayBench(None)
     send_request(bench, "r1")
     bench.respond(b"r1")
@@ -62,7 +72,8 @@
     bench.gateway.deadlines.after(100.0, lambda: clients.append(send_request(bench, "r2")))
     skip_time(bench, 101.0)
     bench.instance.receive(FIRST_RESPONSE)  # run before it: the deadline, and with it the next request
-    assert bench.gateway.counters["up.found_closed"] == 1 and b"r2" not in bench.instance.received_by_peer
+    assert bench.gateway.counters["up.found_closed"] == 1
+    assert b"r2" not in bench.instance.received_by_peer
     assert not clients[0].received_by_peer
 
 
@@ -72,7 +83,8 @@
     bench.instance.receive(FIRST_RESPONSE[:-1])
     skip_time(bench, 550.0)
     bench.instance.receive(FIRST_RESPONSE[-1:])
-    assert client.received_by_peer.endswith(b"r1") and b" 200 " in client.received_by_peer
+    assert client.received_by_peer.endswith(b"r1")
+    assert b" 200 " in client.received_by_peer
 
 
 def test_request_being_read_keeps_its_connection() -> None:
@@ -82,7 +94,8 @@
     skip_time(bench, 2101.0)
     client.receive(request_bytes("r2"))
     bench.respond(b"r2")
-    assert client.received_by_peer.count(b" 200 ") == 2 and client.received_by_peer.endswith(b"r2")
+    assert client.received_by_peer.count(b" 200 ") == 2
+    assert client.received_by_peer.endswith(b"r2")
 
 
 def test_reset_found_by_a_peek_does_not_end_a_response() -> None:
@@ -91,7 +104,7 @@
     bench.instance.receive(b"HTTP/1.1 200 OK\r\n\r\npart")
 
     class Reset:
-        """A socket whose error is told once, as the kernel does; after that it only reads as ended."""
+        """A socket that reports its error once, as the kernel does; then it reads as ended."""
 
         def recv(self, size: int, flags: int) -> bytes:
             bench.instance.end_of_input = True
@@ -99,9 +112,10 @@
 
     bench.instance.getHandle = Reset
     skip_time(bench, 550.0)
-    bench.reactor.run_due()  # the limit of an answer's rest finds the reset before the reactor does
+    bench.reactor.run_due()  # the time-out of the partial response finds the reset before the reactor
     bench.instance.deliver()
-    assert not bench.instance.connected and b" 200 " not in client.received_by_peer
+    assert not bench.instance.connected
+    assert b" 200 " not in client.received_by_peer
 
 
 def test_split_interim_response_starts_no_timeout() -> None:
@@ -111,44 +125,49 @@
         bench.instance.receive(piece)
     bench.wait(PARTIAL_RESPONSE_TIMEOUT_MS + 1.0)
     bench.respond(b"r1")
-    assert client.received_by_peer.endswith(b"r1") and b" 200 " in client.received_by_peer
+    assert client.received_by_peer.endswith(b"r1")
+    assert b" 200 " in client.received_by_peer
 
 
 def test_trickled_response_times_out() -> None:
     bench = GatewayBench(None)
     client = send_request(bench, "r1", b"money")
-    for n in range(3):  # each drop well within the time
+    for n in range(3):  # each byte well within the time-out
         bench.instance.receive(FIRST_RESPONSE[n : n + 1])
         bench.wait(0.8 * PARTIAL_RESPONSE_TIMEOUT_MS)
-    assert not bench.instance.connected and b" 502 " in client.received_by_peer
+    assert not bench.instance.connected
+    assert b" 502 " in client.received_by_peer
 
 
-# Answers to a request that the kernel has not taken whole
+# Responses to a request that is not fully written
 
 
 @pytest.mark.parametrize(
-    "raw", [response_bytes(200, {}, b"r0"), response_bytes(500, {}), b"\x00noise\r\n\r\n"]
+    "raw",
+    [response_bytes(200, {}, b"r0"), response_bytes(500, {}), b"\x00noise\r\n\r\n"],
+    ids=["response", "error", "noise"],
 )
 def test_input_before_the_request_is_written_is_not_its_response(raw: bytes) -> None:
     bench = GatewayBench(None)
     bench.instance.write_blocked = True
     client = send_request(bench, "r1", b"money")
-    bench.instance.receive(raw)  # a second answer to the request before, say
-    assert (
-        not client.received_by_peer and not bench.instance.connected and not bench.instance.received_by_peer
-    )
-    retry = connect_pending(bench)  # it never ran, so that it may go once more
+    bench.instance.receive(raw)  # for example a duplicate response to the previous request
+    assert not client.received_by_peer
+    assert not bench.instance.connected
+    assert not bench.instance.received_by_peer
+    retry = connect_pending(bench)  # it was not executed: a retry is allowed
     assert retry.received_by_peer.endswith(b"money")
     retry.receive(FIRST_RESPONSE)
-    assert b" 200 " in client.received_by_peer and client.received_by_peer.endswith(b"r1")
+    assert b" 200 " in client.received_by_peer
+    assert client.received_by_peer.endswith(b"r1")
 
 
-# A server that comes back with another build, at the same address, or that drains
+# A server that returns at the same address with another build, or that drains
 
 
 def replace_server(bench: GatewayBench) -> None:
     ((server, pool),) = bench.gateway.instances.pools.items()
-    bench.gateway.instances.register(server, pool.address, (42, 5.0))
+    bench.gateway.instances.register(server, pool.address, ServerIncarnation(42, 5.0))
 
 
 def drain_server(bench: GatewayBench) -> None:
@@ -157,15 +176,16 @@
 
 @pytest.mark.parametrize("change_server", [replace_server, drain_server])
 def test_connection_opened_after_its_server_left_carries_nothing(change_server: Any) -> None:
+    """A connection may be established after its server drained, or was replaced by another build."""
     bench = GatewayBench(None)
     send_request(bench, "r1")
-    client = send_request(bench, "r2")  # the one connection is in use: its own is opened
+    client = send_request(bench, "r2")  # the only connection is in use: another is opened
     change_server(bench)
     late_connection = connect_pending(bench)
-    assert (
-        not late_connection.connected and not late_connection.received_by_peer and not client.received_by_peer
-    )
-    retry = connect_pending(bench)  # that attempt never ran: the decisions choose anew
+    assert not late_connection.connected
+    assert not late_connection.received_by_peer
+    assert not client.received_by_peer
+    retry = connect_pending(bench)  # that attempt was not executed: the policy chooses anew
     assert b"r2" in retry.received_by_peer
 
 
@@ -175,17 +195,15 @@
     client = send_request(bench, "r1")
     change_server(bench)
     bench.respond(b"r1")
-    assert (
-        b" 200 " in client.received_by_peer
-        and not bench.instance.connected
-        and bench.gateway.instances.open_sockets == 0
-    )
+    assert b" 200 " in client.received_by_peer
+    assert not bench.instance.connected
+    assert bench.gateway.instances.open_sockets == 0
 
 
-# Connections that fail before whoever asked for them has heard of them
+# Connections that fail while they are being opened
 
 
-@pytest.mark.parametrize("failure", ["told", "raised"])
+@pytest.mark.parametrize("failure", ["reported", "raised"])
 def test_immediate_connect_failure_ends_its_attempt(failure: str) -> None:
     bench = GatewayBench(None)
     (server,) = bench.gateway.instances.pools
@@ -200,24 +218,32 @@
     assert b" 503 " in send_request(bench, "r1", b"money").received_by_peer
     bench.gateway.attempts.probe(Probe(server))
     outcomes = [e for e in bench.recorder.events if isinstance(e, Outcome | ProbeResult)]
-    assert len(outcomes) > 1 and isinstance(outcomes[-1], ProbeResult)
+    assert len(outcomes) > 1
+    assert isinstance(outcomes[-1], ProbeResult)
     assert {e.result for e in outcomes} == {Result.CONNECT_FAILED}
-    assert bench.gateway.instances.open_sockets == 0 and not len(bench.gateway.requests.slots)
+    assert bench.gateway.instances.open_sockets == 0
+    assert not len(bench.gateway.requests.slots)
     faults = [e.partition(":")[0] for e in bench.world.log.errors]
     assert faults == (["send"] * (len(outcomes) - 1) + ["probe"] if failure == "raised" else [])
 
 
-# A second answer that comes late, on a connection that has answered
+# A duplicate response that arrives late, on a connection that has carried a response
+
+LATE_INPUT = {"again": FIRST_RESPONSE, "gone, again": FIRST_RESPONSE, "noise": b"\x00"}
 
 
 @pytest.mark.parametrize("happening", ["nothing", "again", "noise", "end", "replaced", "gone", "gone, again"])
 def test_connection_is_reused_after_a_delay_unless_input_arrives(happening: str) -> None:
+    """A duplicate response may follow, and nothing in it names its request.
+
+    On a connection that was reused at once it was read as the response to the next request.
+    """
     bench = GatewayBench(None)
     send_request(bench, "r1")
     bench.respond(b"r1")
-    client = send_request(bench, "r2")
-    # It waits for this one.
-    assert b"r2" not in bench.instance.received_by_peer and bench.gateway.instances.open_sockets == 1
+    client = send_request(bench, "r2")  # waits for the same connection
+    assert b"r2" not in bench.instance.received_by_peer
+    assert bench.gateway.instances.open_sockets == 1
     bench.wait(REUSE_DELAY_MS - 1.0)
     if happening.startswith("gone"):
         client.disconnect()
@@ -225,19 +251,18 @@
         replace_server(bench)
     if happening == "end":
         bench.instance.disconnect()
-    bench.instance.receive(
-        FIRST_RESPONSE if "again" in happening else b"\x00" if happening == "noise" else b""
-    )
+    bench.instance.receive(LATE_INPUT.get(happening, b""))
     bench.wait(2.0)
     reused = happening in ("nothing", "gone")
-    assert bench.instance.connected is reused and (b"r2" in bench.instance.received_by_peer) is (
-        happening == "nothing"
-    )
+    assert bench.instance.connected is reused
+    assert (b"r2" in bench.instance.received_by_peer) is (happening == "nothing")
     if happening.startswith("gone"):
-        assert bench.gateway.instances.open_sockets == reused and not len(bench.gateway.requests.slots)
+        assert bench.gateway.instances.open_sockets == reused
+        assert not len(bench.gateway.requests.slots)
         return
     (bench.instance if reused else connect_pending(bench)).receive(response_bytes(200, {}, b"r2"))
-    assert client.received_by_peer.count(b" 200 ") == 1 and client.received_by_peer.endswith(b"r2")
+    assert client.received_by_peer.count(b" 200 ") == 1
+    assert client.received_by_peer.endswith(b"r2")
 
 
 def test_newest_reusable_connection_is_preferred() -> None:
@@ -246,25 +271,26 @@
     wires = [bench.instance, connect_pending(bench)]
     wires[1].receive(response_bytes(200, {}, b"r2"))
     bench.wait(REUSE_DELAY_MS)
-    bench.respond(b"r1")  # the newest, and it rests
+    bench.respond(b"r1")  # the newest, which may not be reused yet
     send_request(bench, "r3")
-    assert [b"r3" in w.received_by_peer for w in wires] == [False, True] and all(
-        b" 200 " in c.received_by_peer for c in clients
-    )
+    assert [b"r3" in wire.received_by_peer for wire in wires] == [False, True]
+    assert all(b" 200 " in client.received_by_peer for client in clients)
 
 
-# Further attempts of a keyed request against the window in which what it repeats is known
+# Retries of a request with an idempotency key, and the window in which the key is remembered
 
 
 @pytest.mark.parametrize("timing", ["in time", "up late", "up late, and nobody looked", "written late"])
 def test_retry_not_written_within_the_window_is_never_written(
     timing: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A retry that is written after the deduplication window may be executed a second time."""
     monkeypatch.setattr("meadowpulley.model_checking.connection_model.state.CLASSES", (*CLASSES, ORDER_CLASS))
     bench = GatewayBench(None)
     send_request(bench, "r1")
     send_request(bench, "r2")
-    spare, tick = connect_pending(bench), bench.gateway.config.settings.tick_ms
+    spare = connect_pending(bench)
+    tick = bench.gateway.config.settings.tick_ms
     spare.receive(response_bytes(200, {}, b"r2"))
     bench.respond(b"r1")
     bench.wait(REUSE_DELAY_MS)
@@ -274,14 +300,13 @@
     client = send_request(bench, "r3", b"order")
     assert bench.instance.received_by_peer.endswith(b"order")
     bench.wait(ORDER_CLASS.deduplication_window_ms - STALL_ALLOWANCE_MS - 40.0)
-    bench.instance.disconnect()  # it may have run, and is sent again: it may be written for 40 ms yet
+    bench.instance.disconnect()  # it may have been executed: its retry may be written for another 40 ms
     if timing == "up late, and nobody looked":
         skip_time(bench, 41.0 - tick)
     else:
         bench.wait(39.0 - tick if timing == "in time" else 41.0 - tick)
     if timing == "written late":
         spare.unblock_writes()
-    openings = bench.world._pending_instance_connections()
-    second = spare if timing == "written late" else connect_pending(bench) if openings else None
+    second = spare if timing == "written late" else connect_if_pending(bench)
     assert (second is not None and second.received_by_peer.endswith(b"order")) is (timing == "in time")
     assert bool(client.received_by_peer) is (timing != "in time")  # and not left waiting
