--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 from enum import Enum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, TypeAlias, TypeVar, cast
 
 from structlog.typing import FilteringBoundLogger
 
@@ -38,9 +38,11 @@
 from meadowpulley.net.counters import Counters
 from meadowpulley.net.deadlines import Deadlines, now_ms
 from meadowpulley.net.discovery_client import DiscoveryClient
+from meadowpulley.net.errors import NetError
 from meadowpulley.net.extension import Extension
 from meadowpulley.net.gossip import GossipTransport
 from meadowpulley.net.instance_pools import InstancePools
+from meadowpulley.net.reactor_interface import GatewayReactor, StreamReactor
 from meadowpulley.net.request_admission import RequestAdmission
 from meadowpulley.net.request_table import RequestTable
 from meadowpulley.net.rollout_client import RolloutClient
@@ -52,12 +54,25 @@
     from meadowpulley.net.capture import Capture
 
 RESERVED_SOCKETS = 32  # for the program itself, the platform, discovery and connections that are ending
-# Of the other sockets. Clients hold a third of all connections for requests, and the rest of this carries
-# nothing.
+# The share of the other sockets that clients may use: a third of these connections carries requests.
 CLIENT_SOCKET_FRACTION = 0.58
 DRAIN_ACCEPT_MS = 700.0  # after SIGTERM, while connections still arrive
 TIMER_RETRY_MS = 1000.0  # until a timer event on which the policy raised an exception is repeated
 
+# The table of handlers holds one type of action for each handler, which a dict's type can't say.
+ActionHandler: TypeAlias = Callable[[Any], None]
+ActionT = TypeVar("ActionT")
+
+
+class ActionHandlerExistsError(NetError):
+    """An action type was given a second handler."""
+
+    def __init__(self, action_type: type) -> None:
+        super().__init__(
+            f"{action_type.__name__} is carried out already: register one handler for each action type"
+        )
+        self.action_type = action_type
+
 
 class GatewayPhase(Enum):
     """The phases of a gateway, in order."""
@@ -78,20 +93,25 @@
     def __init__(
         self,
         config: Config,
-        reactor: Any,
+        reactor: StreamReactor,
         log: FilteringBoundLogger,
-        create_policy: Callable[[Settings, int], Any] = RolloutPolicy,
+        create_policy: Callable[[Settings, int], RolloutPolicy] = RolloutPolicy,
         load_config: Callable[[], Config] = reload_config,
         clock: Callable[[], float] = now_ms,
     ) -> None:
-        self.config, self.reactor, self.log, self._load_config = config, reactor, log, load_config
+        self.config = config
+        # Only gossip needs datagrams. Where it is off, a reactor without them will do.
+        self.reactor = cast(GatewayReactor, reactor)
+        self.log = log
+        self._load_config = load_config
         self.phase = GatewayPhase.STARTING
         self.counters = Counters()
         self.deadlines = Deadlines(reactor, self.log_fault, clock)
-        self._pending_events: deque[Any] = deque()
+        self._pending_events: deque[object] = deque()
         self._dispatching = False
         self._accepting = True
-        self.pipeline = self._policy = create_policy(config.settings, config.seed)
+        self._policy = create_policy(config.settings, config.seed)
+        self.pipeline: Any = self._policy  # Any: each stage adds event and action types of its own
         available = config.max_sockets - RESERVED_SOCKETS
         client_sockets = int(available * CLIENT_SOCKET_FRACTION)
         instance_sockets = available - client_sockets
@@ -108,7 +128,7 @@
         self.extension: Extension | None = None
         self._actions = self._action_handlers()
 
-    def _action_handlers(self) -> dict[type, Callable[[Any], None]]:
+    def _action_handlers(self) -> dict[type, ActionHandler]:
         return {
             Send: self.attempts.send,
             Cancel: self.attempts.cancel,
@@ -174,7 +194,7 @@
         if self.extension is not None:
             try:
                 self.extension.on_draining()
-            except Exception:
+            except Exception:  # a broken extension must not keep the gateway from draining
                 self.log_fault("extension")
         self.clients.drain()
         self.deadlines.after(DRAIN_ACCEPT_MS, self._stop_accepting)
@@ -200,11 +220,10 @@
         self.reactor.callLater(0, self.reactor.stop)
 
     def reload(self) -> None:
-        """Read the configuration again and take over the addresses of discovery and the platform, nothing
-        else.
+        """Read the configuration again and take over the addresses of discovery and the platform.
 
-        Known endpoints and requests in flight stay as they are. This also works before the gateway is ready:
-        discovery may have moved since the file was read.
+        Nothing else changes: known endpoints and requests in flight stay as they are. This also works before
+        the gateway is ready, since discovery may have moved after the file was read.
         """
         if self.stopping:
             return
@@ -261,14 +280,14 @@
         self.counters.add(f"fault.{where}")
         self.log.error("fault", where=where, exc_info=True)
 
-    def register_action(self, action_type: type, handler: Callable[[Any], None]) -> None:
+    def register_action(self, action_type: type[ActionT], handler: Callable[[ActionT], None]) -> None:
         """Carry out actions of a type that stages of the pipeline add.
 
         Raises:
-            ValueError: the type has a handler already.
+            ActionHandlerExistsError: the type has a handler already.
         """
         if action_type in self._actions:
-            raise ValueError(f"{action_type.__name__} is carried out already")
+            raise ActionHandlerExistsError(action_type)
         self._actions[action_type] = handler
 
     def dispatch(self, event: object) -> None:
@@ -286,21 +305,25 @@
         finally:
             self._dispatching = False
 
-    def _handle(self, event: Any) -> None:
+    def _handle(self, event: object) -> None:
         try:
             actions = self.pipeline.handle(self.deadlines.now(), event)
-        except Exception:
+        except Exception:  # a fault of a decision costs one request, and neither the others nor the process
             self.log_fault("policy")
-            if isinstance(event, Request | Outcome):
-                self.requests.decision_failed(event.request)
-            elif isinstance(event, Timer):
-                self.deadlines.after(TIMER_RETRY_MS, lambda: self.dispatch(event))
+            self._recover_from_failed_decision(event)
             return
         for action in actions:
             try:
                 self._actions[type(action)](action)
-            except Exception:
+            except Exception:  # the actions after this one belong to other requests
                 self.log_fault("action")
 
+    def _recover_from_failed_decision(self, event: object) -> None:
+        """Answer the request on which the policy raised an exception, or repeat its timer later."""
+        if isinstance(event, Request | Outcome):
+            self.requests.decision_failed(event.request)
+        elif isinstance(event, Timer):
+            self.deadlines.after(TIMER_RETRY_MS, lambda: self.dispatch(event))
+
     def _set_timer(self, action: SetTimer) -> None:
         self.deadlines.after(action.delay_ms, lambda: self.dispatch(Timer(action.token)))
--- a/meadowpulley/net/gateway_context.py
+++ b/meadowpulley/net/gateway_context.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from structlog.typing import FilteringBoundLogger
 
@@ -16,6 +16,7 @@
 from meadowpulley.net.counters import Counters
 from meadowpulley.net.deadlines import Deadlines
 from meadowpulley.net.extension import Extension
+from meadowpulley.net.reactor_interface import GatewayReactor
 
 if TYPE_CHECKING:
     from meadowpulley.net.capture import Capture
@@ -29,7 +30,7 @@
         """The current configuration. Read it anew for each use: a reload replaces it."""
 
     @property
-    def reactor(self) -> Any:
+    def reactor(self) -> GatewayReactor:
         """The Twisted reactor."""
 
     @property
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -69,7 +69,11 @@
         settings = read_settings({**SETTINGS, **overrides}, "test")
         config = Config("n0", address, address, None, 1, sockets, settings)
         self.policy = RecordingPolicy()
-        create_policy, log = (lambda *_: self.policy), CapturingLogger()
+        log = CapturingLogger()
+
+        def create_policy(*_: object) -> Any:
+            return self.policy
+
         self.gateway = Gateway(
             config, self.reactor, log, create_policy, clock=lambda: now_ms() + self.clock_offset_ms
         )
--- a/tests/test_net_extension.py
+++ b/tests/test_net_extension.py
@@ -14,6 +14,7 @@
 from meadowpulley.model_checking.model import ModelSettings, make_model
 from meadowpulley.net import protocol
 from meadowpulley.net.extension import IncomingRequest, ReleaseResponse, Response
+from meadowpulley.net.gateway import ActionHandlerExistsError
 from meadowpulley.net.http1 import Message, response_bytes
 
 
@@ -278,7 +279,7 @@
     bench.gateway.register_action(CustomEvent, carried_out.append)
     bench.gateway.dispatch(CustomEvent("a"))
     assert carried_out == [CustomEvent("a")]
-    with pytest.raises(ValueError, match="CustomEvent is carried out already"):
+    with pytest.raises(ActionHandlerExistsError, match="CustomEvent is carried out already"):
         bench.gateway.register_action(CustomEvent, carried_out.append)
 
 
