--- a/meadowpulley/net/request_admission.py
+++ b/meadowpulley/net/request_admission.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from meadowpulley.interface import Effect, PriorAttempt, Request
 from meadowpulley.net import protocol
+from meadowpulley.net.errors import NetError
 from meadowpulley.net.extension import Extension, IncomingRequest, Response
 from meadowpulley.net.gateway_context import GatewayContext
 from meadowpulley.net.http1 import BadMessageError, Message
@@ -14,6 +15,7 @@
 from meadowpulley.net.request_table import AcceptedRequest, RequestTable, ResponseSink
 
 DEADLINE_TOLERANCE_MS = 1_000.0  # by which a request may exceed its class's deadline: clients round
+MAX_QUOTED_TARGET_CHARS = 40  # of a target in the text of an error
 # The first request continues; an attempt for the second would be a duplicate execution.
 _DUPLICATE_ID = f"'{protocol.REQUEST_ID_HEADER}' is that of an open request"
 _ALLOWED_METHODS = {
@@ -23,10 +25,34 @@
 }
 
 
+class AdoptionError(NetError):
+    """A message that was to be adopted is no request of this gateway's clients."""
+
+    def __init__(self, target: str) -> None:
+        super().__init__(f"no request of ours: {target[:MAX_QUOTED_TARGET_CHARS]!r}")
+        self.target = target
+
+
+@dataclass(frozen=True, slots=True)
+class AdoptedRequest:
+    """A request that a lost gateway had accepted.
+
+    The deadline is in milliseconds on this gateway's clock; `attempt_count`, `prior_attempts` and `arm` are
+    as in `interface.Request`.
+    """
+
+    message: Message
+    deadline_ms: float
+    attempt_count: int = 0
+    prior_attempts: tuple[PriorAttempt, ...] = ()
+    arm: int = 0
+
+
 class DetachedResponseSink:
     """The response sink of a request without a client connection: the response goes to a callback."""
 
-    is_open, closing = True, False
+    is_open = True
+    closing = False
 
     def __init__(self, on_response: Callable[[Response], None]) -> None:
         self.request: AcceptedRequest | None = None
@@ -38,14 +64,23 @@
         self._on_response(Response(status, headers, body))
 
 
+def _is_id_hop_by_hop(message: Message) -> bool:
+    """Return whether the request id is an option of the client's connection, which is not forwarded."""
+    options = message.headers.get("connection", "").split(",")
+    return protocol.REQUEST_ID_HEADER in {option.strip().lower() for option in options}
+
+
 class RequestAdmission:
     """Decide for each message whether it becomes an accepted request, and register accepted ones."""
 
     def __init__(self, gateway: GatewayContext, requests: RequestTable) -> None:
-        self.gateway, self.requests = gateway, requests
+        self.gateway = gateway
+        self.requests = requests
         settings = gateway.config.settings
-        self.class_indexes = {c.name: index for index, c in enumerate(settings.classes)}
-        self.tenant_indexes = {t.name: index for index, t in enumerate(settings.tenants)}
+        self.class_indexes = {
+            request_class.name: index for index, request_class in enumerate(settings.classes)
+        }
+        self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         # Requests that name no known tenant: index 0 is a tenant's, who would be charged for them.
         self.unknown_tenant = len(settings.tenants)
 
@@ -71,48 +106,41 @@
             return
         if message.method == "GET" and message.body:
             raise BadMessageError(400, "a GET with a body")
-        allowed = _ALLOWED_METHODS[self.gateway.config.settings.classes[class_index].effect]
-        if message.method not in allowed:
+        allowed_methods = _ALLOWED_METHODS[self.gateway.config.settings.classes[class_index].effect]
+        if message.method not in allowed_methods:
             self.gateway.counters.add("in.wrong_method")
-            sink.respond(405, {"allow": ", ".join(allowed)}, b"wrong method\n")
+            sink.respond(405, {"allow": ", ".join(allowed_methods)}, b"wrong method\n")
             return
         self._admit(sink, self._create_request(sink, message, class_index))
 
-    def adopt(
-        self,
-        message: Message,
-        deadline_ms: float,
-        on_response: Callable[[Response], None],
-        attempt_count: int = 0,
-        prior_attempts: tuple[PriorAttempt, ...] = (),
-        arm: int = 0,
-    ) -> int:
+    def adopt(self, adopted: AdoptedRequest, on_response: Callable[[Response], None]) -> int:
         """Take over a request that a lost gateway had accepted, and return its handle.
 
-        The deadline is on this gateway's clock; `attempt_count`, `prior_attempts` and `arm` are as in
-        `interface.Request`. The extension sees only its response, which then goes to `on_response`: before
-        this method returns where the policy rejects the request at once.
+        The extension sees only its response, which then goes to `on_response`: before this method returns
+        where the policy rejects the request at once.
 
         Raises:
-            ValueError: the message has no request id, or no class has its path.
+            AdoptionError: the message has no request id, or no class has its path.
             SlotsFullError: the request table is full.
         """
+        message = adopted.message
         class_index = self._class_index(message.target.partition("?")[0])
         request_id = message.headers.get(protocol.REQUEST_ID_HEADER, "")
         if class_index is None or not is_request_id(request_id):
-            raise ValueError(f"no request of ours: {message.target[:40]!r}")
+            raise AdoptionError(message.target)
         sink = DetachedResponseSink(on_response)
-        request = AcceptedRequest(message, class_index, sink, self.gateway.deadlines.now(), deadline_ms)
-        request.attempt_count = attempt_count  # further attempts continue the numbering
+        arrived_at = self.gateway.deadlines.now()
+        request = AcceptedRequest(message, class_index, sink, arrived_at, adopted.deadline_ms)
+        request.attempt_count = adopted.attempt_count  # further attempts continue the numbering
         self.requests.add(request)
         sink.request = request
         self.gateway.counters.add("in.adopted")
         event = replace(
             self._request_event(request),
             adopted=True,
-            prior_attempt_count=attempt_count,
-            prior_attempts=prior_attempts,
-            arm=arm,
+            prior_attempt_count=adopted.attempt_count,
+            prior_attempts=adopted.prior_attempts,
+            arm=adopted.arm,
         )
         self.gateway.dispatch(event)
         return request.handle
@@ -129,10 +157,7 @@
     def _create_request(self, sink: ResponseSink, message: Message, class_index: int) -> AcceptedRequest:
         """Register a request with its deadline. Raises BadMessageError for a bad id or time."""
         request_id = message.headers.get(protocol.REQUEST_ID_HEADER, "")
-        connection_options = message.headers.get("connection", "").split(",")
-        # An id that is an option of this connection alone would not be forwarded.
-        hop_by_hop = protocol.REQUEST_ID_HEADER in {option.strip().lower() for option in connection_options}
-        if not is_request_id(request_id) or hop_by_hop:
+        if not is_request_id(request_id) or _is_id_hop_by_hop(message):
             raise BadMessageError(400, f"no '{protocol.REQUEST_ID_HEADER}', or not just one")
         is_open = request_id in self.requests.open_ids or request_id in self.requests.outstanding_ids
         if is_open and self.gateway.extension is None:
--- a/meadowpulley/net/request_parsing.py
+++ b/meadowpulley/net/request_parsing.py
@@ -9,9 +9,11 @@
 from meadowpulley.net import protocol
 from meadowpulley.net.http1 import BadMessageError, Message
 
-_REMAINING = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
+_REMAINING_TIME = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
+_MS_PER_UNIT = {"m": 1.0, "u": 0.001}
 _REQUEST_ID = re.compile(r"[!-+\--~]{1,128}")  # neither blanks nor commas: those would be two ids in one
 _HEX_KEY = re.compile(r"[0-9a-fA-F]{1,16}")
+_KEY_BYTES = 8  # of the hash of a key that is not in hexadecimal digits
 
 
 def is_request_id(text: str) -> bool:
@@ -25,10 +27,11 @@
     Raises:
         BadMessageError: the text is not a number with the unit 'm' (milliseconds) or 'u' (microseconds).
     """
-    matched = _REMAINING.fullmatch(text)
+    matched = _REMAINING_TIME.fullmatch(text)
     if matched is None:
         raise BadMessageError(400, f"'{protocol.REMAINING_TIME_HEADER}' is no time")
-    return float(matched[1]) * (1.0 if matched[2] == "m" else 0.001)
+    number, unit = matched.groups()
+    return float(number) * _MS_PER_UNIT[unit]
 
 
 def parse_key(text: str) -> int:
@@ -40,7 +43,8 @@
         return 0
     if _HEX_KEY.fullmatch(text):
         return int(text, 16)
-    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
+    digest = hashlib.blake2b(text.encode(), digest_size=_KEY_BYTES).digest()
+    return int.from_bytes(digest, "big")
 
 
 def parse_work_estimate(message: Message) -> float | None:
@@ -49,4 +53,5 @@
         estimate_ms = float(message.headers[protocol.WORK_ESTIMATE_HEADER])
     except (KeyError, ValueError):
         return None
-    return estimate_ms if math.isfinite(estimate_ms) and estimate_ms >= 0 else None
+    is_usable = math.isfinite(estimate_ms) and estimate_ms >= 0
+    return estimate_ms if is_usable else None
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass, field
 from functools import partial
 from typing import Protocol
 
@@ -14,6 +15,8 @@
 from meadowpulley.net.http1 import Message
 from meadowpulley.net.slots import SlotTable
 
+NO_HANDLE = -1  # of a request that is not in the table
+
 
 class ResponseSink(Protocol):
     """Who sent a request and receives its response: a client's connection, or a stand-in for one."""
@@ -39,26 +42,29 @@
         """End the attempt because its outcome is no longer needed."""
 
 
+@dataclass(slots=True, eq=False)
 class AcceptedRequest:
     """A request that the gateway accepted. Times are milliseconds on the gateway's clock."""
 
-    def __init__(
-        self, message: Message, class_index: int, sink: ResponseSink, arrived_at: float, deadline: float
-    ) -> None:
-        self.message, self.class_index = message, class_index
-        self.arrived_at, self.deadline = arrived_at, deadline
-        self.sink: ResponseSink | None = sink
-        self.handle = -1
-        self.attempt_count = 0
-        self.first_execution_at = math.inf  # when the first ended attempt was sent that may have run
-        self.outstanding: dict[int, OutstandingAttempt] = {}  # by attempt number
-        self.finished = False  # answered, or its client is gone
-        self.timeout: Deadline | None = None
+    message: Message
+    class_index: int
+    sink: ResponseSink | None  # None once the request is finished
+    arrived_at: float
+    deadline: float
+    handle: int = NO_HANDLE
+    attempt_count: int = 0
+    first_execution_at: float = math.inf  # when the first ended attempt was sent that may have run
+    outstanding: dict[int, OutstandingAttempt] = field(default_factory=dict)  # by attempt number
+    finished: bool = False  # answered, or its client is gone
+    timeout: Deadline | None = None
 
     def may_have_executed(self, attempt_number: int) -> bool:
-        """Tell whether another attempt than this one was executed, may have been, or may yet be."""
-        others = (a for number, a in self.outstanding.items() if number != attempt_number)
-        return self.first_execution_at < math.inf or any(attempt.written for attempt in others)
+        """Return whether another attempt than this one was executed, may have been, or may yet be."""
+        if self.first_execution_at < math.inf:
+            return True
+        return any(
+            attempt.written for number, attempt in self.outstanding.items() if number != attempt_number
+        )
 
     @property
     def request_id(self) -> str:
@@ -72,7 +78,10 @@
     def __init__(
         self, requests: RequestTable, request: AcceptedRequest, sink: ResponseSink | None, response: Response
     ) -> None:
-        self.requests, self.request, self.sink, self.response = requests, request, sink, response
+        self.requests = requests
+        self.request = request
+        self.sink = sink
+        self.response = response
         gateway = requests.gateway
         release_by = request.deadline + gateway.config.settings.rules.response_slack_ms
         self.timeout = gateway.deadlines.at(release_by, self._release_overdue)
@@ -92,9 +101,9 @@
 
     Attributes:
         slots: all requests whose slot is in use, answered ones with an outstanding attempt among them.
-        open_ids: how many requests of each id await a response; more than one only where an extension allows
-        it. outstanding_ids: ids of finished requests with an outstanding attempt, which a request of the same
-        id
+        open_ids: how many requests of each id await a response; more than one only where an extension
+            allows it.
+        outstanding_ids: ids of finished requests with an outstanding attempt, which a request of the same id
             would duplicate.
     """
 
@@ -211,19 +220,20 @@
     def _pass_to_extension(self, extension: Extension, deferred: DeferredResponse) -> None:
         try:
             extension.on_response(deferred.request.handle, deferred.response, deferred.release)
-        except Exception:
+        except Exception:  # a broken extension must not cost the client its response
             self.gateway.log_fault("extension")
             deferred.release(deferred.response)
 
     def _continues_without_client(self, extension: Extension, request: AcceptedRequest) -> bool:
         try:
             return extension.on_client_disconnected(request.handle)
-        except Exception:
+        except Exception:  # else the request would keep its slot, though nobody awaits its response
             self.gateway.log_fault("extension")
             return False
 
     def _finish(self, request: AcceptedRequest) -> None:
-        request.finished, request.sink = True, None
+        request.finished = True
+        request.sink = None
         remaining = self.open_ids.pop(request.request_id) - 1
         if remaining:
             self.open_ids[request.request_id] = remaining
--- a/tests/test_net_extension.py
+++ b/tests/test_net_extension.py
@@ -16,6 +16,7 @@
 from meadowpulley.net.extension import IncomingRequest, ReleaseResponse, Response
 from meadowpulley.net.gateway import ActionHandlerExistsError
 from meadowpulley.net.http1 import Message, response_bytes
+from meadowpulley.net.request_admission import AdoptedRequest, AdoptionError
 
 
 class RecordingExtension:
@@ -102,7 +103,8 @@
 
     def adopt(self, request_id: str, on_response: Callable[[Response], None], **options: Any) -> int:
         message = Message("GET", "/look", headers={protocol.REQUEST_ID_HEADER: request_id})
-        return int(self.gateway.admission.adopt(message, self.reactor.now + 2000.0, on_response, **options))
+        adopted = AdoptedRequest(message, self.reactor.now + 2000.0, **options)
+        return int(self.gateway.admission.adopt(adopted, on_response))
 
     def respond(self, body: bytes = b"r1") -> None:
         self.instance.receive(response_bytes(200, {"content-type": "text/plain"}, body))
@@ -217,13 +219,24 @@
     bench.respond(b"lost")
     assert responses == [Response(200, {"content-type": "text/plain"}, b"lost")] and bench.phase == "stopped"
     assert [e.attempt for e in bench.recorder.events if isinstance(e, Outcome)] == [1]
-    for headers, target in (
+
+
+@pytest.mark.parametrize(
+    ("headers", "target"),
+    [
         ({}, "/look"),
         ({protocol.REQUEST_ID_HEADER: "x"}, "/none"),
         ({protocol.REQUEST_ID_HEADER: "x"}, ""),
-    ):
-        with pytest.raises(ValueError, match="no request of ours"):
-            bench.gateway.admission.adopt(Message("GET", target, headers=headers), 0.0, responses.append)
+    ],
+    ids=["no id", "unknown path", "no path"],
+)
+def test_message_that_is_no_request_is_not_adopted(headers: dict[str, str], target: str) -> None:
+    bench, responses = GatewayBench(RecordingExtension()), list[Response]()
+    adopted = AdoptedRequest(Message("GET", target, headers=headers), deadline_ms=0.0)
+    with pytest.raises(AdoptionError, match="no request of ours"):
+        bench.gateway.admission.adopt(adopted, responses.append)
+    assert not responses
+    assert not bench.gateway.requests.open_ids
 
 
 @pytest.mark.parametrize("continues", [True, False])
