--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -15,7 +15,7 @@
     response_bytes,
 )
 from meadowpulley.net.request_admission import RequestAdmission
-from meadowpulley.net.request_table import AcceptedRequest, RequestTable
+from meadowpulley.net.request_table import NO_HANDLE, AcceptedRequest, RequestTable
 
 FIRST_REQUEST_TIMEOUT_MS = 2_000.0  # from the connection until a client's first request is complete
 PARTIAL_REQUEST_TIMEOUT_MS = 2_000.0  # a later request, from its first byte to its last
@@ -47,7 +47,18 @@
 
 
 class ClientConnectionState(Enum):
-    """What a connection is waiting for."""
+    """What a connection is waiting for.
+
+    | from | on | to |
+    | --- | --- | --- |
+    | WAITING | a complete request | PROCESSING |
+    | WAITING | input that is no request | RESPONDING |
+    | WAITING | idle too long, evicted or draining | LINGERING |
+    | PROCESSING | the response | RESPONDING |
+    | RESPONDING | the kernel has the whole response | WAITING, or LINGERING after the last one |
+
+    The connection may break in any state.
+    """
 
     WAITING = "waiting"  # for a request, or the rest of one
     PROCESSING = "processing"  # for the response to an accepted request
@@ -63,7 +74,7 @@
         self.owner = owner
         self.parser = Parser(self.input_buffer, expect_requests=True)
         self.state = ClientConnectionState.WAITING
-        self.handle = -1
+        self.handle = NO_HANDLE
         self.request: AcceptedRequest | None = None
         self.closing = False  # the next response is the last one
         self.unused = True  # nothing was received yet
@@ -84,17 +95,21 @@
         self.unused = False
         if self.state is ClientConnectionState.WAITING:
             self._process_input()
-        if self.is_open and self.input_buffer.free_bytes < MAX_READ_BYTES:
+        if self.is_open and self._is_input_nearly_full:
             # No client that waits for responses writes so far ahead. Reading continues, since nothing else
             # reports that a client is gone: the next response ends the connection, and further input is
             # discarded.
             self.closing = True
             if self.state is ClientConnectionState.WAITING:
                 self._process_input(max_requests=1)
-        lingering = self.state is ClientConnectionState.LINGERING
-        if lingering or self.input_buffer.free_bytes < MAX_READ_BYTES:
+        if self.state is ClientConnectionState.LINGERING or self._is_input_nearly_full:
             self._discard_input()
 
+    @property
+    def _is_input_nearly_full(self) -> bool:
+        """Whether the next read might not fit into the input buffer."""
+        return self.input_buffer.free_bytes < MAX_READ_BYTES
+
     def _discard_input(self) -> None:
         self._discarded_bytes += len(self.input_buffer)
         self.input_buffer.clear()
@@ -120,7 +135,7 @@
             self._admit_requests(max_requests)
         except BadMessageError as error:
             self.reject_input(error)
-        except Exception:
+        except Exception:  # a fault costs one client its connection, and neither the others nor the process
             self._handle_admission_fault()
         finally:
             self._processing_input = False
@@ -139,7 +154,8 @@
             message = self.parser.next_message()
             if message is None:
                 break
-            self._partial_timeout_set = self._deadline_extended = False
+            self._partial_timeout_set = False
+            self._deadline_extended = False
             self.state = ClientConnectionState.PROCESSING
             self.timeout.clear()
             self.owner.admission.accept(self, message)
@@ -169,7 +185,9 @@
 
     def respond(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Send the response to the current request."""
-        request, self.state, self.request = self.request, ClientConnectionState.RESPONDING, None
+        request = self.request
+        self.request = None
+        self.state = ClientConnectionState.RESPONDING
         # Clients may open a limited number of connections: with half of the slots used a response ends its
         # connection, or clients that send one request and stay connected leave no slot for the next one.
         self.closing = self.closing or self.owner.draining or self.owner.half_full
@@ -191,7 +209,7 @@
         self.state = ClientConnectionState.WAITING
         self.timeout.set(IDLE_TIMEOUT_MS, self._idle_timed_out)
         self._process_input()
-        if self.owner.draining:  # it began between the writing of the response and its last byte
+        if self.owner.draining:  # draining began between the first byte of the response and the last
             self.close_if_idle()
 
     def linger(self) -> None:
--- a/meadowpulley/net/client_listener.py
+++ b/meadowpulley/net/client_listener.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable, Iterator
 from functools import partial
-from typing import Any
 
 from meadowpulley.net.client_connection import (
     FIRST_REQUEST_TIMEOUT_MS,
@@ -15,19 +14,20 @@
 )
 from meadowpulley.net.connection import CLOSED_CLEANLY, ConnectionFactory
 from meadowpulley.net.gateway_context import GatewayContext
+from meadowpulley.net.reactor_interface import ListeningPort
 from meadowpulley.net.request_admission import RequestAdmission
-from meadowpulley.net.request_table import RequestTable
+from meadowpulley.net.request_table import NO_HANDLE, RequestTable
 from meadowpulley.net.slots import SlotTable
 
-EVICTABLE_IDLE_MS = 1_000.0  # a connection idle for so long may be evicted while others wait to be accepted
-EVICTABLE_UNUSED_MS = (
-    20.0  # likewise one that never carried input: clients send as soon as they are connected
-)
-LISTEN_BACKLOG = (
-    256  # connections in it count as accepted: a failed connect is better than an unheard request
-)
+# A connection idle for so long may be evicted while others wait to be accepted.
+EVICTABLE_IDLE_MS = 1_000.0
+# Likewise one that never carried input: clients send as soon as they are connected.
+EVICTABLE_UNUSED_MS = 20.0
+# Connections in the backlog count as accepted: a client notices a failed connect, not a request in a queue.
+LISTEN_BACKLOG = 256
 ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the reactor
 SPARE_SLOTS = 24  # kept free by eviction: a turn accepts half as many before the shortage is seen
+SPARE_SLOTS_DIVISOR = 3  # in a small table no more than a third of the slots is kept free
 
 
 class ClientListener:
@@ -39,29 +39,34 @@
     def __init__(
         self, gateway: GatewayContext, admission: RequestAdmission, requests: RequestTable, size: int
     ) -> None:
-        self.gateway, self.admission, self.requests = gateway, admission, requests
+        self.gateway = gateway
+        self.admission = admission
+        self.requests = requests
         self.connections: SlotTable[ClientConnection] = SlotTable(size)
-        self.spare_slots = min(SPARE_SLOTS, size // 3)
+        self.spare_slots = min(SPARE_SLOTS, size // SPARE_SLOTS_DIVISOR)
         self.accepts_per_turn = min(ACCEPTS_PER_TURN, max(self.spare_slots // 2, 1))
         self.draining = False
-        self.port: Any = None
+        self.port: ListeningPort | None = None
         self._accepting_paused = False
         self._stopping = False
-        self._accept_pending: Callable[[], Any] = lambda: None  # the port's own `doRead`
+        self._accept_pending: Callable[[], None] = lambda: None  # the port's own `doRead`
 
     def listen(self) -> None:
         """Open the listening socket."""
         host, port = self.gateway.config.listen
         factory = ConnectionFactory(lambda: ClientConnection(self))
-        self.port = self.gateway.reactor.listenTCP(port, factory, backlog=LISTEN_BACKLOG, interface=host)
-        self._accept_pending, self.port.doRead = self.port.doRead, self._accept
+        listening_port = self.gateway.reactor.listenTCP(port, factory, backlog=LISTEN_BACKLOG, interface=host)
+        self.port = listening_port
+        self._accept_pending = listening_port.doRead
+        accept = partial(self._accept, listening_port)
+        listening_port.doRead = accept  # type: ignore[method-assign]  # Twisted's port has no hook for this
 
-    def _accept(self) -> None:
+    def _accept(self, port: ListeningPort) -> None:
         """Accept a limited number of connections, so that the table has slots for them.
 
         By itself the port accepts twenty more in a turn after one in which it accepted all that it might.
         """
-        self.port.numberAccepts = self.accepts_per_turn
+        port.numberAccepts = self.accepts_per_turn
         self._accept_pending()
 
     def connection_opened(self, connection: ClientConnection) -> None:
@@ -91,7 +96,8 @@
         self._accepting_paused = True
         self.gateway.counters.add("in.pauses")
         self.gateway.log.warning("accepting_paused", connections=len(self.connections))
-        self.port.stopReading()
+        if self.port is not None:
+            self.port.stopReading()
         self.gateway.deadlines.after(RECHECK_INTERVAL_MS, self._keep_evicting)
 
     def _resume_accepting(self) -> None:
@@ -104,38 +110,52 @@
 
     def connection_closed(self, connection: ClientConnection) -> None:
         """Free the slot of a connection, and disconnect the client from its request."""
-        if connection.handle >= 0:
+        if connection.handle != NO_HANDLE:
             self.connections.free(connection.handle)
-            connection.handle = -1
+            connection.handle = NO_HANDLE
         self._resume_accepting()
-        request, connection.request = connection.request, None
+        request = connection.request
+        connection.request = None
         if request is not None:
             self.requests.client_disconnected(request)
         self.gateway.stop_if_drained()
 
     def _evict_idle(self) -> None:
-        """Make room for connections that wait to be accepted, which may have sent a request by now.
-
-        First go lingering connections, then unused ones, then those that have long been idle, the longest
-        first. Recently used ones stay: a request may be on its way.
+        """Make room for connections that wait to be accepted, which may have sent a request by now."""
+        max_used_slots = self.connections.size - self.spare_slots - self.accepts_per_turn
+        for connection in self._eviction_candidates():
+            if len(self.connections) <= max_used_slots:
+                return
+            lingering = connection.state is ClientConnectionState.LINGERING
+            if lingering or not connection.has_unread_input():
+                self.gateway.counters.add("in.evicted")
+                connection.release_slot()
+
+    def _eviction_candidates(self) -> Iterator[ClientConnection]:
+        """Yield the connections that may be evicted, in the order in which they are.
+
+        First lingering connections, then unused ones, then those that have long been idle, the longest first.
+        Recently used ones stay: a request may be on its way.
         """
         now = self.gateway.deadlines.now()
-        idle = [c for c in self.connections if c.is_idle]
+        idle = [connection for connection in self.connections if connection.is_idle]
         unused_before = now + FIRST_REQUEST_TIMEOUT_MS - EVICTABLE_UNUSED_MS
         idle_before = now + IDLE_TIMEOUT_MS - EVICTABLE_IDLE_MS
-        candidates = (
-            [c for c in self.connections if c.state is ClientConnectionState.LINGERING],
-            [c for c in idle if c.unused and c.timeout.at < unused_before],
-            [c for c in idle if not c.unused and c.timeout.at < idle_before],
-        )
-        for group in candidates:
-            for connection in sorted(group, key=lambda c: c.timeout.at)[: 2 * self.accepts_per_turn]:
-                if len(self.connections) <= self.connections.size - self.spare_slots - self.accepts_per_turn:
-                    return
-                lingering = connection.state is ClientConnectionState.LINGERING
-                if lingering or not connection.has_unread_input():
-                    self.gateway.counters.add("in.evicted")
-                    connection.release_slot()
+        lingering = [
+            connection
+            for connection in self.connections
+            if connection.state is ClientConnectionState.LINGERING
+        ]
+        unused = [c for c in idle if c.unused and c.timeout.at < unused_before]
+        long_idle = [c for c in idle if not c.unused and c.timeout.at < idle_before]
+        yield from self._longest_waiting(lingering)
+        yield from self._longest_waiting(unused)
+        yield from self._longest_waiting(long_idle)
+
+    def _longest_waiting(self, connections: Iterable[ClientConnection]) -> list[ClientConnection]:
+        """Return those whose time-out is next, at most two turns' worth of accepted connections."""
+        by_timeout = sorted(connections, key=lambda connection: connection.timeout.at)
+        return by_timeout[: 2 * self.accepts_per_turn]
 
     def _keep_evicting(self) -> None:
         if self._accepting_paused:
@@ -163,11 +183,13 @@
         """
         self._stopping = True
         while self.port is not None and not self._accepting_paused:
-            self._accept()
+            self._accept(self.port)
             if self.port.numberAccepts <= self.accepts_per_turn:  # else more may wait in the backlog
-                port, self.port = self.port, None
-                port.connectionLost(CLOSED_CLEANLY)  # in this turn; `stopListening` closes in the next one
-                self._close_idle(include_unused=False)
-                self.gateway.deadlines.after(
-                    EVICTABLE_UNUSED_MS, partial(self._close_idle, include_unused=True)
-                )
+                self._close_port(self.port)
+
+    def _close_port(self, port: ListeningPort) -> None:
+        """Close the listening socket in this turn; `stopListening` would close it in the next one."""
+        self.port = None
+        port.connectionLost(CLOSED_CLEANLY)
+        self._close_idle(include_unused=False)
+        self.gateway.deadlines.after(EVICTABLE_UNUSED_MS, partial(self._close_idle, include_unused=True))
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -54,7 +54,8 @@
     from meadowpulley.net.capture import Capture
 
 RESERVED_SOCKETS = 32  # for the program itself, the platform, discovery and connections that are ending
-# The share of the other sockets that clients may use: a third of these connections carries requests.
+# The share of the other sockets that clients may use. Client connections with a request take a third of all
+# sockets, and the rest of this share is for idle ones.
 CLIENT_SOCKET_FRACTION = 0.58
 DRAIN_ACCEPT_MS = 700.0  # after SIGTERM, while connections still arrive
 TIMER_RETRY_MS = 1000.0  # until a timer event on which the policy raised an exception is repeated
