--- a/meadowpulley/net/connection.py
+++ b/meadowpulley/net/connection.py
@@ -4,19 +4,26 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Generic, TypeVar
 
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionDone
+from twisted.internet.interfaces import IAddress, IConnector
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 from twisted.python.failure import Failure
 
 from meadowpulley.net.config import Address
 from meadowpulley.net.deadlines import ConnectionTimeout, Deadlines
+from meadowpulley.net.reactor_interface import ClientReactor, Connector
 from meadowpulley.net.ring import RingBuffer, RingBufferFullError
 
 WRITE_CHUNK_BYTES = 64 * 1024  # handed to the transport at a time
-CLOSED_CLEANLY = Failure(ConnectionDone())  # type: ignore[no-untyped-call]
+CLOSED_CLEANLY = Failure(ConnectionDone())  # type: ignore[no-untyped-call]  # Twisted's has no types
+
+# Methods that Twisted calls have its names.
+# ruff: noqa: N802
+
+ConnectionT = TypeVar("ConnectionT", bound="Connection")
 
 
 class ConnectionFactory(Factory):
@@ -27,12 +34,12 @@
     def __init__(self, create: Callable[[], Connection]) -> None:
         self.create = create
 
-    def buildProtocol(self, addr: Any) -> Connection:  # noqa: N802 (Twisted's name)
+    def buildProtocol(self, addr: IAddress | None) -> Connection:
         """Return the protocol of an accepted connection."""
         return self.create()
 
 
-class PendingConnection(ClientFactory):
+class PendingConnection(ClientFactory, Generic[ConnectionT]):
     """One outgoing connection that is being established.
 
     `established` yields the connection or fails; cancelling it abandons the connection attempt.
@@ -40,24 +47,30 @@
 
     noisy = False
 
-    def __init__(self, create: Callable[[], Connection]) -> None:
+    def __init__(self, create: Callable[[], ConnectionT]) -> None:
         self.create = create
-        self.connector: Any = None
-        self.established: Deferred[Any] = Deferred(lambda _: self.connector.disconnect())
+        self.connector: Connector | None = None
+        self.established: Deferred[ConnectionT] = Deferred(self._abandon)
+
+    def _abandon(self, _: Deferred[ConnectionT]) -> None:
+        if self.connector is not None:
+            self.connector.disconnect()
 
-    def buildProtocol(self, addr: Any) -> Connection:  # noqa: N802
+    def buildProtocol(self, addr: IAddress | None) -> ConnectionT:
         """Return the protocol of the connection, which reports to `established` once it is set up."""
         connection = self.create()
         connection.pending = self
         return connection
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
         """Pass the failure on to `established`."""
         if not self.established.called:
             self.established.errback(reason)
 
 
-def connect(reactor: Any, address: Address, create: Callable[[], Connection]) -> Deferred[Any]:
+def connect(
+    reactor: ClientReactor, address: Address, create: Callable[[], ConnectionT]
+) -> Deferred[ConnectionT]:
     """Open a connection whose protocol `create` returns. It has no time limit: the caller sets one."""
     pending = PendingConnection(create)
     pending.connector = reactor.connectTCP(*address, pending, timeout=None)
@@ -73,25 +86,27 @@
 
     def __init__(self, deadlines: Deadlines, max_input_bytes: int, max_output_bytes: int) -> None:
         self.deadlines = deadlines
-        self.input_buffer, self.output_buffer = RingBuffer(max_input_bytes), RingBuffer(max_output_bytes)
+        self.input_buffer = RingBuffer(max_input_bytes)
+        self.output_buffer = RingBuffer(max_output_bytes)
         self.timeout = ConnectionTimeout(deadlines)
-        self.pending: PendingConnection | None = None
-        self.transport: Any = None
+        self.pending: PendingConnection[Any] | None = None  # Any: it yields this object, a subclass's
+        self.transport: Any = None  # Any: Twisted's interface lacks half of what TCP transports have
         self.is_open = False
         self.was_reset = False  # the connection broke rather than being closed by the peer
         self._producing = False
         self._handling_input = False
 
-    def connectionMade(self) -> None:  # noqa: N802
+    def connectionMade(self) -> None:
         """Set the connection up and report it to whoever opened it."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.opened()
-        pending, self.pending = self.pending, None
+        pending = self.pending
+        self.pending = None
         if pending is not None and not pending.established.called:
             pending.established.callback(self)
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802
+    def dataReceived(self, data: bytes) -> None:
         """Buffer input and hand it to `received`, after all deadlines that are due."""
         # A due deadline may ask whether this connection has unread input. The kernel no longer holds the data
         # that is being handled here: without this flag a connection was closed with a request that had been
@@ -108,7 +123,7 @@
             return
         self.received()
 
-    def connectionLost(self, reason: Failure | None = None) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure | None = None) -> None:
         """Call `closed` and release the buffers."""
         self.is_open = False
         if reason is not None and not isinstance(reason.value, ConnectionDone):
@@ -135,7 +150,7 @@
             self._producing = True
             self.transport.registerProducer(self, False)
 
-    def resumeProducing(self) -> None:  # noqa: N802
+    def resumeProducing(self) -> None:
         """Write the next chunk of the output buffer."""
         data = self.output_buffer.take(WRITE_CHUNK_BYTES)
         if data:
@@ -145,7 +160,7 @@
             self.transport.unregisterProducer()
             self.flushed()
 
-    def stopProducing(self) -> None:  # noqa: N802
+    def stopProducing(self) -> None:
         """Stop writing: the connection is lost."""
         self._producing = False
 
@@ -157,7 +172,7 @@
             self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
-        except (OSError, AttributeError):
+        except (OSError, AttributeError):  # AttributeError: the transport has lost its socket
             self.was_reset = True  # the kernel reports it once: the next read would see an orderly end
             return True
         return True
--- a/meadowpulley/net/deadlines.py
+++ b/meadowpulley/net/deadlines.py
@@ -9,7 +9,8 @@
 import math
 import time
 from collections.abc import Callable
-from typing import Any
+
+from meadowpulley.net.reactor_interface import DelayedCall, TimerReactor
 
 MIN_CANCELLED_TO_COMPACT = 64  # fewer cancelled deadlines are not worth a pass over the heap
 
@@ -36,17 +37,19 @@
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: TimerReactor,
         report_failure: Callable[[str], None],
         clock: Callable[[], float] = now_ms,
     ) -> None:
         self.now = clock
-        self._reactor, self._report_failure = reactor, report_failure
+        self._reactor = reactor
+        self._report_failure = report_failure
         self._heap: list[tuple[float, int, Deadline]] = []  # tuples, since the heap compares them in C
-        self._cancelled = self._last_sequence = 0
+        self._cancelled = 0  # entries of the heap whose deadline is cancelled
+        self._last_sequence = 0  # keeps deadlines of the same time in the order in which they were set
         self._running = False
         self.polled_at = math.inf  # when the reactor last learned which input has come
-        self._reactor_call: Any = None
+        self._reactor_call: DelayedCall | None = None
         self._reactor_call_at = 0.0
 
     def __len__(self) -> int:
@@ -96,7 +99,8 @@
         """
         if self._running or not self._heap:
             return
-        now, last_sequence = self.now(), self._last_sequence
+        now = self.now()
+        last_sequence = self._last_sequence
         if self._heap[0][0] > now:
             return
         self._running = True
@@ -110,28 +114,39 @@
                 elif entry[1] > last_sequence:
                     postponed.append(entry)
                 else:
-                    callback, deadline.callback = deadline.callback, None
-                    try:
-                        callback()
-                    except Exception:  # one broken callback must not stop the others, nor the process
-                        self._report_failure("deadline")
+                    self._run(deadline)
         finally:
             for entry in postponed:
                 heapq.heappush(self._heap, entry)
             self._running = False
             self._arm()
 
+    def _run(self, deadline: Deadline) -> None:
+        """Run the callback of a deadline, if it has one left."""
+        callback = deadline.callback
+        deadline.callback = None
+        if callback is None:
+            return
+        try:
+            callback()
+        except Exception:  # one broken callback must not stop the others, nor the process
+            self._report_failure("deadline")
+
     def _arm(self) -> None:
+        """Have the reactor call when the first deadline is due."""
         if not self._heap:
             return
         when = self._heap[0][0]
         if self._reactor_call is None:
-            self._reactor_call = self._reactor.callLater(max(when - self.now(), 0.0) / 1000.0, self._fire)
+            self._reactor_call = self._reactor.callLater(self._seconds_until(when), self._fire)
             self._reactor_call_at = when
         elif when < self._reactor_call_at:
-            self._reactor_call.reset(max(when - self.now(), 0.0) / 1000.0)
+            self._reactor_call.reset(self._seconds_until(when))
             self._reactor_call_at = when
 
+    def _seconds_until(self, when: float) -> float:
+        return max(when - self.now(), 0.0) / 1000.0
+
     def _fire(self) -> None:
         self._reactor_call = None
         self.run_due()
@@ -157,7 +172,8 @@
 
     def set(self, delay_ms: float, callback: Callable[[], None]) -> None:
         """Run a callback after a delay, in place of the one set before."""
-        self.at, self._callback = self._deadlines.now() + delay_ms, callback
+        self.at = self._deadlines.now() + delay_ms
+        self._callback = callback
         if self._deadline is None or self._deadline_at > self.at:
             self._deadlines.cancel(self._deadline)
             self._schedule()
@@ -170,7 +186,8 @@
         """Run no callback, and leave nothing in the heap: the connection has ended."""
         self.clear()
         self._deadlines.cancel(self._deadline)
-        self._deadline = self._callback = None
+        self._deadline = None
+        self._callback = None
 
     def _schedule(self) -> None:
         self._deadline_at = self.at
@@ -179,8 +196,8 @@
     def _expire(self) -> None:
         self._deadline = None
         if self.at <= self._deadlines.now():
-            self.at, callback = math.inf, self._callback
-            if callback is not None:
-                callback()
+            self.at = math.inf
+            if self._callback is not None:
+                self._callback()
         elif self.at < math.inf:
             self._schedule()
--- a/meadowpulley/net/http1.py
+++ b/meadowpulley/net/http1.py
@@ -9,7 +9,9 @@
 import re
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import Final
 
+from meadowpulley.net.errors import NetError
 from meadowpulley.net.ring import RingBuffer
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -19,6 +21,13 @@
 MAX_READ_BYTES = 64 * 1024  # what the reactor may hand over at once
 MAX_BUFFERED_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_READ_BYTES
 
+_LINE_END: Final = b"\r\n"
+_LINE_END_BYTES: Final = 2
+_HEAD_END: Final = b"\r\n\r\n"
+_HEAD_END_BYTES: Final = 4
+_FIRST_FINAL_STATUS: Final = 200  # lower ones are interim responses, which have no body
+_STATUSES_WITHOUT_BODY: Final = (204, 304)
+
 _TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
 _REQUEST_LINE = re.compile(r"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([!-~]+) HTTP/1\.([01])")
 _STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [\t -~\x80-\xff]*)?")
@@ -46,7 +55,7 @@
 }
 
 
-class BadMessageError(Exception):
+class BadMessageError(NetError):
     """The input is not a valid message; `status` is the response that a client gets for it."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -74,6 +83,18 @@
 _NO_MESSAGE = Message()  # in place of a message until a head was parsed
 
 
+def _is_kept_alive(message: Message) -> bool:
+    """Return whether the connection stays open after a message (RFC 9112, 9.3)."""
+    connection = message.headers.get("connection", "").lower()
+    options = {option.strip() for option in connection.split(",")} if connection else ()
+    return "close" not in options and (message.minor_version == 1 or "keep-alive" in options)
+
+
+def _has_no_body(status: int) -> bool:
+    """Return whether a response of this status never has a body (RFC 9112, 6.3)."""
+    return status in _STATUSES_WITHOUT_BODY or status < _FIRST_FINAL_STATUS
+
+
 class _ParserState(Enum):
     HEAD = "head"
     FIXED_LENGTH = "fixed length"
@@ -89,14 +110,17 @@
     def __init__(
         self, buffer: RingBuffer, expect_requests: bool, max_body_bytes: int = MAX_BODY_BYTES
     ) -> None:
-        self._buffer, self._expect_requests, self._max_body_bytes = buffer, expect_requests, max_body_bytes
+        self._buffer = buffer
+        self._expect_requests = expect_requests
+        self._max_body_bytes = max_body_bytes
         self._reset()
 
     def _reset(self) -> None:
         self._state = _ParserState.HEAD
         self._message = _NO_MESSAGE
         self._body = bytearray()
-        self._remaining = self._scanned = 0
+        self._remaining = 0  # bytes of the body, or of the current chunk
+        self._scanned = 0  # bytes of the head that were searched for its end
         self.expects_continue = False  # the client waits for '100 Continue' before it sends the body
 
     @property
@@ -128,9 +152,7 @@
                     return self._complete_message(bytes(self._body))
                 progressed = line is not None
             else:
-                self._body += self._buffer.take(len(self._buffer))
-                if len(self._body) > self._max_body_bytes:
-                    raise BadMessageError(413, "body too large")
+                self._take_rest()
                 progressed = False
             if not progressed:
                 return None
@@ -141,6 +163,12 @@
             return self._complete_message(bytes(self._body))
         return None
 
+    def _take_rest(self) -> None:
+        """Add all input to a body that ends with the connection."""
+        self._body += self._buffer.take(len(self._buffer))
+        if len(self._body) > self._max_body_bytes:
+            raise BadMessageError(413, "body too large")
+
     def _complete_message(self, body: bytes) -> Message:
         message = self._message
         message.body = body
@@ -148,24 +176,17 @@
         return message
 
     def _parse_head(self) -> bool:
-        buffer = self._buffer
-        if not len(buffer):
+        if not len(self._buffer):
             return False
-        data = buffer.peek(MAX_HEAD_BYTES + 4)
-        if self._expect_requests and self._scanned == 0 and (empty_lines := _EMPTY_LINES.match(data)):
-            buffer.take(empty_lines.end())  # RFC 9112, 2.2: empty lines before a request are ignored
-            data = data[empty_lines.end() :]
-        if not self._expect_requests and not data.startswith(_VERSION_PREFIX[: len(data)]):
-            raise BadMessageError(502, "no status line")  # noise may never end: its first bytes tell it
-        if data and not _FIRST_BYTES.match(data):
-            raise BadMessageError(400, "no start line")
-        end = data.find(b"\r\n\r\n", max(self._scanned - 3, 0))
+        data = self._peek_head()
+        # The end may begin within the last bytes that were searched before.
+        end = data.find(_HEAD_END, max(self._scanned - 3, 0))
         if end < 0:
             self._check_partial_head(data)
             return False
-        buffer.take(end + 4)
-        line_end = data.find(b"\r\n")
-        if _HEADER_FIELDS.fullmatch(data, line_end + 2, end + 2) is None:
+        self._buffer.take(end + _HEAD_END_BYTES)
+        fields_start = data.find(_LINE_END) + _LINE_END_BYTES
+        if _HEADER_FIELDS.fullmatch(data, fields_start, end + _LINE_END_BYTES) is None:
             raise BadMessageError(400, "malformed header field")
         lines = data[:end].decode("latin-1").split("\r\n")
         if len(lines) - 1 > MAX_HEADER_FIELDS:
@@ -175,15 +196,28 @@
         self._choose_framing(self._parse_fields(lines))
         return True
 
+    def _peek_head(self) -> bytes:
+        """Return the input that may belong to a head. Raises BadMessageError where it can't begin one."""
+        data = self._buffer.peek(MAX_HEAD_BYTES + _HEAD_END_BYTES)
+        if self._expect_requests and self._scanned == 0 and (empty_lines := _EMPTY_LINES.match(data)):
+            self._buffer.take(empty_lines.end())  # RFC 9112, 2.2: empty lines before a request are ignored
+            data = data[empty_lines.end() :]
+        if not self._expect_requests and not data.startswith(_VERSION_PREFIX[: len(data)]):
+            raise BadMessageError(502, "no status line")  # noise may never end: its first bytes tell it
+        if data and not _FIRST_BYTES.match(data):
+            raise BadMessageError(400, "no start line")
+        return data
+
     def _check_partial_head(self, data: bytes) -> None:
         """Reject an incomplete head that can't become valid: its end may never come."""
-        buffered = len(self._buffer)
-        if buffered >= MAX_HEAD_BYTES:
+        buffered_bytes = len(self._buffer)
+        if buffered_bytes >= MAX_HEAD_BYTES:
             raise BadMessageError(431, "head too large")
         # Check the start line only once, when its end arrives: a head may come byte by byte.
-        if (line_end := data.find(b"\r\n")) > 0 and line_end + 2 > self._scanned:
+        line_end = data.find(_LINE_END)
+        if line_end > 0 and line_end + _LINE_END_BYTES > self._scanned:
             self._parse_start_line(data[:line_end].decode("latin-1"))
-        self._scanned = 0 if data == b"\r" else buffered  # an empty line may still precede the request
+        self._scanned = 0 if data == b"\r" else buffered_bytes  # an empty line may still precede the request
 
     def _parse_fields(self, lines: list[str]) -> list[str]:
         """Store the header fields in the message and return the values of all content-length fields."""
@@ -191,7 +225,8 @@
         lengths: list[str] = []
         for line in lines:
             name, _, value = line.partition(":")
-            name, value = name.lower(), value.strip(" \t")
+            name = name.lower()
+            value = value.strip(" \t")
             if name == "content-length":
                 lengths.append(value)
             if name in headers:
@@ -214,11 +249,7 @@
     def _choose_framing(self, lengths: list[str]) -> None:
         """Set the state that reads the body (RFC 9112, 6.3), and what the head says about the connection."""
         message = self._message
-        connection = message.headers.get("connection", "").lower()
-        options = {o.strip() for o in connection.split(",")} if connection else ()
-        message.keep_alive = "close" not in options and (
-            message.minor_version == 1 or "keep-alive" in options
-        )
+        message.keep_alive = _is_kept_alive(message)
         transfer_coding = message.headers.get("transfer-encoding")
         if self._expect_requests and message.minor_version == 1 and "host" not in message.headers:
             raise BadMessageError(400, "no host")
@@ -230,8 +261,9 @@
             self._state = _ParserState.CHUNK_SIZE
         elif lengths:
             self._set_fixed_length(lengths[0])
-        elif self._expect_requests or message.status in (204, 304) or message.status < 200:
-            self._remaining, self._state = 0, _ParserState.FIXED_LENGTH
+        elif self._expect_requests or _has_no_body(message.status):
+            self._remaining = 0
+            self._state = _ParserState.FIXED_LENGTH
         else:
             message.keep_alive = False
             self._state = _ParserState.UNTIL_CLOSE
@@ -253,10 +285,10 @@
         return expectation == "100-continue" and not body_present and message.minor_version == 1
 
     def _take_line(self) -> bytes | None:
-        end = self._buffer.find(b"\r\n")
+        end = self._buffer.find(_LINE_END)
         if end > MAX_CHUNK_LINE_BYTES or (end < 0 and len(self._buffer) > MAX_CHUNK_LINE_BYTES):
             raise BadMessageError(400, "line too long")
-        return self._buffer.take(end + 2)[:-2] if end >= 0 else None
+        return self._buffer.take(end + _LINE_END_BYTES)[:-_LINE_END_BYTES] if end >= 0 else None
 
     def _parse_chunk_size(self) -> bool:
         line = self._take_line()
@@ -274,10 +306,10 @@
     def _parse_chunk_data(self) -> bool:
         if len(self._buffer) < self._remaining + 2:
             return False
-        data = self._buffer.take(self._remaining + 2)
-        if not data.endswith(b"\r\n"):
+        data = self._buffer.take(self._remaining + _LINE_END_BYTES)
+        if not data.endswith(_LINE_END):
             raise BadMessageError(400, "malformed chunk")
-        self._body += data[:-2]
+        self._body += data[:-_LINE_END_BYTES]
         self._state = _ParserState.CHUNK_SIZE
         return True
 
@@ -290,9 +322,11 @@
     """
     excluded = _NOT_FORWARDED
     if "connection" in headers:
-        excluded = excluded | {o.strip().lower() for o in headers["connection"].split(",")}
+        excluded = excluded | {option.strip().lower() for option in headers["connection"].split(",")}
     forwarded = {name: value for name, value in headers.items() if name not in excluded}
-    return {"host": host, **forwarded} if host and "host" not in forwarded else forwarded
+    if host and "host" not in forwarded:
+        return {"host": host, **forwarded}
+    return forwarded
 
 
 def _serialize(start_line: str, headers: dict[str, str], body: bytes, with_length: bool) -> bytes:
@@ -304,11 +338,13 @@
 
 def request_bytes(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
     """Serialize a request; its content-length is added."""
-    return _serialize(f"{method} {target} HTTP/1.1", headers, body, bool(body) or method != "GET")
+    with_length = bool(body) or method != "GET"
+    return _serialize(f"{method} {target} HTTP/1.1", headers, body, with_length)
 
 
 def response_bytes(status: int, headers: dict[str, str], body: bytes = b"", close: bool = False) -> bytes:
     """Serialize a response with its content-length, and with `connection: close` where that is asked for."""
-    headers = {**headers, "connection": "close"} if close else headers
+    if close:
+        headers = {**headers, "connection": "close"}
     status_line = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}"
-    return _serialize(status_line, headers, body, status >= 200)
+    return _serialize(status_line, headers, body, with_length=status >= _FIRST_FINAL_STATUS)
--- a/meadowpulley/net/ring.py
+++ b/meadowpulley/net/ring.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+from meadowpulley.net.errors import NetError
+
 INITIAL_BYTES = 2048  # the capacity at first, and again once it is empty: an idle connection costs little
 
 
-class RingBufferFullError(Exception):
+class RingBufferFullError(NetError):
     """More bytes were written than the buffer may ever hold."""
 
 
@@ -14,7 +16,8 @@
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
-        self._start, self._size = 0, 0
+        self._start = 0  # where in `_bytes` the first byte is
+        self._size = 0
         self._bytes = bytearray(min(INITIAL_BYTES, max_bytes))
 
     def __len__(self) -> int:
@@ -31,11 +34,9 @@
         size = self._size + len(data)
         if size > self.max_bytes:
             raise RingBufferFullError(f"{size} bytes, at most {self.max_bytes} fit")
+        if size > len(self._bytes):
+            self._grow(size)
         capacity = len(self._bytes)
-        if size > capacity:
-            grown = bytearray(min(max(2 * capacity, size), self.max_bytes))
-            grown[: self._size] = self.peek(self._size)
-            self._bytes, self._start, capacity = grown, 0, len(grown)
         offset = (self._start + self._size) % capacity
         contiguous_bytes = capacity - offset
         if len(data) <= contiguous_bytes:
@@ -45,6 +46,14 @@
             self._bytes[: len(data) - contiguous_bytes] = data[contiguous_bytes:]
         self._size = size
 
+    def _grow(self, min_capacity: int) -> None:
+        """Double the capacity, or more where that is not enough."""
+        capacity = max(2 * len(self._bytes), min_capacity)
+        grown = bytearray(min(capacity, self.max_bytes))
+        grown[: self._size] = self.peek(self._size)
+        self._bytes = grown
+        self._start = 0
+
     def peek(self, size: int, skip: int = 0) -> bytes:
         """Return up to `size` bytes after the first `skip`, and keep them."""
         size = max(min(size, self._size - skip), 0)
@@ -60,7 +69,8 @@
         The search stops at the first match: many short lines that came at once would otherwise each cost a
         pass over all of the rest.
         """
-        capacity, end = len(self._bytes), self._start + self._size
+        capacity = len(self._bytes)
+        end = self._start + self._size
         index = self._bytes.find(needle, self._start + skip, min(end, capacity))
         if index >= 0 or end <= capacity:
             return index - self._start if index >= 0 else -1
