--- a/meadowpulley/ledger/client.py
+++ b/meadowpulley/ledger/client.py
@@ -32,7 +32,7 @@
 from meadowpulley.ledger.poll_cursor import PollCursor
 from meadowpulley.ledger.records import Changes, Incarnation
 from meadowpulley.ledger.recovery_probe import RecoveryProbe
-from meadowpulley.ledger.stage import LedgerStage
+from meadowpulley.ledger.stage import Stage
 from meadowpulley.ledger.store import Store
 from meadowpulley.ledger.transactions import TransactionOutcome, TransactionResult
 
@@ -83,7 +83,7 @@
         """Return what `LeaseManager.holds_lease` does, for stages that are created before it."""
         return self.lease_manager is not None and self.lease_manager.holds_lease(now)
 
-    def wrap(self, inner: LedgerStage, get_prefixes: Callable[[], tuple[str, ...]]) -> LeaseManager:
+    def wrap(self, inner: Stage, get_prefixes: Callable[[], tuple[str, ...]]) -> LeaseManager:
         """Return the outermost stage, round the stages that rest on the ledger.
 
         `get_prefixes` returns the prefixes of the keys whose changes they must be told of now; when they
--- a/meadowpulley/ledger/lease_manager.py
+++ b/meadowpulley/ledger/lease_manager.py
@@ -26,7 +26,7 @@
 )
 from meadowpulley.ledger.records import Incarnation
 from meadowpulley.ledger.renewal_watch import RenewalWatch
-from meadowpulley.ledger.stage import LedgerStage, Stage, StageAction, StageEvent
+from meadowpulley.ledger.stage import Stage, StageAction
 from meadowpulley.ledger.transactions import (
     Fence,
     ReleaseLease,
@@ -66,7 +66,7 @@
     Events that it does not know go to the stage inside.
     """
 
-    def __init__(self, incarnation: Incarnation, timings: LeaseTimings, inner: LedgerStage) -> None:
+    def __init__(self, incarnation: Incarnation, timings: LeaseTimings, inner: Stage) -> None:
         self.incarnation = incarnation
         self.timings = timings
         self.inner = inner
@@ -110,7 +110,7 @@
         """Return all incarnations that are neither fenced nor expired, in the order of the ring."""
         return self._members.live_incarnations()
 
-    def handle(self, now: float, event: StageEvent) -> list[StageAction]:
+    def handle(self, now: float, event: object) -> list[StageAction]:
         """Return the actions that follow from an event; `now` is in milliseconds."""
         match event:
             case Timer(token=token) if token == LEASE_TIMER:
--- a/meadowpulley/ledger/stage.py
+++ b/meadowpulley/ledger/stage.py
@@ -24,10 +24,3 @@
 
     def handle(self, now: float, event: Any) -> list[Any]:
         """Return the actions that follow from an event; `now` is in milliseconds."""
-
-
-class LedgerStage(Protocol):
-    """A stage as the lease manager sees it, with the events and actions that this package knows."""
-
-    def handle(self, now: float, event: StageEvent) -> list[StageAction]:
-        """Return the actions that follow from an event; `now` is in milliseconds."""
