--- a/tests/test_placement_stage.py
+++ b/tests/test_placement_stage.py
@@ -41,31 +41,31 @@
 
 
 def test_requests_are_labelled_and_other_events_pass() -> None:
-    g = started()
-    arms = Counter(g.accept(1.0, n).arm for n in range(400))
+    gateway = started()
+    arms = Counter(gateway.accept(1.0, n).arm for n in range(400))
     assert set(arms) == {1, 2}
     assert min(arms.values()) > 150
     for event in (Timer(1), ProbeResult(1, Result.OK, 1.0), LedgerUnavailable("gone"), LedgerRecovered()):
-        g.deliver(2.0, event)
-        assert g.inner.events[-1] == event
-    event_count = len(g.inner.events)
-    g.check(3.0)
-    assert len(g.inner.events) == event_count  # its own timer does not pass
+        gateway.deliver(2.0, event)
+        assert gateway.inner.events[-1] == event
+    event_count = len(gateway.inner.events)
+    gateway.check(3.0)
+    assert len(gateway.inner.events) == event_count  # its own timer does not pass
 
 
 def test_every_ending_is_counted_and_unserved_requests_cost_their_deadline() -> None:
-    g = started(arms=(Arm("now", "own", 0.999), Arm("other", "own", 0.001)))
+    gateway = started(arms=(Arm("now", "own", 0.999), Arm("other", "own", 0.001)))
     for n in range(5):
-        g.accept(0.0, n)
-    g.serve(30.0, 0)
-    g.inner.next_actions = [Reject(1, 100.0)]
-    g.deliver(31.0, Timer(1))
-    g.inner.next_actions = [Fail(2)]
-    g.deliver(32.0, Outcome(2, 0, 1, Result.RESET, 32.0, False))
-    g.deliver(33.0, ClientDisconnected(3))
-    g.serve(40.0, 0)  # a second response is not counted
-    g.check(50.0)
-    arm = g.summary().arms[0]
+        gateway.accept(0.0, n)
+    gateway.serve(30.0, 0)
+    gateway.inner.next_actions = [Reject(1, 100.0)]
+    gateway.deliver(31.0, Timer(1))
+    gateway.inner.next_actions = [Fail(2)]
+    gateway.deliver(32.0, Outcome(2, 0, 1, Result.RESET, 32.0, False))
+    gateway.deliver(33.0, ClientDisconnected(3))
+    gateway.serve(40.0, 0)  # a second response is not counted
+    gateway.check(50.0)
+    arm = gateway.summary().arms[0]
     counts = (arm.served, arm.rejected, arm.failed, arm.disconnected, arm.still_open, arm.requests)
     assert counts == (1, 1, 1, 1, 1, 5)
     deadline = SETTINGS.classes[0].deadline_ms
@@ -100,18 +100,18 @@
 
 
 def test_no_arm_is_assigned_during_a_rollback_or_before_the_ledger_is_read() -> None:
-    g = StageHarness(MemoryStore(), "a")
-    assert g.accept(0.0, 1).arm == 0
-    g.observe_ledger(1.0)
-    assert g.accept(2.0, 2).arm
-    g.deliver(3.0, RolloutUpdate(2, 1, Phase.ROLLING_BACK, 0.0, 0.0))
-    assert g.accept(4.0, 3).arm == 0
-    g.deliver(5.0, RolloutUpdate(2, 1, Phase.ROLLED_BACK, 0.0, 0.0))
-    assert g.accept(6.0, 4).arm
-    g.check(10.0)
-    assert (g.summary().withheld, g.summary().requests) == (2, 2)
-    g.deliver(7.0, Fenced())
-    assert g.accept(8.0, 5).arm == 0
+    gateway = StageHarness(MemoryStore(), "a")
+    assert gateway.accept(0.0, 1).arm == 0
+    gateway.observe_ledger(1.0)
+    assert gateway.accept(2.0, 2).arm
+    gateway.deliver(3.0, RolloutUpdate(2, 1, Phase.ROLLING_BACK, 0.0, 0.0))
+    assert gateway.accept(4.0, 3).arm == 0
+    gateway.deliver(5.0, RolloutUpdate(2, 1, Phase.ROLLED_BACK, 0.0, 0.0))
+    assert gateway.accept(6.0, 4).arm
+    gateway.check(10.0)
+    assert (gateway.summary().withheld, gateway.summary().requests) == (2, 2)
+    gateway.deliver(7.0, Fenced())
+    assert gateway.accept(8.0, 5).arm == 0
 
 
 def test_a_gateway_of_another_version_counts_apart_and_logs_it() -> None:
@@ -119,9 +119,9 @@
     a.check(1.0)
     b = started("b", a.store, carry_ms=700.0)
     b.check(2.0)
-    for g in (a, b):
-        g.accept(3.0, 1)
-        g.check(4.0)
+    for gateway in (a, b):
+        gateway.accept(3.0, 1)
+        gateway.check(4.0)
     assert not a.log_lines
     assert len(b.log_lines) == 1
     assert "is not the fleet's" in b.log_lines[0]
@@ -135,10 +135,10 @@
 def test_the_guard_ends_a_harmful_arm_once_for_all_gateways() -> None:
     a = started()
     b, c = started("b", a.store), started("c", a.store)
-    for g in (a, b, c):
-        serve_slow_arm(g, 10.0, 0, 1000)
-    for g in (a, b):  # both detect it at the same time: one of them decides
-        g.check(100.0)
+    for gateway in (a, b, c):
+        serve_slow_arm(gateway, 10.0, 0, 1000)
+    for gateway in (a, b):  # both detect it at the same time: one of them decides
+        gateway.check(100.0)
     assert len([r for r in a.store.scan("placement/") if "/ended/" in r.key]) == 1
     assert any("arm 'other' is worse as measured" in line for line in a.log_lines)
     c.observe_ledger(101.0)
@@ -182,15 +182,15 @@
 
 
 def test_a_graceful_shutdown_writes_the_latest_counters() -> None:
-    g = started()
-    g.accept(1.0, 1)
-    g.check(2.0)
-    g.accept(3.0, 2)
-    g.serve(4.0, 1)
-    for action in g.stage.shut_down(5.0):
+    gateway = started()
+    gateway.accept(1.0, 1)
+    gateway.check(2.0)
+    gateway.accept(3.0, 2)
+    gateway.serve(4.0, 1)
+    for action in gateway.stage.shut_down(5.0):
         assert isinstance(action, Commit)
-        g.store.commit(g.incarnation, action.transactions)
-    arms = [arm for arm in g.summary().arms if not arm.class_name]
+        gateway.store.commit(gateway.incarnation, action.transactions)
+    arms = [arm for arm in gateway.summary().arms if not arm.class_name]
     assert (sum(a.served for a in arms), sum(a.still_open for a in arms)) == (1, 1)
 
 
@@ -261,24 +261,24 @@
 def test_one_live_gateway_evaluates_and_another_takes_over() -> None:
     store = MemoryStore()
     fleet = [started(name, store) for name in "abcde"]
-    for g in fleet:
-        g.observe_ledger(1.0)
-    evaluators = [g for g in fleet if g.stage.is_evaluator]
+    for gateway in fleet:
+        gateway.observe_ledger(1.0)
+    evaluators = [gateway for gateway in fleet if gateway.stage.is_evaluator]
     assert len(evaluators) == 1
     assert evaluators[0].stage.experiment.record_key("bins/") in evaluators[0].stage.watched_prefixes()
-    others = [g for g in fleet if g is not evaluators[0]]
-    for g in others:  # many evaluators would raise many false alarms
-        serve_slow_arm(g, 10.0, 0, 1000)
-        g.check(100.0)
-    assert not any("worse" in line for g in others for line in g.log_lines)
-    assert all(not any("count/" in key for key in g.stage.watched_prefixes()) for g in others)
+    others = [gateway for gateway in fleet if gateway is not evaluators[0]]
+    for gateway in others:  # many evaluators would raise many false alarms
+        serve_slow_arm(gateway, 10.0, 0, 1000)
+        gateway.check(100.0)
+    assert not any("worse" in line for gateway in others for line in gateway.log_lines)
+    assert all(not any("count/" in key for key in gateway.stage.watched_prefixes()) for gateway in others)
     store.commit(others[0].incarnation, [Transaction((Fence(evaluators[0].incarnation, 0),))])
-    for g in others:
-        g.observe_ledger(2.0)
-    assert sum(g.stage.is_evaluator for g in others) == 1
-    for g in others:
-        g.check(110.0)
-    assert sum(any("worse" in line for line in g.log_lines) for g in others) == 1
+    for gateway in others:
+        gateway.observe_ledger(2.0)
+    assert sum(gateway.stage.is_evaluator for gateway in others) == 1
+    for gateway in others:
+        gateway.check(110.0)
+    assert sum(any("worse" in line for line in gateway.log_lines) for gateway in others) == 1
 
 
 def test_requests_after_an_arms_end_are_not_compared() -> None:
