--- a/meadowpulley/net/json_fields.py
+++ b/meadowpulley/net/json_fields.py
@@ -17,12 +17,12 @@
     """A field of a message holds what it may not; the text says which field and what it holds."""
 
 
-def require_object(raw: object, what: str) -> JsonObject:
-    """Return decoded JSON that has to be an object. `what` names it in the error.
+def require_object(raw: object, subject: str) -> JsonObject:
+    """Return decoded JSON that has to be an object. `subject` names it in the error.
 
     Raises:
         FieldError: it is not an object.
     """
     if not isinstance(raw, dict):
-        raise FieldError(f"{what} is no JSON object")
+        raise FieldError(f"{subject} is no JSON object")
     return raw
