--- a/meadowpulley/takeover/server_locations.py
+++ b/meadowpulley/takeover/server_locations.py
@@ -7,7 +7,7 @@
 from meadowpulley.interface import EndpointUpdate, EndpointUpdateKind, ServerEntry, ServerState
 from meadowpulley.takeover.records import AttemptGrant
 
-WHOLE_LIST_KINDS = (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
+FULL_LIST_KINDS = (EndpointUpdateKind.FULL, EndpointUpdateKind.CACHED)
 
 
 @dataclass(slots=True)
@@ -18,7 +18,7 @@
 
     def apply(self, update: EndpointUpdate) -> None:
         """Apply an update of the endpoint list."""
-        if update.kind in WHOLE_LIST_KINDS:
+        if update.kind in FULL_LIST_KINDS:
             self.servers.clear()
         for entry in update.entries:
             self.servers[entry.server] = entry
