--- a/benchmarks/lending_fleet.py
+++ b/benchmarks/lending_fleet.py
@@ -271,7 +271,7 @@
                 gateway.next_read_at = self._after_delay() + LEDGER_POLL_MS * self.rng.random()
                 self.schedule(gateway.next_read_at, self._read, gateway, gateway.epoch, False)
 
-    def _watch(self, gateway: SimulatedGateway, anew: bool = False) -> None:
+    def _watch(self, gateway: SimulatedGateway) -> None:
         assert gateway.stage is not None
         gateway.watched_prefixes, gateway.seen_version = gateway.stage.watched_prefixes(), 0
         self.schedule(self._after_delay(), self._read, gateway, gateway.epoch, True)
--- a/meadowpulley/capacity/bottlenecks.py
+++ b/meadowpulley/capacity/bottlenecks.py
@@ -30,11 +30,6 @@
     theory: str
     text: str
 
-    @property
-    def margin(self) -> float:
-        """How much more load it bears, as a share of the load now; negative where it is exhausted."""
-        return self.multiple - 1.0
-
 
 def first_multiple(broken: Callable[[float], bool]) -> float:
     """Return the least multiple for which a monotonic predicate holds, within 0.1%; infinity beyond
--- a/meadowpulley/capacity/demand.py
+++ b/meadowpulley/capacity/demand.py
@@ -50,11 +50,6 @@
     utilisation: float
     busy_utilisation: float
 
-    @property
-    def busy_multiple(self) -> float:
-        """The busy rate as a multiple of the mean rate."""
-        return self.busy_per_s / self.per_s if self.per_s else 1.0
-
 
 def saved_by_keys(counts: Counter[int], keyed: int, total: int, seconds: float, fleet: Fleet) -> float:
     """Return the share of work that remembered keys save.
--- a/meadowpulley/cli/capacity_options.py
+++ b/meadowpulley/cli/capacity_options.py
@@ -12,8 +12,7 @@
 import xxhash
 
 from meadowpulley.capacity import Demand, measure_demand
-from meadowpulley.cli.common import FILE, InputError, read_bytes, read_fleet
-from meadowpulley.cli.load import DEFAULT_LOAD_FRACTION
+from meadowpulley.cli.common import DEFAULT_LOAD_FRACTION, FILE, InputError, read_bytes, read_fleet
 from meadowpulley.experiment import LoadSpec, ResultStore
 from meadowpulley.fleet import Fleet
 from meadowpulley.load import LoadError, read_load
--- a/meadowpulley/cli/common.py
+++ b/meadowpulley/cli/common.py
@@ -24,6 +24,7 @@
 P = ParamSpec("P")
 T = TypeVar("T")
 
+DEFAULT_LOAD_FRACTION = 0.5  # of the capacity of all servers, where no rate is set
 FILE = click.Path(dir_okay=False, path_type=Path)
 
 
--- a/meadowpulley/cli/load.py
+++ b/meadowpulley/cli/load.py
@@ -10,6 +10,7 @@
 from msgspec.structs import replace
 
 from meadowpulley.cli.common import (
+    DEFAULT_LOAD_FRACTION,
     FILE,
     GOAL_MISSED,
     SUCCESS,
@@ -43,7 +44,6 @@
 )
 
 MAX_LOOPBACK_S = 600.0  # of a run on loopback
-DEFAULT_LOAD_FRACTION = 0.5  # of the capacity of all servers, where no rate is set
 
 
 def load_options(command: Callable[..., Any]) -> Callable[..., Any]:
--- a/meadowpulley/cli/screen.py
+++ b/meadowpulley/cli/screen.py
@@ -10,7 +10,7 @@
 from textual.containers import Horizontal, Vertical
 from textual.widgets import DataTable, Footer, Header, RichLog, Static
 
-from meadowpulley.cli.view import bar, snapshot
+from meadowpulley.cli.run_snapshot import bar, snapshot
 from meadowpulley.emulator import Emulation, EmulationResult, RunSnapshot, new_events, stage_text
 from meadowpulley.loopback import LoopbackError, LoopbackPlan, LoopbackResult, run_loopback
 
--- a/meadowpulley/cli/view.py
+++ b/meadowpulley/cli/view.py
@@ -7,13 +7,12 @@
 
 from rich.console import Console
 
+from meadowpulley.cli.run_snapshot import snapshot
 from meadowpulley.emulator import (
     ClassSnapshot,
     Emulation,
     EmulationResult,
     RunSnapshot,
-    class_snapshots,
-    fleet_snapshot,
     new_events,
     stage_text,
 )
@@ -22,20 +21,6 @@
 LINE_INTERVAL_S = 2.0  # of the run's time, where there is no terminal
 
 
-def snapshot(world: Emulation) -> RunSnapshot:
-    """An emulation as it is now."""
-    title = f"{world.fleet.name}, {world.clock.now / 1000:.1f} s"
-    return RunSnapshot(
-        title, fleet_snapshot(world), class_snapshots(world.result), dict(world.checker.counts)
-    )
-
-
-def bar(share: float, width: int) -> str:
-    """A bar of so many characters, filled by a share."""
-    full = round(min(max(share, 0.0), 1.0) * width)
-    return "█" * full + "·" * (width - full)
-
-
 class TextMonitor:
     """A run in plain lines: what happened, and its state every two seconds."""
 
--- a/meadowpulley/load/profiles.py
+++ b/meadowpulley/load/profiles.py
@@ -11,8 +11,6 @@
 from meadowpulley.fleet import Fleet, RequestClass
 from meadowpulley.load.arrivals import Arrival
 
-DAY_MS = 86_400_000.0
-
 
 @dataclass(frozen=True, slots=True)
 class Profile:
--- a/meadowpulley/model_checking/shared_state_model/gateway_state.py
+++ b/meadowpulley/model_checking/shared_state_model/gateway_state.py
@@ -39,7 +39,6 @@
     "RolloutPolicy": UNCHANGING_POLICY_FIELDS | {"rng"},
     "InFlightRequest": frozenset({"request_class"}),
     "LeaseManager": frozenset({"_handlers"}),
-    "TakeoverStage": frozenset({"entries", "gateway_settings", "handlers", "settings"}),
     "LendingStage": frozenset({"settings", "priority_weights"}),
     "TransactionBuilder": frozenset({"actions", "transactions", "intents", "now"}),
 }
--- a/meadowpulley/placement/calibration.py
+++ b/meadowpulley/placement/calibration.py
@@ -257,11 +257,6 @@
     wrong_sign_fraction: float
     power: float
 
-    @property
-    def rmse(self) -> float:
-        """The root of the mean squared error."""
-        return float(np.hypot(self.bias, self.spread))
-
 
 def estimator_quality(result: CalibrationResult, name: EstimateName) -> EstimatorQuality:
     """Return the quality of one of the estimates."""
--- a/meadowpulley/takeover/messages.py
+++ b/meadowpulley/takeover/messages.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TypeAlias
 
 from meadowpulley.interface import Request
 from meadowpulley.takeover.records import STAGE_NAME, Headers
@@ -58,8 +57,6 @@
     grace_ms: float
 
 
-TakeoverEvent: TypeAlias = ClientRequest | ResponseReady | ClientDetached | AdoptionResult | ShutdownNotice
-
 # Actions
 
 
@@ -96,9 +93,6 @@
     body: bytes
 
 
-TakeoverAction: TypeAlias = Deliver | Discard | AdoptRequest
-
-
 def deliver(event: ResponseReady) -> Deliver:
     """Return the action that delivers an instance's response unchanged."""
     return Deliver(event.request, event.status, event.headers, event.body)
--- a/tests/test_list_call_load.py
+++ b/tests/test_list_call_load.py
@@ -108,12 +108,6 @@
             self.watching.add(number)
             self._dispatch(number, EndpointWatchOpened(WATCH_MS, as_of_ms))
 
-    def publish_change(self) -> None:
-        """Answer each open watch, in its turn."""
-        for number in sorted(self.watching):
-            self._free_at = max(self._free_at, self.now) + self._turn_ms
-            self._call_at(self._free_at, partial(self._respond, number, self._epochs[number], self.now))
-
     def fail(self, duration_ms: float) -> None:
         """Make discovery unavailable for a while: all watches end."""
         self._down_until, self._free_at = self.now + duration_ms, 0.0
