--- a/tests/processes/test_ledger.py
+++ b/tests/processes/test_ledger.py
@@ -87,6 +87,7 @@
     [(DEFAULT_MAX_LOG_BYTES, False), (SMALL_LOG_BYTES, False), (SMALL_LOG_BYTES, True)],
 )
 def test_each_claim_has_one_winner(tmp_path: Path, start: Start, max_log_bytes: int, sync: bool) -> None:
+    """Eight processes claim the same thousand numbers at once. Each number must go to exactly one of them."""
     workers = [start(f"n{n}", max_log_bytes, sync) for n in range(8)]
     assert [racer.call("begin") for racer in workers] == [1] * 8
     for n, racer in enumerate(workers):
@@ -96,9 +97,8 @@
     store = DiskStore(str(tmp_path), sync=sync)
     assert len(store.scan("claim/")) == 1000
     generations = [p.name for p in tmp_path.iterdir() if p.name != "lives"]
-    assert (generations == ["log.00000001"]) == (max_log_bytes == DEFAULT_MAX_LOG_BYTES) and len(
-        generations
-    ) == 1
+    assert (generations == ["log.00000001"]) == (max_log_bytes == DEFAULT_MAX_LOG_BYTES)
+    assert len(generations) == 1
 
 
 # What a process does until its failpoint: `count` continues through several generations of the log.
@@ -110,6 +110,9 @@
 def test_a_process_lost_at_any_failpoint_blocks_nobody(
     tmp_path: Path, start: Start, failpoint: str, action: str
 ) -> None:
+    """A process is killed or stopped in the middle of an operation. The others continue and fence it, and
+    what it does when it wakes changes nothing.
+    """
     store = DiskStore(str(tmp_path), sync=True, max_log_bytes=SMALL_LOG_BYTES)
     survivor, prey = store.register("me", 1000.0), store.register("prey", 1000.0)
     victim = start(
@@ -146,17 +149,23 @@
             return
         elif isinstance(answer, list):
             # What it asked for after it woke changed nothing; what it had been told as won is there.
-            assert answer[-1] == "sealed" and answer.count("won") == len(store.scan("victim.1/"))
-        assert victim.call("count", 1) == ["sealed"] and victim.call("renew") == "sealed"
+            assert answer[-1] == "sealed"
+            assert answer.count("won") == len(store.scan("victim.1/"))
+        assert victim.call("count", 1) == ["sealed"]
+        assert victim.call("renew") == "sealed"
     assert {r.key: r for r in store.scan("")} == before
     # ... and a process that opens the ledger anew has the same state.
     reopened = DiskStore(str(tmp_path), sync=True)
-    assert reopened.members() == store.members() and encode(reopened._log.state) == encode(store._log.state)
+    assert reopened.members() == store.members()
+    assert encode(reopened._log.state) == encode(store._log.state)
     common = store.read("common")
     assert (int(common.value) if common else 0) == len(store.scan("victim.1/"))
 
 
 def test_a_name_belongs_to_one_live_process(tmp_path: Path, start: Start) -> None:
+    """A second process wants the name of one that lives, or stands still. It gets it only after that has
+    ended.
+    """
     first, second = start("n"), start("n")
     assert first.call("begin") == 1
     assert "'n' is taken by a living gateway" in second.call("begin")["error"]
@@ -167,12 +176,13 @@
     assert not store.changes(0).dead_incarnations
     first.kill()
     assert [str(life) for life in store.changes(0).dead_incarnations] == ["n.1"]
-    assert (
-        second.call("begin") == 2 and second.call("renew") == "won" and not store.changes(0).dead_incarnations
-    )
+    assert second.call("begin") == 2
+    assert second.call("renew") == "won"
+    assert not store.changes(0).dead_incarnations
 
 
 def test_a_full_disk_stops_only_the_process_it_affects(tmp_path: Path, start: Start) -> None:
+    """One process may write no more, and tears a frame. The others commit on, and skip the torn frame."""
     full, other = start("full"), start("other")
     assert [full.call("begin"), other.call("begin")] == [1, 1]
     full.call("limit_file_size", (tmp_path / "log.00000001").stat().st_size + 700)
@@ -182,6 +192,7 @@
     store = DiskStore(str(tmp_path))
     assert store.take_skipped_frames()
     record = store.read("common")
-    assert record is not None and int(record.value) == len(store.scan("full.1/")) + 5
+    assert record is not None
+    assert int(record.value) == len(store.scan("full.1/")) + 5
     with pytest.raises(LedgerUnusableError):
         DiskStore(str(tmp_path / "nowhere"))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -73,7 +73,9 @@
         return not self.stopped and not self.killed
 
     def wake(self) -> None:
-        self.stopped, missed_calls, self.missed_calls = False, self.missed_calls, []
+        self.stopped = False
+        missed_calls = self.missed_calls
+        self.missed_calls = []
         for call in missed_calls:
             call()
 
@@ -81,11 +83,9 @@
         if not self.is_awake(self.poll):
             return
         changes = self.fleet.store.changes(self.version, (), self.watched_names)
-        self.version, self.members_read, poll_started = (
-            changes.version,
-            self.members_read + len(changes.members),
-            self.now(),
-        )
+        self.version = changes.version
+        self.members_read += len(changes.members)
+        poll_started = self.now()
         self.fleet.call_later(ANSWER_MS, lambda: self.finish_poll(LedgerChanged(changes, poll_started)))
 
     def finish_poll(self, event: LedgerChanged) -> None:
@@ -144,16 +144,23 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_no_lease_expires_while_all_gateways_live(seed: int) -> None:
+    """Clocks drift by up to 1% and polls take time, but nobody fails: no lease may expire by anybody's
+    clock.
+    """
     fleet = Fleet(12, seed)
     fleet.run(20_000.0)
     assert all(g.lease_manager.holds_lease(g.now()) for g in fleet.gateways)
-    assert not fleet.events(LeaseExpired) and not fleet.fences
+    assert not fleet.events(LeaseExpired)
+    assert not fleet.fences
 
 
 @pytest.mark.parametrize(("gateway_count", "killed_count"), [(3, 1), (10, 7), (60, 42), (200, 140)])
 def test_each_lost_incarnation_is_fenced_once_and_all_are_notified(
     gateway_count: int, killed_count: int
 ) -> None:
+    """Up to seven of ten gateways are killed at once. The others must find each of them, in spite of lost
+    neighbours, without a fence too many and without losing a lease themselves.
+    """
     fleet = Fleet(gateway_count, gateway_count)
     fleet.run(3_000.0)
     lost = fleet.random.sample(fleet.gateways, killed_count)
@@ -193,6 +200,9 @@
 
 
 def test_a_stopped_gateway_is_fenced_before_it_holds_its_lease_again() -> None:
+    """A gateway stands still for five terms, and wakes. It must find out that it was fenced before it
+    acts.
+    """
     fleet = Fleet(4, 3)
     fleet.run(2_000.0)
     stopped = fleet.gateways[0]
@@ -202,12 +212,14 @@
     stopped.wake()
     fleet.run(POLL_MS)
     assert [e for e in stopped.inner.events if isinstance(e, Fenced)] == [Fenced()]
-    assert not stopped.lease_manager.holds_lease(stopped.now()) and not stopped.fenced_incarnations
+    assert not stopped.lease_manager.holds_lease(stopped.now())
+    assert not stopped.fenced_incarnations
     fleet.run(3_000.0)
     assert sum(len(g.fenced_incarnations) for g in fleet.gateways) == 1
 
 
 def test_a_suspended_machine_expires_no_lease_on_resume() -> None:
+    """The whole machine sleeps for a minute. When it wakes, no gateway may count the others as expired."""
     fleet = Fleet(6, 4)
     fleet.run(2_000.0)
     for gateway in fleet.gateways:
@@ -217,10 +229,12 @@
     for gateway in fleet.gateways:
         gateway.wake()
     fleet.run(4_000.0)
-    assert all(g.lease_manager.holds_lease(g.now()) for g in fleet.gateways) and not fleet.fences
+    assert all(g.lease_manager.holds_lease(g.now()) for g in fleet.gateways)
+    assert not fleet.fences
 
 
 def test_a_recovered_ledger_fences_nobody() -> None:
+    """The ledger was away for less than half a term. Nobody could renew, so all leases are counted anew."""
     fleet = Fleet(5, 5)
     fleet.run(2_000.0)
     for gateway in fleet.gateways:
@@ -235,11 +249,12 @@
 
 
 def test_no_incarnation_holds_a_lease_that_another_counts_as_expired() -> None:
+    """A gateway is cut off from the ledger. Its own lease must end before any other counts it as expired."""
     for seed in range(40):
         fleet = Fleet(5, seed)
         fleet.run(2_000.0)
         partitioned = fleet.gateways[0]
-        partitioned.is_awake = lambda retry: False  # type: ignore[method-assign]
+        partitioned.is_awake = lambda retry: False  # type: ignore[method-assign]  # it learns nothing more
         while not fleet.events(LeaseExpired):
             holds_lease = partitioned.lease_manager.holds_lease(partitioned.now())
             fleet.run(1.0)
@@ -247,6 +262,9 @@
 
 
 def test_a_dead_process_is_fenced_without_waiting_for_its_lease() -> None:
+    """A process is killed, and the kernel has released its lock. It is fenced long before its lease
+    expires.
+    """
     fleet = Fleet(5, 6)
     fleet.run(2_000.0)
     fleet.gateways[2].killed = True
@@ -261,22 +279,23 @@
     leaver = fleet.gateways[1]
     leaver.carry_out(leaver.lease_manager.release_lease())
     fleet.run(2 * POLL_MS)
-    assert fleet.store.members_by_name["n1"].fenced and not [
-        e for e in leaver.inner.events if isinstance(e, Fenced)
-    ]
+    assert fleet.store.members_by_name["n1"].fenced
+    assert not [e for e in leaver.inner.events if isinstance(e, Fenced)]
     assert all(
         any(isinstance(e, LeaseExpired) for e in g.inner.events) for g in fleet.gateways if g is not leaver
     )
 
 
 def test_a_key_moves_only_if_its_incarnation_is_lost() -> None:
+    """One of twenty gateways is lost: its keys go to the next in the order, and no other key moves."""
     incarnations = [Incarnation(f"n{n}", 1) for n in range(20)]
     key_counts = {life: 0 for life in incarnations}
     for n in range(2_000):
         order = rendezvous_order(f"k{n}", incarnations)
         key_counts[order[0]] += 1
         assert rendezvous_order(f"k{n}", [x for x in incarnations if x != order[0]]) == order[1:]
-    assert min(key_counts.values()) > 50 and max(key_counts.values()) < 150
+    assert min(key_counts.values()) > 50
+    assert max(key_counts.values()) < 150
 
 
 def test_batches_keep_their_bounds_and_complete_each_commit() -> None:
@@ -301,4 +320,5 @@
             (c.owner, len(c.transactions)) for c in batch.commits
         ]
         assert [d for a in completions for d in a.results] == results
-    assert batches == [[1], [2], [3], [4]] and not queue.queued_bytes
+    assert batches == [[1], [2], [3], [4]]
+    assert not queue.queued_bytes
--- a/tests/test_ledger_client.py
+++ b/tests/test_ledger_client.py
@@ -1,11 +1,9 @@
-"""The ledger at a gateway: batches by turn, time-outs, faults reported once, and invalid settings."""
+"""The ledger at a gateway: batches by turn, time-outs, and faults reported once."""
 
 from __future__ import annotations
 
 import heapq
-import subprocess
-import sys
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import Any
 
@@ -18,6 +16,7 @@
     Create,
     Fence,
     Fenced,
+    Incarnation,
     LedgerChanged,
     LedgerError,
     LedgerRecovered,
@@ -29,6 +28,7 @@
     ScanCompleted,
     Transaction,
     TransactionOutcome,
+    TransactionResult,
 )
 from meadowpulley.ledger.background_jobs import JobResult, WorkerThread
 from meadowpulley.ledger.client import LedgerClient, start_ledger
@@ -149,15 +149,24 @@
 
 
 def test_commits_of_one_turn_share_a_batch_and_complete_separately() -> None:
-    fixture, batch_sizes = ClientFixture(), []
-    real = fixture.store.commit
-    fixture.store.commit = lambda by, group: batch_sizes.append(len(group)) or real(by, group)  # type: ignore
+    fixture = ClientFixture()
+    batch_sizes = list[int]()
+    real_commit = fixture.store.commit
+
+    def count_and_commit(
+        incarnation: Incarnation, transactions: Sequence[Transaction]
+    ) -> list[TransactionResult]:
+        batch_sizes.append(len(transactions))
+        return real_commit(incarnation, transactions)
+
+    fixture.store.commit = count_and_commit  # type: ignore[method-assign]  # a spy
     fixture.commit(1, "x/1", "x/2")
     fixture.commit(2, "x/1")
     fixture.client.scan(Scan(3, "x/", "t"))
     assert not fixture.gateway.events_of(CommitCompleted)
     fixture.gateway.run(0.0)
-    assert batch_sizes == [3] and [
+    assert batch_sizes == [3]
+    assert [
         (c.ticket, [d.outcome for d in c.results]) for c in fixture.gateway.events_of(CommitCompleted)
     ] == [
         (1, [TransactionOutcome.COMMITTED, TransactionOutcome.COMMITTED]),
@@ -166,17 +175,20 @@
     assert [r.key for r in fixture.gateway.events_of(ScanCompleted)[0].records] == ["x/1", "x/2"]
     fixture.gateway.run(100.0)
     changes = [r.key for c in fixture.gateway.events_of(LedgerChanged) for r in c.changes.records]
-    assert changes == ["x/1", "x/2"] and fixture.client.holds_lease(fixture.gateway.time)
+    assert changes == ["x/1", "x/2"]
+    assert fixture.client.holds_lease(fixture.gateway.time)
     fixture.store.commit(fixture.other, [Transaction((Create("y/1", b""),))])
     fixture.gateway.prefixes = ("x/2", "y/")
     fixture.gateway.run(100.0)
     snapshots = [c.changes for c in fixture.gateway.events_of(LedgerChanged) if c.changes.is_snapshot]
-    assert [r.key for r in snapshots[-1].records] == ["x/2", "y/1"] and len(
-        snapshots
-    ) == 2  # the first look, and this
+    assert [r.key for r in snapshots[-1].records] == ["x/2", "y/1"]
+    assert len(snapshots) == 2  # the first poll's, and this
 
 
 def test_a_ledger_failure_is_reported_once_and_the_gateway_serves_on() -> None:
+    """The disk is full for five seconds. Every commit and scan must be answered at once, one line logged, and
+    the ledger used again when there is space.
+    """
     fixture = ClientFixture()
     fixture.store.fault = "ledger: /l: No space left on device: see to that disk"
     for ticket in range(50):
@@ -188,16 +200,15 @@
     }
     assert (
         len(fixture.gateway.events_of(CommitCompleted)) == len(fixture.gateway.events_of(ScanCompleted)) == 50
-        and len(fixture.gateway.events_of(LedgerUnavailable)) == 1
     )
+    assert len(fixture.gateway.events_of(LedgerUnavailable)) == 1
     assert fixture.gateway.log.events == ["ledger_unavailable"]
     assert fixture.gateway.log.fields == [{"folder": "/l", "reason": fixture.store.fault}]
     assert not fixture.client.holds_lease(fixture.gateway.time)
     fixture.store.fault = ""
     fixture.gateway.run(1000.0)
-    assert len(fixture.gateway.events_of(LedgerRecovered)) == 1 and fixture.client.holds_lease(
-        fixture.gateway.time
-    )
+    assert len(fixture.gateway.events_of(LedgerRecovered)) == 1
+    assert fixture.client.holds_lease(fixture.gateway.time)
     assert fixture.gateway.log.events == ["ledger_unavailable", "ledger_recovered"]
     fixture.commit(99, "x/99")
     fixture.gateway.run(0.0)
@@ -213,6 +224,9 @@
 def test_a_read_only_ledger_stays_unavailable(
     monkeypatch: pytest.MonkeyPatch, free_bytes: int, slow_poll: bool
 ) -> None:
+    """A full or read-only disk rejects writes while all polls succeed. The ledger must not count as recovered
+    until a frame as long as the one that failed can be written.
+    """
     fixture, real = ClientFixture(), MemoryStore.commit
 
     def commit_to_full_disk(incarnation: Any, transactions: Any) -> Any:
@@ -233,17 +247,20 @@
             fixture.client.commit(Commit(1, (Transaction((Create("x/1", bytes(3_000)),)),), "t"))
         polls = len(fixture.gateway.events_of(LedgerChanged))
         fixture.gateway.run(5_000.0)
-        assert len(fixture.gateway.events_of(LedgerUnavailable)) == 1 and not fixture.gateway.events_of(
-            LedgerRecovered
-        )
+        assert len(fixture.gateway.events_of(LedgerUnavailable)) == 1
+        assert not fixture.gateway.events_of(LedgerRecovered)
         assert len(fixture.gateway.events_of(LedgerChanged)) == polls, (
             "polls are not dispatched while the ledger is unavailable"
         )
     fixture.gateway.run(1_000.0)
-    assert len(fixture.gateway.events_of(LedgerRecovered)) == 1 and not fixture.store.scan("probe")
+    assert len(fixture.gateway.events_of(LedgerRecovered)) == 1
+    assert not fixture.store.scan("probe")
 
 
 def test_a_hanging_disk_times_out_and_its_late_result_is_ignored() -> None:
+    """The disk hangs. What waits is answered as unknown within the time-out, and the late result changes
+    nothing.
+    """
     fixture = ClientFixture()
     fixture.runner.paused = True
     fixture.commit(1, "x/1")
@@ -258,20 +275,20 @@
         (2, TransactionOutcome.UNKNOWN),
     ]
     fixture.gateway.run(5_000.0)
-    assert len(fixture.gateway.events_of(LedgerUnavailable)) == 1 and len(fixture.runner.jobs) == 1
+    assert len(fixture.gateway.events_of(LedgerUnavailable)) == 1
+    assert len(fixture.runner.jobs) == 1
     fixture.commit(3, "x/3")
     assert fixture.gateway.events_of(CommitCompleted)[-1].results[0].outcome is TransactionOutcome.UNKNOWN
     fixture.runner.paused = False
     fixture.runner.run_jobs()
     fixture.gateway.run(1_000.0)
-    assert (
-        len(fixture.gateway.events_of(CommitCompleted)) == 3
-        and len(fixture.gateway.events_of(LedgerRecovered)) == 1
-    )
+    assert len(fixture.gateway.events_of(CommitCompleted)) == 3
+    assert len(fixture.gateway.events_of(LedgerRecovered)) == 1
     assert [r.key for r in fixture.store.scan("x/")] == ["x/1"]
 
 
 def test_commits_at_close_are_written_after_a_running_poll() -> None:
+    """The process ends while a poll is running. What the stages have committed must still be written."""
     fixture = ClientFixture()
     fixture.runner.paused = True
     fixture.gateway.run(100.0)
@@ -280,13 +297,12 @@
         fixture.commit(ticket, f"x/{ticket}")
     fixture.client.release_lease()
     fixture.client.close()
-    assert (
-        len(fixture.store.scan("x/")) == MAX_BATCH_TRANSACTIONS + 2
-        and fixture.store.members_by_name["n"].fenced
-    )
+    assert len(fixture.store.scan("x/")) == MAX_BATCH_TRANSACTIONS + 2
+    assert fixture.store.members_by_name["n"].fenced
 
 
 def test_a_fenced_gateway_is_notified_once_and_stops_using_the_ledger() -> None:
+    """Another gateway fences this one. It must be told once, log it once, and commit nothing more."""
     fixture = ClientFixture()
     renewal = fixture.store.members_by_name["n"].renewal
     fixture.store.commit(fixture.other, [Transaction((Fence(fixture.client.incarnation, renewal),))])
@@ -306,18 +322,24 @@
     """A process died while it wrote to the log. The next reader skips the torn frame and says where it is."""
     fixture = ClientFixture()
     skipped = [SkippedFrame("log.00000001", 99)]
-    fixture.store.take_skipped_frames = lambda: [skipped.pop()] if skipped else []  # type: ignore[method-assign]  # a stub
+
+    def take_skipped_frames() -> list[SkippedFrame]:
+        return [skipped.pop()] if skipped else []
+
+    fixture.store.take_skipped_frames = take_skipped_frames  # type: ignore[method-assign]  # a stub
     fixture.gateway.run(200.0)
     assert fixture.gateway.log.events == ["ledger_log_frame_skipped"]
     assert fixture.gateway.log.fields == [{"folder": "/l", "file": "log.00000001", "offset": 99}]
 
 
 def test_graceful_shutdown_releases_the_lease_silently() -> None:
+    """A gateway ends its own incarnation. That is no failure: nothing may be logged as one."""
     fixture = ClientFixture()
     fixture.commit(1, "x/last")
     fixture.client.release_lease()
     fixture.client.close()
-    assert fixture.store.members_by_name["n"].fenced and fixture.store.read("x/last") is not None
+    assert fixture.store.members_by_name["n"].fenced
+    assert fixture.store.read("x/last") is not None
     assert not fixture.gateway.log.events
 
 
@@ -325,59 +347,34 @@
     def __init__(self) -> None:
         self.calls: Any = __import__("queue").Queue()
 
-    def callFromThread(self, *call: Any) -> None:  # noqa: N802 (Twisted's name)
+    def callFromThread(self, *call: Any) -> None:  # noqa: N802  # Twisted's name
         self.calls.put(call)
 
 
 def test_a_gateway_rejects_a_second_one_of_its_name(tmp_path: Path) -> None:
+    """Two gateways are started under one name. The second must not start, nor disturb the first."""
     gateway, reactor = FakeGateway(), FakeReactor()
     environ = {"MEADOWPULLEY_LEDGER": str(tmp_path)}
     assert start_ledger(gateway, "n", {}, reactor) is None
     client = start_ledger(gateway, "n", environ, reactor)
-    assert client is not None and isinstance(client._runner, WorkerThread)
+    assert client is not None
+    assert isinstance(client._runner, WorkerThread)
     with pytest.raises(LedgerUnusableError, match="'n' is taken by a living gateway"):
         start_ledger(gateway, "n", environ, reactor)
     client.wrap(gateway, tuple)
     client.start()
     call, *arguments = reactor.calls.get(timeout=30)  # from the thread, for the reactor's turn
     call(*arguments)
-    assert (
-        gateway.events_of(LedgerChanged)
-        and gateway.events_of(CommitCompleted, "keeper")[0].results[0].outcome is TransactionOutcome.COMMITTED
-    )
+    assert gateway.events_of(LedgerChanged)
+    assert gateway.events_of(CommitCompleted, "keeper")[0].results[0].outcome is TransactionOutcome.COMMITTED
     client.release_lease()
     client.close()
     restarted = start_ledger(gateway, "n", environ, reactor)
-    assert restarted is not None and restarted.incarnation.epoch == 2
+    assert restarted is not None
+    assert restarted.incarnation.epoch == 2
     restarted.close()
 
 
-@pytest.mark.parametrize(
-    ("name", "value", "message"),
-    [
-        ("LEDGER_TERM_MS", "soon", "TERM_MS: 'soon' is no number from 1"),
-        ("LEDGER_TERM_MS", "1000", "TERM_MS: 1000 is too short for renewals that may take 850"),
-        ("LEDGER_POLL_MS", "0", "POLL_MS: '0' is no number from 5"),
-        ("LEDGER_WAIT_MS", "nan", "WAIT_MS: 'nan'"),
-        ("LEDGER_MB", "inf", "MB: 'inf'"),
-        ("LEDGER_SYNC", "yes", "SYNC: 'yes' is neither 0 nor 1"),
-        ("FAILPOINTS", "log.apended=kill", "FAILPOINTS: 'log.apended=kill'"),
-    ],
-)
-def test_invalid_settings_are_rejected(name: str, value: str, message: str) -> None:
-    assert (
-        read_settings({f"MEADOWPULLEY_{name}": value}) is None
-    )  # settings are read only if a ledger is configured
-    with pytest.raises(LedgerUnusableError, match=message) as raised:
-        settings(**{f"MEADOWPULLEY_{name}": value})
-    assert "\n" not in str(raised.value)
-
-
-def test_run_does_not_import_the_ledger() -> None:
-    check = "import sys, meadowpulley.__main__; print([m for m in sys.modules if 'ledger' in m])"
-    assert subprocess.run([sys.executable, "-c", check], capture_output=True, text=True).stdout == "[]\n"
-
-
 def test_lease_timers_are_dispatched_by_the_gateway() -> None:
     fixture = ClientFixture()
     assert Timer(5) in fixture.gateway.events
--- a/tests/test_ledger_contract.py
+++ b/tests/test_ledger_contract.py
@@ -142,21 +142,22 @@
         assert (result.existing.value if result.existing else None) == (
             pending_value or (records_before[key].value if key in records_before else None)
         )
-        assert {r.key: r for r in store.scan("")} == records_before and store.members() == members_before
+        assert {r.key: r for r in store.scan("")} == records_before
+        assert store.members() == members_before
         return
     now = {r.key: r for r in store.scan("")}
     for write in writes:
         if isinstance(write, Create | Replace):
             record = store.read(write.key)
-            assert (
-                record is not None
-                and (record.value, record.writer) == (write.value, a)
-                and record == now[write.key]
-            )
-            assert record.version > version_before and result.version >= record.version
+            assert record is not None
+            assert (record.value, record.writer) == (write.value, a)
+            assert record == now[write.key]
+            assert record.version > version_before
+            assert result.version >= record.version
     removed_keys = [w.key for w in writes if isinstance(w, Remove) and w.key not in now]
     changes = store.changes(version_before)
-    assert set(changes.removed_keys) == set(removed_keys) and not changes.is_snapshot
+    assert set(changes.removed_keys) == set(removed_keys)
+    assert not changes.is_snapshot
     assert {r.key for r in changes.records} == {k for k, r in now.items() if r.version > version_before}
     by_incarnation = {m.incarnation: m for m in store.members()}
     assert by_incarnation[a].renewal == any(isinstance(w, RenewLease) for w in writes)
@@ -165,6 +166,7 @@
 
 
 def test_a_fenced_incarnation_commits_nothing(store: Store) -> None:
+    """A gateway was fenced while it slept. Whatever it tries when it wakes must change nothing."""
     a, b = store.register("a", 1000.0), store.register("b", 1000.0)
     transactions = [
         Transaction((Create("first", b""),)),
@@ -179,22 +181,21 @@
         commit_one(store, Incarnation("c", 1), Create("k", b"")).outcome is FENCED
     )  # an incarnation that was never registered
     assert [r.key for r in store.scan("")] == ["first", "last"]
-    assert (
-        commit_one(store, a, ReleaseLease()).outcome is COMMITTED
-        and commit_one(store, a, RenewLease()).outcome is FENCED
-    )
+    assert commit_one(store, a, ReleaseLease()).outcome is COMMITTED
+    assert commit_one(store, a, RenewLease()).outcome is FENCED
 
 
 def test_epochs_rise_and_a_live_name_is_rejected(store: Store) -> None:
+    """A name is registered again and again. A living holder keeps it, and no epoch is given twice."""
     a, b = store.register("a", 1000.0), store.register("b", 1000.0)
     with pytest.raises(LedgerUnusableError, match="'b'"):
         store.register("b", 1000.0)
     commit_one(store, a, Fence(b, 0))
     restarted = store.register("b", 500.0)
-    assert restarted == Incarnation("b", 2) and commit_one(store, b, RenewLease()).outcome is FENCED
-    assert commit_one(store, restarted, ReleaseLease()).outcome is COMMITTED and store.register(
-        "b", 500.0
-    ) == Incarnation("b", 3)
+    assert restarted == Incarnation("b", 2)
+    assert commit_one(store, b, RenewLease()).outcome is FENCED
+    assert commit_one(store, restarted, ReleaseLease()).outcome is COMMITTED
+    assert store.register("b", 500.0) == Incarnation("b", 3)
     assert [(m.incarnation.epoch, m.fenced, m.term_ms) for m in store.members()] == [
         (1, False, 1000.0),
         (3, False, 500.0),
@@ -211,7 +212,8 @@
         assert commit_one(store, incarnation, RenewLease()).outcome is COMMITTED
     commit_one(store, incarnations[0], Fence(incarnations[3], 1))
     changes = store.changes(version, ("x/", "z"), ("b",))
-    assert [r.key for r in changes.records] == [f"x/{n}" for n in range(4)] and not changes.is_snapshot
+    assert [r.key for r in changes.records] == [f"x/{n}" for n in range(4)]
+    assert not changes.is_snapshot
     assert [(m.incarnation.name, m.renewal, m.fenced) for m in changes.members] == [
         ("b", 1, False),
         ("d", 1, True),
@@ -221,10 +223,13 @@
     assert (unchanged.version, unchanged.records, unchanged.removed_keys) == (changes.version, (), ())
     assert [m.incarnation.name for m in unchanged.members] == ["b"]  # as they stand, every time
     snapshot = store.changes(0, ("y/",), ())
-    assert snapshot.is_snapshot and len(snapshot.records) == 4 and len(snapshot.members) == 4
+    assert snapshot.is_snapshot
+    assert len(snapshot.records) == 4
+    assert len(snapshot.members) == 4
 
 
 def test_tombstones_are_kept_up_to_a_limit(store: Store) -> None:
+    """More keys are removed than tombstones are kept. A reader from before must be given a snapshot."""
     a = store.register("a", 1000.0)
     first_version = commit_one(store, a, Create("kept", b"")).version
     key_count = 5_000
@@ -234,5 +239,6 @@
     del records["kept"]
     store.commit(a, [Transaction((Remove(key, version),)) for key, version in records.items()])
     changes = store.changes(created_version)
-    assert changes.is_snapshot and [r.key for r in changes.records] == ["kept"]
+    assert changes.is_snapshot
+    assert [r.key for r in changes.records] == ["kept"]
     assert len(store.changes(changes.version - 10).removed_keys) == 10
--- a/tests/test_ledger_disk.py
+++ b/tests/test_ledger_disk.py
@@ -41,6 +41,9 @@
 
 
 def test_a_torn_frame_at_the_end_is_skipped_wherever_it_was_cut(tmp_path: Path) -> None:
+    """A process dies while it appends. Wherever its frame was cut short, readers skip it and later frames
+    count.
+    """
     store, incarnation = create_filled_store(tmp_path / "whole")
     before, data = encode(store._log.state), (tmp_path / "whole" / LOG).read_bytes()
     store.commit(incarnation, [Transaction((Create("last", b"\n\x1b" * 20),))])
@@ -62,6 +65,7 @@
 
 
 def test_damage_before_the_end_is_rejected(tmp_path: Path) -> None:
+    """A bit of the log flips. No record may be taken from such a log, and nothing in it may be changed."""
     create_filled_store(tmp_path / "whole")
     data, generator = (tmp_path / "whole" / LOG).read_bytes(), random.Random(1)
     end = data[:-1].rindex(b"\n")  # where the last frame begins
@@ -90,13 +94,16 @@
 def test_a_folder_without_a_ledger_is_rejected(
     tmp_path: Path, name: str, content: bytes, message: str
 ) -> None:
+    """The setting names a folder that holds something else. It must be refused and left as it is."""
     (tmp_path / name).write_bytes(content)
     with pytest.raises(LedgerUnusableError, match=message):
         DiskStore(str(tmp_path))
-    assert [p.name for p in tmp_path.iterdir()] == [name] and (tmp_path / name).read_bytes() == content
+    assert [p.name for p in tmp_path.iterdir()] == [name]
+    assert (tmp_path / name).read_bytes() == content
 
 
 def test_another_installation_format_or_durability_is_rejected(tmp_path: Path) -> None:
+    """The folder holds a ledger, but of another installation, format or durability. It must be refused."""
     store, _ = create_filled_store(tmp_path)
     DiskStore(str(tmp_path), installation=store.installation).close()
     with pytest.raises(LedgerUnusableError, match="is of installation"):
@@ -110,6 +117,7 @@
 
 
 def test_a_moved_or_replaced_folder_fails_until_restored(tmp_path: Path) -> None:
+    """The folder is moved away while the ledger is open, and another stands in its place."""
     store, incarnation = create_filled_store(tmp_path / "here")
     (tmp_path / "here").rename(tmp_path / "there")
     with pytest.raises(LedgerError, match="No such file"):
@@ -147,13 +155,16 @@
 
     monkeypatch.setattr(os, "open", open_late)
     reopened = DiskStore(str(tmp_path), max_log_bytes=1)
-    assert (
-        reopened_files and len(reopened.scan("k")) == 20 and reopened._log.file_name == other._log.file_name
-    )
+    assert reopened_files
+    assert len(reopened.scan("k")) == 20
+    assert reopened._log.file_name == other._log.file_name
 
 
 @pytest.mark.parametrize("action", ["full", "error"])
 def test_a_transaction_that_failed_on_disk_may_be_applied_later_but_once(tmp_path: Path, action: str) -> None:
+    """The write succeeds and the sync fails. The outcome is unknown to the caller: applied once, or not at
+    all.
+    """
     store = DiskStore(str(tmp_path), sync=True, failpoint=parse_failpoints(f"log.appended={action}@3+"))
     incarnation = store.register("a", 1000.0)
     assert (
@@ -165,13 +176,14 @@
             store.commit(incarnation, [Transaction((Create("l", b""),))])
     store = DiskStore(str(tmp_path), sync=True)
     record = store.read("l")
-    assert (
-        record is not None
-        and store.commit(incarnation, [Transaction((Create("l", b""),))])[0].existing == record
-    )
+    assert record is not None
+    assert store.commit(incarnation, [Transaction((Create("l", b""),))])[0].existing == record
 
 
 def test_damage_found_while_running_is_permanent(tmp_path: Path) -> None:
+    """A foreign program writes to the log. Nothing after its bytes may ever count, at the next call
+    neither.
+    """
     store, incarnation = create_filled_store(tmp_path)
     with open(tmp_path / LOG, "ab") as log:
         log.write(b"somebody else\n")
--- a/tests/test_ledger_format.py
+++ b/tests/test_ledger_format.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import uuid
-from collections.abc import Callable
 from pathlib import Path
 
 import pytest
@@ -128,7 +127,8 @@
 def test_an_old_entry_is_read_and_written_again_unchanged(name: str) -> None:
     entry, frame = OLD_FRAMES[name]
     payload = decode_frame(frame[1:-1])
-    assert isinstance(payload, bytes) and decode(payload) == entry
+    assert isinstance(payload, bytes)
+    assert decode(payload) == entry
     assert encode_frame(encode(entry)) == frame
 
 
@@ -136,17 +136,18 @@
 def test_an_old_log_is_read(tmp_path: Path, name: str) -> None:
     (tmp_path / name).write_bytes(GENERATIONS[name][1])
     store = DiskStore(str(tmp_path), "inst", machine_boot_id="boot-1")
-    assert store.scan("") == RECORDS and store.members() == MEMBERS
+    assert store.scan("") == RECORDS
+    assert store.members() == MEMBERS
     changes = store.changes(1)
-    assert changes.removed_keys == ("l",) and changes.version == 9
+    assert changes.removed_keys == ("l",)
+    assert changes.version == 9
     assert store.register("a", 1000.0) == Incarnation("a", 2)
     store.close()
 
 
 @pytest.mark.parametrize("name", GENERATIONS)
 def test_a_log_is_written_as_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str) -> None:
-    make_id: Callable[[], uuid.UUID] = lambda: uuid.UUID(int=7)  # noqa: E731
-    monkeypatch.setattr(uuid, "uuid4", make_id)
+    monkeypatch.setattr(uuid, "uuid4", lambda: uuid.UUID(int=7))
     max_log_bytes, content = GENERATIONS[name]
     store = DiskStore(str(tmp_path), "inst", False, max_log_bytes, machine_boot_id="boot-1")
     write_ledger(store)
--- a/tests/test_rules_checker.py
+++ b/tests/test_rules_checker.py
@@ -242,7 +242,8 @@
 def test_guarded_stages_reject_requests_with_effects() -> None:
     guarded = replace(PARAMETERS, guarded_stages=1)
     effect: list[Record] = [received(1, 1, UNSAFE_CLASS), attempt(1, 1, 0, 9, 42), served_response(2, 1)]
-    assert violated_rules(effect, guarded) == {"exposure": 1} and violated_rules(effect) == {}
+    assert violated_rules(effect, guarded) == {"exposure": 1}
+    assert violated_rules(effect) == {}
     assert violated_rules([RolloutUpdated(0.5, 0, 42, 1, "trial", 0.5), *effect], guarded) == {}
 
 
@@ -251,9 +252,8 @@
     mixed: list[Record] = [received(1, 1), received(1, 2), received(1, 3, UNSAFE_CLASS)]
     tries: list[Record] = [attempt(2, n, 0, 9, 42) for n in (1, 2, 3)]
     ends: list[Record] = [served_response(3, n) for n in (1, 2, 3)]
-    assert violated_rules([*mixed, *tries, *ends], alone) == {} and violated_rules(
-        [*mixed, *tries, *ends]
-    ) == {"exposure": 1}
+    assert violated_rules([*mixed, *tries, *ends], alone) == {}
+    assert violated_rules([*mixed, *tries, *ends]) == {"exposure": 1}
 
 
 def test_trace_round_trip_and_bad_line_number() -> None:
--- a/tests/test_rules_exposure.py
+++ b/tests/test_rules_exposure.py
@@ -85,7 +85,8 @@
     list_both_builds(driver)
     driver.update_rollout(42, 1, 0.5)
     driver.update_rollout(42, 0, 0.1)
-    assert driver.policy.furthest_rollout is not None and driver.policy.furthest_rollout.stage == 1
+    assert driver.policy.furthest_rollout is not None
+    assert driver.policy.furthest_rollout.stage == 1
     at = trial_send_times(driver, 300, 42)
     assert len(at) <= 2 + 0.1 * 300
 
@@ -179,11 +180,9 @@
     driver.update_rollout(42, 1, 1.0)
     [send] = sends(driver.request(SAFE, key=5))
     driver.update_endpoints([server_entry(10, 42, state=ServerState.DRAINING), server_entry(1, 41)])
-    assert (
-        not sends(driver.request(SAFE, key=5))
-        and sends(driver.request(SAFE, key=6))
-        and sends(driver.request(SAFE))
-    )
+    assert not sends(driver.request(SAFE, key=5))
+    assert sends(driver.request(SAFE, key=6))
+    assert sends(driver.request(SAFE))
     driver.finish(send, Result.CONNECT_FAILED, final=True)
     assert sends(driver.request(SAFE, key=5))
 
@@ -197,7 +196,8 @@
     driver.finish(send)
     driver.update_rollout(43, 0, 0.1)
     driver.update_endpoints([server_entry(1, 41)])
-    assert not sends(driver.request(SAFE, key=5)) and driver.policy.build_evidence[43].sent_windows[-1].times
+    assert not sends(driver.request(SAFE, key=5))
+    assert driver.policy.build_evidence[43].sent_windows[-1].times
 
 
 def test_state_of_keys_windows_and_builds_is_bounded() -> None:
@@ -215,19 +215,18 @@
         driver.update_endpoints([server_entry(10, build, driver.now)])
     driver.now += 5_000.0
     driver.fire_timer()
-    assert (
-        len(driver.policy.sticky_builds) <= MAX_STICKY_KEYS
-        and len(driver.policy.build_evidence) <= 3
-        and not driver.policy.in_flight
-        and not driver.policy.attempts
-    )
+    assert len(driver.policy.sticky_builds) <= MAX_STICKY_KEYS
+    assert len(driver.policy.build_evidence) <= 3
+    assert not driver.policy.in_flight
+    assert not driver.policy.attempts
     maximum = (ROLLOUT.exposure_window_ms + WINDOW_MARGIN_MS) / 5 + 2
     assert all(len(window.times) <= maximum for window in driver.policy.request_windows.values())
     assert driver.policy.oldest_sticky_build > 42
     driver.update_endpoints(
         [server_entry(1, 41)]
     )  # what the notes said of each key, the lowest build in service says of all
-    assert not sends(driver.request(SAFE, key=5)) and sends(driver.request(SAFE))
+    assert not sends(driver.request(SAFE, key=5))
+    assert sends(driver.request(SAFE))
 
 
 # Odd but legal
@@ -241,7 +240,8 @@
     assert driver.policy.latest_rollout is None
     driver.update_rollout(42)
     driver.update_rollout(40, 2, 1.0, Phase.RELEASED)
-    assert driver.policy.furthest_rollout is not None and driver.policy.furthest_rollout.build == 42
+    assert driver.policy.furthest_rollout is not None
+    assert driver.policy.furthest_rollout.build == 42
     driver.handle(GossipReceived(3, b"?"))
     driver.handle(IncorrectResponse(77, 0, 5.0))
     driver.handle(ProbeResult(77, Result.OK, 1.0))
