--- a/meadowpulley/ledger/lease_manager.py
+++ b/meadowpulley/ledger/lease_manager.py
@@ -49,6 +49,9 @@
 LEASE_OWNER = "keeper"  # owner of the lease manager's own commits
 MAX_POLL_GAP_FRACTION = 0.5  # of a term without a poll, after which all leases are counted anew
 
+# The events of every request pass through `handle`: one look-up finds that they need nothing from it.
+HANDLED_EVENTS = frozenset({Timer, CommitCompleted, LedgerChanged, LedgerRecovered})
+
 LeaseAction: TypeAlias = Commit | SetTimer | WatchRequest
 
 
@@ -104,7 +107,7 @@
 
         False after a process slept through its lease, until a renewal that it started since was committed.
         """
-        return not self.fenced and now < self._lease_held_until
+        return self.phase is not LeasePhase.FENCED and now < self._lease_held_until
 
     def live_incarnations(self) -> list[Incarnation]:
         """Return all incarnations that are neither fenced nor expired, in the order of the ring."""
@@ -112,6 +115,8 @@
 
     def handle(self, now: float, event: StageEvent) -> list[StageAction]:
         """Return the actions that follow from an event; `now` is in milliseconds."""
+        if type(event) not in HANDLED_EVENTS:
+            return self.inner.handle(now, event)
         match event:
             case Timer(token=token) if token == LEASE_TIMER:
                 return [*self._renew(now), *self._fence_due_members(now)]
--- a/meadowpulley/ledger/shared_log.py
+++ b/meadowpulley/ledger/shared_log.py
@@ -71,6 +71,18 @@
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
+@dataclass(slots=True)
+class _GenerationProgress:
+    """How far the file of one generation was read."""
+
+    reader: FrameReader = field(default_factory=FrameReader)
+    state_loaded: bool = False  # whether its first state was read: proposals count only after it
+    ended: bool = False  # whether its `EndEntry` was read: nothing after it counts
+    size_bytes: int = 0
+    initial_size_bytes: int = 0  # up to its first state
+    read_error: str = ""  # why nothing more can be read, if so
+
+
 class SharedLog:
     """The log, and the state of the ledger at its end.
 
@@ -90,6 +102,7 @@
         self.skipped_frames: list[SkippedFrame] = []  # not reported yet
         self.state = MemoryStore()
         self.header = GenerationHeader("", 0, settings.sync, settings.boot_id)
+        self._generation = _GenerationProgress()
         self._process_id = uuid.uuid4().hex[:PROCESS_ID_LENGTH]
         self._proposal_count = 0
         self._open_newest()
@@ -126,14 +139,10 @@
         self.close()
         self._fd = fd
         self.file_name = file_name
-        self._reader = FrameReader()
-        self._state_loaded = False
-        self._generation_ended = False
-        self._read_error = ""
-        self._size_bytes = 0
+        self._generation = _GenerationProgress()
         try:
             self.read_new_entries()
-            if not self._state_loaded:
+            if not self._generation.state_loaded:
                 raise LedgerUnusableError(
                     f"ledger: {self._path}/{file_name} holds no ledger: name another folder"
                 )
@@ -194,7 +203,7 @@
             if applied is not None:
                 self._end_generation_if_grown()
                 return applied
-            if not self._generation_ended:
+            if not self._generation.ended:
                 raise LedgerError(
                     f"ledger: {self._path}/{self.file_name} has lost an entry: put a new one there"
                 )
@@ -209,8 +218,8 @@
             self._failpoint("log.synced")
 
     def _end_generation_if_grown(self) -> None:
-        limit = max(self._settings.max_bytes, MAX_GROWTH_FACTOR * self._initial_size)
-        if self._generation_ended or self._size_bytes <= limit:
+        limit = max(self._settings.max_bytes, MAX_GROWTH_FACTOR * self._generation.initial_size_bytes)
+        if self._generation.ended or self._generation.size_bytes <= limit:
             return
         with contextlib.suppress(OSError):  # the proposal has succeeded; the next one reports the error
             self._end_generation()
@@ -223,39 +232,39 @@
         Returns what became of the proposal with that id, or None if it was not met.
         """
         own: AppliedProposal | None = None
-        if self._read_error:
-            raise LedgerUnusableError(self._read_error)
-        while not self._generation_ended and (data := self._read_chunk()):
+        if self._generation.read_error:
+            raise LedgerUnusableError(self._generation.read_error)
+        while not self._generation.ended and (data := self._read_chunk()):
             try:
                 for applied in self._apply_chunk(data):
                     if proposal_id and applied.proposal_id == proposal_id:
                         own = applied
             except Exception as error:  # any failure: nothing after a frame that could not be read may count
-                self._read_error = str(error)
+                self._generation.read_error = str(error)
                 raise
-            self._size_bytes = self._reader.offset
+            self._generation.size_bytes = self._generation.reader.offset
         return own
 
     def _apply_chunk(self, data: bytes) -> Iterator[AppliedProposal]:
         """Apply the frames that end in `data`, up to the end of the generation; yield the proposals."""
-        for frame in self._reader.feed(data):
-            if self._generation_ended:
+        for frame in self._generation.reader.feed(data):
+            if self._generation.ended:
                 continue  # the reader still counts its bytes
             applied = self._apply_frame(frame)
             if applied is not None:
                 yield applied
 
     def _read_chunk(self) -> bytes:
-        return os.pread(self._fd, READ_CHUNK_BYTES, self._reader.offset)
+        return os.pread(self._fd, READ_CHUNK_BYTES, self._generation.reader.offset)
 
     def catch_up(self) -> None:
         """Apply what was appended since the last call, through newer generations too."""
         self.read_new_entries()
-        while self._generation_ended:
+        while self._generation.ended:
             self._open_next_generation()
         if os.fstat(self._fd).st_nlink == 0:
             self.read_new_entries()  # a generation is removed only after it has ended
-            if not self._generation_ended:
+            if not self._generation.ended:
                 raise LedgerError(
                     f"ledger: {self._path}/{self.file_name} was removed: put it back and start again"
                 )
@@ -275,11 +284,11 @@
             self._check_header(entry)
         elif isinstance(entry, MemoryStore):
             self.state = entry
-            self._state_loaded = True
-            self._initial_size = self._reader.offset
+            self._generation.state_loaded = True
+            self._generation.initial_size_bytes = self._generation.reader.offset
         elif isinstance(entry, EndEntry):
-            self._generation_ended = True
-        elif self._state_loaded:
+            self._generation.ended = True
+        elif self._generation.state_loaded:
             return self._apply_proposal(entry)
         return None
 
@@ -295,8 +304,8 @@
         """Skip a torn frame; a damaged one is tolerated only where nothing was to outlive the machine."""
         if reason is CorruptFrame.TORN:
             self.skipped_frames.append(SkippedFrame(self.file_name, offset))
-        elif self._state_loaded and self._lost_by_machine_crash():
-            self._generation_ended = True
+        elif self._generation.state_loaded and self._lost_by_machine_crash():
+            self._generation.ended = True
         else:
             raise LedgerUnusableError(
                 f"ledger: {self._location(offset)}: damaged: put it aside and start with an empty folder"
--- a/meadowpulley/stage_pipeline.py
+++ b/meadowpulley/stage_pipeline.py
@@ -128,8 +128,9 @@
     try:
         from meadowpulley.placement.gateway import requested_experiment
     except ModuleNotFoundError as error:
-        hint = "install requirements-placement.txt"
-        raise LedgerUnusableError(f"{PLACEMENT_VARIABLE}: {error}: {hint}") from None
+        raise LedgerUnusableError(
+            f"{PLACEMENT_VARIABLE}: {error}: install requirements-placement.txt"
+        ) from None
     return requested_experiment(settings, environ)
 
 
