--- a/tests/processes/test_ledger.py
+++ b/tests/processes/test_ledger.py
@@ -85,6 +85,7 @@
 @pytest.mark.parametrize(
     ("max_log_bytes", "sync"),
     [(DEFAULT_MAX_LOG_BYTES, False), (SMALL_LOG_BYTES, False), (SMALL_LOG_BYTES, True)],
+    ids=["one generation", "many generations", "many generations with sync"],
 )
 def test_each_claim_has_one_winner(tmp_path: Path, start: Start, max_log_bytes: int, sync: bool) -> None:
     """Eight processes claim the same thousand numbers at once. Each number must go to exactly one of them."""
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -154,7 +154,11 @@
     assert not fleet.fences
 
 
-@pytest.mark.parametrize(("gateway_count", "killed_count"), [(3, 1), (10, 7), (60, 42), (200, 140)])
+@pytest.mark.parametrize(
+    ("gateway_count", "killed_count"),
+    [(3, 1), (10, 7), (60, 42), (200, 140)],
+    ids=["1 of 3", "7 of 10", "42 of 60", "140 of 200"],
+)
 def test_each_lost_incarnation_is_fenced_once_and_all_are_notified(
     gateway_count: int, killed_count: int
 ) -> None:
@@ -177,13 +181,10 @@
         g.lease_manager.incarnation for g in lost
     )
     for gateway in survivors:
-        fenced = {
-            m.incarnation
-            for e in gateway.inner.events
-            if isinstance(e, LeaseExpired)
-            for m in e.members
-            if m.fenced
-        }
+        fenced = set[Incarnation]()
+        for event in gateway.inner.events:
+            if isinstance(event, LeaseExpired):
+                fenced.update(member.incarnation for member in event.members if member.fenced)
         assert fenced == {g.lease_manager.incarnation for g in lost}
     assert fleet.fences == killed_count  # each waits for those before it, so no fence fails
 
--- a/tests/test_ledger_disk.py
+++ b/tests/test_ledger_disk.py
@@ -90,6 +90,7 @@
         (LOG, b"\nsomething else\n", "damaged"),
         (LOG, bytes(100), "holds no ledger"),
     ],
+    ids=["another file", "empty log", "foreign log", "log of zeros"],
 )
 def test_a_folder_without_a_ledger_is_rejected(
     tmp_path: Path, name: str, content: bytes, message: str
@@ -192,7 +193,11 @@
             store.commit(incarnation, [Transaction((Create("late", b""),))])
 
 
-@pytest.mark.parametrize(("sync", "damaged_tail"), [(False, False), (False, True), (True, False)])
+@pytest.mark.parametrize(
+    ("sync", "damaged_tail"),
+    [(False, False), (False, True), (True, False)],
+    ids=["truncated", "damaged tail", "truncated with sync"],
+)
 def test_durability_after_a_machine_crash(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sync: bool, damaged_tail: bool
 ) -> None:
--- a/tests/test_ledger_settings.py
+++ b/tests/test_ledger_settings.py
@@ -22,6 +22,7 @@
         ("LEDGER_SYNC", "yes", "SYNC: 'yes' is neither 0 nor 1"),
         ("FAILPOINTS", "log.apended=kill", "FAILPOINTS: 'log.apended=kill'"),
     ],
+    ids=["no term", "short term", "no poll", "time-out", "size", "sync", "failpoint"],
 )
 def test_invalid_settings_are_rejected(name: str, value: str, message: str) -> None:
     """A setting can't be used. The gateway must not start, and say so in one line."""
