--- a/benchmarks/lending_fleet.py
+++ b/benchmarks/lending_fleet.py
@@ -176,7 +176,7 @@
         """Connect a gateway to the ledger again."""
         gateway.disconnected = False
         self.deliver(gateway, LedgerRecovered())
-        self._watch(gateway, anew=True)
+        self._watch(gateway)
 
     def deliver(self, gateway: SimulatedGateway, event: Any, epoch: int | None = None) -> None:
         """Hand an event to a gateway's stage, and carry out the actions."""
--- a/meadowpulley/model_checking/shared_state_model/gateway_state.py
+++ b/meadowpulley/model_checking/shared_state_model/gateway_state.py
@@ -38,7 +38,6 @@
 IGNORED_FIELDS = {
     "RolloutPolicy": UNCHANGING_POLICY_FIELDS | {"rng"},
     "InFlightRequest": frozenset({"request_class"}),
-    "LeaseManager": frozenset({"_handlers"}),
     "LendingStage": frozenset({"settings", "priority_weights"}),
     "TransactionBuilder": frozenset({"actions", "transactions", "intents", "now"}),
 }
