--- a/meadowpulley/__main__.py
+++ b/meadowpulley/__main__.py
@@ -10,12 +10,13 @@
 import signal
 import sys
 from collections.abc import Callable
+from functools import partial
 
 if __name__ == "__main__":
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # nothing has been read yet that could be read again
     # The log's library imports this one, if it is installed, to colour terminals. Beside the tools it would
-    # be found, and cost the gateway 3 MB for nothing.
-    sys.modules.setdefault("rich", None)  # type: ignore[arg-type]
+    # be found, and cost the gateway 3 MB for nothing. None makes the import fail.
+    sys.modules.setdefault("rich", None)  # type: ignore[arg-type]  # typeshed knows modules alone
 
 from twisted.internet import error, main
 
@@ -24,7 +25,8 @@
 from meadowpulley.net.log import open_log
 from meadowpulley.net.reactor import MonotonicReactor
 
-EXIT_SUCCESS, EXIT_UNUSABLE_CONFIG = 0, 2
+EXIT_SUCCESS = 0
+EXIT_UNUSABLE_CONFIG = 2
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 LEDGER_DEPENDENT_PREFIXES = ("MEADOWPULLEY_TAKEOVER", "MEADOWPULLEY_LENDING_", "MEADOWPULLEY_PLACEMENT")
 LISTEN_DELAY_S = 0.001
@@ -34,7 +36,7 @@
 def create_gateway(config: Config) -> tuple[Gateway, MonotonicReactor]:
     """Create a gateway and install the reactor that it runs on."""
     reactor = MonotonicReactor()
-    main.installReactor(reactor)  # type: ignore[no-untyped-call]
+    main.installReactor(reactor)  # type: ignore[no-untyped-call]  # Twisted's has no types
     gateway = Gateway(config, reactor, open_log(gateway=config.name))
     reactor.on_poll = gateway.deadlines.record_poll
     return gateway, reactor
@@ -55,10 +57,7 @@
 
     Their modules are imported only then. Raises ConfigError.
     """
-    try:
-        start_capture(gateway, reactor)
-    except (OSError, ValueError) as cause:
-        raise ConfigError(f"capture: {cause}") from None
+    start_capture(gateway, reactor)
     if os.environ.get("MEADOWPULLEY_SECONDS"):
         from meadowpulley.net.interval_metrics import IntervalMetrics
 
@@ -70,28 +69,38 @@
 
 
 def start_capture(gateway: Gateway, reactor: MonotonicReactor) -> None:
-    """Capture arrivals if the environment names a file for them. Raises OSError or ValueError."""
+    """Capture arrivals if the environment names a file for them. Raises ConfigError."""
     if not os.environ.get("MEADOWPULLEY_CAPTURE"):
         return
-    from meadowpulley.net.capture import FLUSH_INTERVAL_MS, open_capture
-
-    def run_in_thread(task: Callable[[], None], on_done: Callable[[bool], None]) -> None:
-        def run_task() -> None:
-            failed = False
-            try:
-                task()
-            except OSError:
-                failed = True
-            reactor.callFromThread(on_done, failed)
-
-        reactor.callInThread(run_task)
+    from meadowpulley.net.capture import FLUSH_INTERVAL_MS, CaptureError, open_capture
 
     config = gateway.config
-    capture = open_capture(os.environ, config.settings, config.name, gateway.deadlines.now, run_in_thread)
+    run_in_thread = partial(_run_in_thread, reactor)
+    try:
+        capture = open_capture(os.environ, config.settings, config.name, gateway.deadlines.now, run_in_thread)
+    except CaptureError as error:
+        raise ConfigError(f"capture: {error}") from None
     if capture is not None:
         gateway.start_capture(capture, FLUSH_INTERVAL_MS)
 
 
+def _run_in_thread(
+    reactor: MonotonicReactor, task: Callable[[], None], on_done: Callable[[bool], None]
+) -> None:
+    """Run a task in a thread, then call `on_done(failed)` in the reactor's thread."""
+
+    def run_task() -> None:
+        """Run the task; an OSError is its failure."""
+        failed = False
+        try:
+            task()
+        except OSError:
+            failed = True
+        reactor.callFromThread(on_done, failed)
+
+    reactor.callInThread(run_task)
+
+
 def start_ledger_stages(gateway: Gateway, reactor: MonotonicReactor) -> Callable[[], None]:
     """Start the stages that share state by way of a ledger, if the environment names one.
 
@@ -102,6 +111,7 @@
         return lambda: None
     try:
         from meadowpulley import stage_pipeline
+        from meadowpulley.ledger import LedgerUnusableError
     except ImportError as cause:
         raise ConfigError(
             f"MEADOWPULLEY_LEDGER: not in this build ({cause}): use that of `deploy/compile.py --joint`, with"
@@ -109,17 +119,14 @@
         ) from None
 
     try:
-        client = stage_pipeline.start_pipeline(gateway, os.environ, gateway.config.seed, reactor)
-    except Exception as cause:
-        if (
-            type(cause).__name__ != "LedgerUnusableError"
-        ):  # whose module is imported only where a ledger is named
-            raise
-        raise ConfigError(str(cause)) from None
+        pipeline = stage_pipeline.start_pipeline(gateway, os.environ, gateway.config.seed, reactor)
+    except LedgerUnusableError as error:
+        raise ConfigError(str(error)) from None
 
     def close() -> None:
-        client.shut_down()
-        client.close()
+        """Shut the stages down, then stop the ledger's thread."""
+        pipeline.shut_down()
+        pipeline.close()
 
     return close
 
@@ -150,6 +157,7 @@
     listen_errors: list[error.CannotListenError] = []
 
     def listen() -> None:
+        """Listen, or keep the error and end the loop."""
         try:
             gateway.listen()
         except error.CannotListenError as cause:
--- a/meadowpulley/net/capture.py
+++ b/meadowpulley/net/capture.py
@@ -13,18 +13,41 @@
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import IO
+from typing import IO, TypeAlias
 
 from meadowpulley.interface import Request, Settings
+from meadowpulley.net.errors import NetError
 
-ENV_FILE, ENV_MAX_MB = "MEADOWPULLEY_CAPTURE", "MEADOWPULLEY_CAPTURE_MB"
+ENV_FILE = "MEADOWPULLEY_CAPTURE"
+ENV_MAX_MB = "MEADOWPULLEY_CAPTURE_MB"
 MAX_PENDING_ARRIVALS = 4096  # that wait for the thread
 FLUSH_INTERVAL_MS = 500.0
 DEFAULT_MAX_MB = 64.0
 MAX_MB = 1e6
+BYTES_PER_MB = 1024 * 1024
+MAX_SOURCE_CHARS = 80  # of the gateway's name in the header, whose length is fixed
+KEY_DIGEST_BYTES = 7  # a hashed key stays below 2^56
+MS_DECIMALS = 3
 HEADER_BYTES = 256  # of the first line, which is rewritten at the end with the number of dropped arrivals
 
 
+# `run_in_thread(work, done)` runs `work` in a thread, then calls `done(failed)` in the reactor's thread.
+ThreadRunner: TypeAlias = Callable[[Callable[[], None], Callable[[bool], None]], None]
+
+
+class CaptureError(NetError):
+    """The capture that the environment asks for can't be started."""
+
+
+@dataclass(frozen=True, slots=True)
+class CaptureFile:
+    """Where a capture goes: a path, the name of its source, and the most bytes that it may take."""
+
+    path: str
+    source: str
+    max_bytes: int
+
+
 @dataclass(frozen=True, slots=True)
 class Arrival:
     """One captured request. Times are milliseconds; `arrived_ms` counts from the start of the capture."""
@@ -38,37 +61,33 @@
 
 
 class Capture:
-    """Record arrivals and write them to a file.
-
-    `run_in_thread(work, done)` runs `work` in a thread and then calls `done(failed)` in the reactor's thread.
-    """
+    """Record arrivals and write them to a file. `now` returns the gateway's time in milliseconds."""
 
     def __init__(
-        self,
-        path: str,
-        settings: Settings,
-        name: str,
-        now: Callable[[], float],
-        run_in_thread: Callable[[Callable[[], None], Callable[[bool], None]], None],
-        max_mb: float = DEFAULT_MAX_MB,
+        self, file: CaptureFile, settings: Settings, now: Callable[[], float], run_in_thread: ThreadRunner
     ) -> None:
-        self._settings, self._run_in_thread = settings, run_in_thread
-        self._name, self._started_at, self._started_unix_ms = name, now(), time.time() * 1000.0
+        self._settings = settings
+        self._run_in_thread = run_in_thread
+        self._source = file.source
+        self._max_bytes = file.max_bytes
+        self._started_at = now()
+        self._started_unix_ms = time.time() * 1000.0
         self._salt = os.urandom(16)
-        self._max_bytes = int(max_mb * 1024 * 1024)
         self._site = settings.zones[settings.zone] if settings.zone < len(settings.zones) else ""
         self._pending: list[Arrival] = []
         self._file_bytes = HEADER_BYTES
-        self._writing = self._failed = False
-        self.written = self.dropped = 0
-        self._file: IO[bytes] = open(path, "wb")  # noqa: SIM115 (closed at the gateway's end)
+        self._writing = False
+        self._failed = False
+        self.written = 0
+        self.dropped = 0
+        self._file: IO[bytes] = open(file.path, "wb")  # noqa: SIM115  # closed at the gateway's end
         self._file.write(self._header())
 
     def _header(self) -> bytes:
         header = {
             "format": "meadowpulley-load",
             "version": 1,
-            "source": self._name[:80],
+            "source": self._source[:MAX_SOURCE_CHARS],
             "started": round(self._started_unix_ms),
             "dropped": self.dropped,
         }
@@ -95,7 +114,8 @@
         """Pass pending arrivals to the thread, one batch at a time: a slow disk delays nothing else."""
         if self._writing or not self._pending:
             return
-        batch, self._pending = self._pending, []
+        batch = self._pending
+        self._pending = []
         self._writing = True
         self._run_in_thread(lambda: self._write_batch(batch), self._batch_done)
 
@@ -105,20 +125,20 @@
 
     def _encode(self, arrival: Arrival) -> bytes:
         fields: dict[str, float | int | str] = {
-            "at_ms": round(arrival.arrived_ms, 3),
+            "at_ms": round(arrival.arrived_ms, MS_DECIMALS),
             "cls": self._settings.classes[arrival.class_index].name,
         }
         if self._site:
             fields["site"] = self._site
         if arrival.key:
             key = arrival.key.to_bytes(8, "big")
-            digest = hashlib.blake2b(key, digest_size=7, key=self._salt).digest()
+            digest = hashlib.blake2b(key, digest_size=KEY_DIGEST_BYTES, key=self._salt).digest()
             fields["key"] = int.from_bytes(digest, "big")
         if arrival.work_estimate_ms:
-            fields["work_ms"] = round(arrival.work_estimate_ms, 3)
+            fields["work_ms"] = round(arrival.work_estimate_ms, MS_DECIMALS)
         if arrival.body_bytes:
             fields["bytes"] = arrival.body_bytes
-        fields["patience_ms"] = round(arrival.remaining_ms, 3)
+        fields["patience_ms"] = round(arrival.remaining_ms, MS_DECIMALS)
         return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
     def _write_batch(self, batch: list[Arrival]) -> None:
@@ -139,7 +159,8 @@
 
     def close(self) -> None:
         """Write what is pending and the final header. Errors are ignored: the gateway is ending."""
-        batch, self._pending = self._pending, []
+        batch = self._pending
+        self._pending = []
         try:
             if not self._failed and not self._writing:
                 self._write_batch(batch)
@@ -157,18 +178,31 @@
     settings: Settings,
     name: str,
     now: Callable[[], float],
-    run_in_thread: Callable[[Callable[[], None], Callable[[bool], None]], None],
+    run_in_thread: ThreadRunner,
 ) -> Capture | None:
     """Open the capture that the environment asks for; None where it names no file.
 
     Raises:
-        OSError: the file can't be opened.
-        ValueError: the size limit is no number of megabytes above 0.
+        CaptureError: the file can't be opened, or the size limit is no number of megabytes above 0.
     """
     path = environ.get(ENV_FILE)
     if not path:
         return None
-    max_mb = float(environ.get(ENV_MAX_MB) or DEFAULT_MAX_MB)
+    max_bytes = int(_read_max_mb(environ) * BYTES_PER_MB)
+    try:
+        return Capture(CaptureFile(path, name, max_bytes), settings, now, run_in_thread)
+    except OSError as error:
+        raise CaptureError(str(error)) from None
+
+
+def _read_max_mb(environ: Mapping[str, str]) -> float:
+    text = environ.get(ENV_MAX_MB)
+    if not text:
+        return DEFAULT_MAX_MB
+    try:
+        max_mb = float(text)
+    except ValueError:
+        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is no size; give megabytes above 0") from None
     if not 0 < max_mb <= MAX_MB:
-        raise ValueError(f"{ENV_MAX_MB}: {max_mb:g} is no size; give megabytes above 0")
-    return Capture(path, settings, name, now, run_in_thread, max_mb)
+        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is no size; give megabytes above 0")
+    return max_mb
--- a/meadowpulley/net/config.py
+++ b/meadowpulley/net/config.py
@@ -6,23 +6,43 @@
 import os
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
-from typing import Any, TypeAlias
+from typing import TypeAlias
 
 from meadowpulley.interface import Settings
 from meadowpulley.net import protocol
+from meadowpulley.net.errors import NetError
 from meadowpulley.settings import SettingsError, read_settings
 
 MIN_SOCKETS = 128
 DEFAULT_SOCKETS = 1024
 GOSSIP_KEYS = ("peer_listen", "peers", "peers_all")
+# Keys of the file whose names say little of what they hold.
+CACHED_ENDPOINTS_KEY = "known"
+INITIAL_ROLLOUT_KEY = "news"  # of the platform
+GATEWAY_COUNT_KEY = "balancers"  # of the settings
+GATEWAY_INDEX_KEY = "me"  # of the settings
+IPV4_OCTETS = 4
+MAX_OCTET = 255
+MAX_OCTET_DIGITS = 3
+MAX_PORT = 65535
+HEXADECIMAL = 16
 
 Address: TypeAlias = tuple[str, int]  # an IPv4 address in text, and a port
+JsonObject: TypeAlias = Mapping[str, object]
 
 
-class ConfigError(Exception):
+class ConfigError(NetError):
     """The configuration cannot be used; the text says in one line what is wrong and where."""
 
 
+class AddressError(NetError, ValueError):
+    """A value is no IPv4 address with a port."""
+
+    def __init__(self, value: object) -> None:
+        super().__init__(f"{value!r} is no address with a port")
+        self.value = value
+
+
 @dataclass(frozen=True, slots=True)
 class Config:
     """The configuration of one gateway.
@@ -39,8 +59,8 @@
     seed: int
     max_sockets: int
     settings: Settings
-    initial_rollout: Any = None
-    cached_endpoints: Any = None
+    initial_rollout: object = None
+    cached_endpoints: object = None
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
@@ -75,30 +95,42 @@
     return read_config({key: value for key, value in environ.items() if key != protocol.ENV_DISCOVERY})
 
 
-def parse_address(text: Any) -> Address:
-    """Parse an IPv4 address with a port. Raises ValueError.
+def parse_address(text: object) -> Address:
+    """Parse an IPv4 address with a port.
 
     Host names are not looked up: there is no DNS where the gateway runs.
+
+    Raises:
+        ValueError: the value is no such address; an AddressError unless the port has thousands of digits.
     """
     if isinstance(text, str):
-        host, colon, port = text.rpartition(":")
-        labels = host.split(".")
-        octets = [int(label) for label in labels if label.isascii() and label.isdigit() and len(label) <= 3]
-        is_ipv4 = colon and len(labels) == len(octets) == 4 and max(octets) < 256
-        if is_ipv4 and port.isascii() and port.isdigit() and 0 < int(port) < 65536:
+        host, _, port = text.rpartition(":")
+        if _is_ipv4(host) and _is_decimal(port) and 0 < int(port) <= MAX_PORT:
             return host, int(port)
-    raise ValueError(f"{text!r} is no address with a port")
+    raise AddressError(text)
+
+
+def _is_ipv4(host: str) -> bool:
+    labels = host.split(".")
+    return len(labels) == IPV4_OCTETS and all(_is_octet(label) for label in labels)
+
+
+def _is_octet(label: str) -> bool:
+    return _is_decimal(label) and len(label) <= MAX_OCTET_DIGITS and int(label) <= MAX_OCTET
+
+
+def _is_decimal(text: str) -> bool:
+    return text.isascii() and text.isdigit()
 
 
-def _build_config(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    raw = raw | _overrides(environ)
-    limits, platform = _read_object(raw, "limits"), _read_object(raw, "platform")
+def _build_config(raw: JsonObject, environ: Mapping[str, str]) -> Config:
+    raw = {**raw, **_overrides(environ)}
+    limits = _read_object(raw, "limits")
+    platform = _read_object(raw, "platform")
     max_sockets = _read_max_sockets(limits)
-    peers = raw.get("peers") or []
-    if not isinstance(peers, list):
-        raise ConfigError("'peers' is no list")
-    listen, discovery = _read_address(raw, "listen"), _read_address(raw, "discovery")
-    assert listen is not None and discovery is not None
+    peers = _read_peers(raw)
+    listen = _read_address(raw, "listen")
+    discovery = _read_address(raw, "discovery")
     settings = read_settings(raw.get("settings"), "config")
     if not settings.classes:
         raise ConfigError("'settings' name no classes")
@@ -106,15 +138,15 @@
         name=str(raw.get("name", "")),
         listen=listen,
         discovery=discovery,
-        platform=_read_address(platform, "address", required=False),
+        platform=_read_optional_address(platform, "address"),
         seed=_read_seed(raw),
         max_sockets=max_sockets,
         settings=settings,
-        initial_rollout=platform.get("news"),
-        cached_endpoints=raw.get("known"),
-        peer_listen=_read_address(raw, "peer_listen", required=False),
-        peers=tuple(address for peer in peers if (address := _read_address({"peers": peer}, "peers"))),
-        peers_all=_read_address(raw, "peers_all", required=False),
+        initial_rollout=platform.get(INITIAL_ROLLOUT_KEY),
+        cached_endpoints=raw.get(CACHED_ENDPOINTS_KEY),
+        peer_listen=_read_optional_address(raw, "peer_listen"),
+        peers=tuple(_read_address({"peers": peer}, "peers") for peer in peers),
+        peers_all=_read_optional_address(raw, "peers_all"),
     )
     return replace(config, warnings=_find_inconsistencies(config, _read_object(raw, "settings")))
 
@@ -129,39 +161,52 @@
     return {key: environ[variable] for key, variable in variables.items() if environ.get(variable)}
 
 
-def _read_object(raw: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+def _read_object(raw: JsonObject, key: str) -> JsonObject:
     value = raw.get(key, {})
     if not isinstance(value, dict):
         raise ConfigError(f"'{key}' is no object")
     return value
 
 
-def _read_address(raw: Mapping[str, Any], key: str, required: bool = True) -> Address | None:
-    if raw.get(key) is None and not required:
-        return None
+def _read_peers(raw: JsonObject) -> list[object]:
+    peers = raw.get("peers") or []
+    if not isinstance(peers, list):
+        raise ConfigError("'peers' is no list")
+    return peers
+
+
+def _read_address(raw: JsonObject, key: str) -> Address:
     try:
         return parse_address(raw.get(key))
     except ValueError as error:
         raise ConfigError(f"'{key}': {error}") from None
 
 
-def _read_max_sockets(limits: Mapping[str, Any]) -> int:
+def _read_optional_address(raw: JsonObject, key: str) -> Address | None:
+    return None if raw.get(key) is None else _read_address(raw, key)
+
+
+def _read_max_sockets(limits: JsonObject) -> int:
     max_sockets = limits.get("sockets", DEFAULT_SOCKETS)
     if not isinstance(max_sockets, int) or max_sockets < MIN_SOCKETS:
         raise ConfigError(f"'limits': 'sockets' is {max_sockets!r}, at least {MIN_SOCKETS} are needed")
     return max_sockets
 
 
-def _read_seed(raw: Mapping[str, Any]) -> int:
+def _read_seed(raw: JsonObject) -> int:
     """Read the seed: a number, or one in hexadecimal digits."""
     seed = raw.get("seed", 0)
     try:
-        return int(seed, 16) if isinstance(seed, str) else int(seed)
-    except (ValueError, TypeError, OverflowError):
-        raise ConfigError(f"'seed': {seed!r} is no number") from None
+        if isinstance(seed, str):
+            return int(seed, HEXADECIMAL)
+        if isinstance(seed, int | float):
+            return int(seed)
+    except (ValueError, OverflowError):  # no hexadecimal digits, not a number, or an infinite one
+        pass
+    raise ConfigError(f"'seed': {seed!r} is no number")
 
 
-def _find_inconsistencies(config: Config, raw_settings: Mapping[str, Any]) -> tuple[str, ...]:
+def _find_inconsistencies(config: Config, raw_settings: JsonObject) -> tuple[str, ...]:
     """Return what the operator should know of a configuration that can be used all the same, a line each."""
     return (
         *_corrected_settings(config.settings, raw_settings),
@@ -170,13 +215,18 @@
     )
 
 
-def _corrected_settings(settings: Settings, raw_settings: Mapping[str, Any]) -> list[str]:
-    count, index = settings.gateway_count, settings.gateway_index
+def _corrected_settings(settings: Settings, raw_settings: JsonObject) -> list[str]:
+    count = settings.gateway_count
+    index = settings.gateway_index
+    raw_count = raw_settings.get(GATEWAY_COUNT_KEY)
+    raw_index = raw_settings.get(GATEWAY_INDEX_KEY)
     warnings = []
-    if (raw_settings.get("balancers") or 0) != count and "balancers" in raw_settings:
-        warnings.append(f"'settings': 'balancers' is {raw_settings['balancers']}: taken as {count}")
-    if (raw_settings.get("me") or 0) != index:
-        warnings.append(f"'settings': 'me' is {raw_settings['me']} with {count} gateways: taken as {index}")
+    if (raw_count or 0) != count and GATEWAY_COUNT_KEY in raw_settings:
+        warnings.append(f"'settings': '{GATEWAY_COUNT_KEY}' is {raw_count}: taken as {count}")
+    if (raw_index or 0) != index:
+        warnings.append(
+            f"'settings': '{GATEWAY_INDEX_KEY}' is {raw_index} with {count} gateways: taken as {index}"
+        )
     return warnings
 
 
--- a/tests/test_net_config.py
+++ b/tests/test_net_config.py
@@ -4,12 +4,23 @@
 
 import copy
 import json
+import re
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from meadowpulley.net.config import ConfigError, read_config, reload_config
+from meadowpulley.net.capture import CaptureError, open_capture
+from meadowpulley.net.config import (
+    AddressError,
+    Config,
+    ConfigError,
+    parse_address,
+    read_config,
+    reload_config,
+)
+from meadowpulley.settings import read_settings
 from tests.standins import SETTINGS
 
 VALID_CONFIG: dict[str, Any] = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:8", "settings": SETTINGS}
@@ -29,21 +40,23 @@
 ]
 
 
+@pytest.mark.parametrize("read", [read_config, reload_config])
 @pytest.mark.parametrize(("path", "value", "message"), INVALID_VALUES)
 def test_an_invalid_value_is_rejected_in_one_line_with_its_location(
-    tmp_path: Path, path: tuple[Any, ...], value: Any, message: str
+    tmp_path: Path, path: tuple[Any, ...], value: Any, message: str, read: Callable[..., Config]
 ) -> None:
-    config, file = copy.deepcopy(VALID_CONFIG), tmp_path / "config.json"
+    config = copy.deepcopy(VALID_CONFIG)
+    file = tmp_path / "config.json"
     container: Any = config
     for key in path[:-1]:
         container = container[key]
     container[path[-1]] = value
     file.write_text(json.dumps(config))
-    for read in (read_config, reload_config):
-        with pytest.raises(ConfigError) as caught:
-            read({"PROXY_CONFIG": str(file)})
-        line = str(caught.value)
-        assert line.startswith(f"{file}: ") and message in line and "\n" not in line
+    with pytest.raises(ConfigError, match=re.escape(message)) as caught:
+        read({"PROXY_CONFIG": str(file)})
+    line = str(caught.value)
+    assert line.startswith(f"{file}: ")
+    assert "\n" not in line
 
 
 def test_unknown_fields_are_ignored(tmp_path: Path) -> None:
@@ -52,3 +65,38 @@
     file = tmp_path / "config.json"
     file.write_text(json.dumps({**VALID_CONFIG, "later": 1, "settings": {**SETTINGS, "later": {"a": 1}}}))
     assert read_config({"PROXY_CONFIG": str(file)}).settings.classes
+
+
+@pytest.mark.parametrize(
+    "value",
+    [
+        None,
+        7,
+        "",
+        "127.0.0.1",
+        "127.0.0.1:",
+        "127.0.0.1:0",
+        "127.0.0.1:65536",
+        "127.0.0.256:80",
+        "127.0.1:80",
+        "host.example:80",
+        "::1:80",
+        "127.0.0.\N{ARABIC-INDIC DIGIT ONE}:80",
+    ],
+)
+def test_what_is_no_address_is_named(value: Any) -> None:
+    with pytest.raises(AddressError, match=re.escape(f"{value!r} is no address with a port")):
+        parse_address(value)
+
+
+@pytest.mark.parametrize("max_mb", ["many", "0", "-1", "nan", "1e400"])
+def test_a_capture_of_no_size_is_refused(tmp_path: Path, max_mb: str) -> None:
+    environ = {"MEADOWPULLEY_CAPTURE": str(tmp_path / "captured"), "MEADOWPULLEY_CAPTURE_MB": max_mb}
+    with pytest.raises(CaptureError, match=r"MEADOWPULLEY_CAPTURE_MB: .* is no size; give megabytes above 0"):
+        open_capture(environ, read_settings(SETTINGS, "test"), "n0", lambda: 0.0, lambda work, done: work())
+
+
+def test_a_capture_that_cannot_be_opened_is_refused(tmp_path: Path) -> None:
+    environ = {"MEADOWPULLEY_CAPTURE": str(tmp_path / "missing" / "captured")}
+    with pytest.raises(CaptureError, match="No such file"):
+        open_capture(environ, read_settings(SETTINGS, "test"), "n0", lambda: 0.0, lambda work, done: work())
