--- a/meadowpulley/capacity/bottlenecks.py
+++ b/meadowpulley/capacity/bottlenecks.py
@@ -37,7 +37,8 @@
     """
     if not broken(MAX_MULTIPLE):
         return NEVER
-    low, high = 0.0, MAX_MULTIPLE
+    low = 0.0
+    high = MAX_MULTIPLE
     while high - low > 1e-3 * max(high, 1e-3):
         middle = (low + high) / 2
         low, high = (low, middle) if broken(middle) else (middle, high)
@@ -92,7 +93,8 @@
 
 def _in_flight(fleet: Fleet, demand: Demand, kind: MachineKind, multiple: float) -> float:
     """Mean requests at one server, bounded by what it holds."""
-    rate, service = server_rate(fleet, demand, kind, multiple), demand.work_ms / kind.speed
+    rate = server_rate(fleet, demand, kind, multiple)
+    service = demand.work_ms / kind.speed
     if not rate or not service:
         return 0.0
     return min(rate * mmc_response(kind.cores, rate, service), float(kind.slots + kind.queue))
@@ -121,7 +123,8 @@
 
 def _mean_response_ms(fleet: Fleet, demand: Demand, multiple: float) -> float:
     """Mean time of a request at servers, milliseconds, bounded by its class's deadline."""
-    total, weights = 0.0, 0.0
+    total = 0.0
+    weights = 0.0
     max_deadline_ms = max(c.deadline_ms for c in fleet.classes)
     for servers in fleet.servers:
         kind = fleet.kind(servers.kind)
--- a/meadowpulley/capacity/demand.py
+++ b/meadowpulley/capacity/demand.py
@@ -59,7 +59,8 @@
     """
     if not fleet.keys.memory_ms or not fleet.keys.work_saved or not keyed or not seconds:
         return 0.0
-    memory, servers = fleet.keys.memory_ms / 1000, len(fleet.machines())
+    memory = fleet.keys.memory_ms / 1000
+    servers = len(fleet.machines())
     repeats = sum(n * -math.expm1(-n / seconds * memory / servers) for n in counts.values())
     return fleet.keys.work_saved * repeats / total
 
@@ -73,7 +74,8 @@
     sites: Counter[str] = Counter()
     keys: Counter[int] = Counter()
     seconds_of: Counter[int] = Counter()
-    last, keyed = 0.0, 0
+    last = 0.0
+    keyed = 0
     for arrival in arrivals:
         if arrival.class_name not in known:
             raise ValueError(
@@ -88,7 +90,8 @@
             keyed += 1
         last = arrival.at_ms
         seconds_of[int(arrival.at_ms // MIN_WINDOW_MS)] += 1
-    total, seconds = sum(counts.values()), math.ceil(last / 1000) if counts else 0.0
+    total = sum(counts.values())
+    seconds = math.ceil(last / 1000) if counts else 0.0
     per_s = total / seconds if seconds else 0.0
     step = max(int(seconds // WINDOWS), 1)
     windows = [sum(seconds_of[n + k] for k in range(step)) / step for n in range(0, int(seconds), step)]
--- a/meadowpulley/capacity/predict.py
+++ b/meadowpulley/capacity/predict.py
@@ -29,7 +29,8 @@
     1.2,
 )  # points of the curve, of the servers' CPU
 REQUESTS = 5000.0  # approximate requests in one emulated run
-SHORTEST_S, LONGEST_S = 20.0, 240.0
+SHORTEST_S = 20.0
+LONGEST_S = 240.0
 KNEE = 0.99  # share within the objective, relative to the least load, that defines the knee
 
 
@@ -150,7 +151,8 @@
     for lower, upper in pairwise(points):
         if multiple <= upper.multiple:
             fraction = (multiple - lower.multiple) / (upper.multiple - lower.multiple)
-            low_estimate, high_estimate = of(lower), of(upper)
+            low_estimate = of(lower)
+            high_estimate = of(upper)
             return (
                 low_estimate[0] + fraction * (high_estimate[0] - low_estimate[0]),
                 low_estimate[1] + fraction * (high_estimate[1] - low_estimate[1]),
@@ -166,7 +168,8 @@
 def _predictions(
     fleet: Fleet, demand: Demand, points: tuple[CurvePoint, ...], seeds: int
 ) -> list[Prediction]:
-    by, law = f"emulator, {seeds} seeds", "theory: utilisation law"
+    by = f"emulator, {seeds} seeds"
+    law = "theory: utilisation law"
     saturation_per_s = 1000 * fleet.capacity() / demand.work_ms if demand.work_ms else 0.0
     utilisation = demand.busy_utilisation
     at_current_load = partial(_interpolate, points, 1.0)
--- a/meadowpulley/capacity/queues.py
+++ b/meadowpulley/capacity/queues.py
@@ -42,7 +42,8 @@
         return 1.0
     if more_than < servers:
         # P(N > k) = P(N >= c) + P(k < N < c): sum the terms below c by their recursion.
-        term, terms = 1.0, [1.0]
+        term = 1.0
+        terms = [1.0]
         for index in range(1, servers):
             term *= offered / index
             terms.append(term)
--- a/meadowpulley/capacity/site_loss.py
+++ b/meadowpulley/capacity/site_loss.py
@@ -14,7 +14,9 @@
 from meadowpulley.experiment import Cell, LoadSpec, ResultStore, RunResult, run_cells
 from meadowpulley.fleet import Fleet
 
-BEFORE_S, AWAY_S, AFTER_S = 10.0, 20.0, 15.0
+BEFORE_S = 10.0
+AWAY_S = 20.0
+AFTER_S = 15.0
 SETTLED_S = 6.0  # time after the loss until all gateways know of it
 MAX_UTILISATION = 0.85  # utilisation up to which the other sites count as able to carry the load
 
@@ -102,7 +104,8 @@
     progress: Callable[[int, int], None] = lambda done, of: None,
 ) -> SiteLoss:
     """Predict the loss of a complete site without notice, and its return with servers in slow start."""
-    remaining, work = capacity_without(fleet, site), demand.busy_per_s / 1000 * demand.work_ms
+    remaining = capacity_without(fleet, site)
+    work = demand.busy_per_s / 1000 * demand.work_ms
     share = 1 - remaining / fleet.capacity()
     remaining_utilisation = work / remaining if remaining else math.inf
     faults = [Fault("vanish", BEFORE_S * 1000, AWAY_S * 1000, site=site)]
--- a/meadowpulley/capacity/sizing.py
+++ b/meadowpulley/capacity/sizing.py
@@ -84,9 +84,16 @@
         store: ResultStore | None,
         progress: Callable[[str], None],
     ) -> None:
-        self.fleet, self.load, self.demand, self.goal = fleet, load, demand, goal
-        self.site, self.kind, self.seeds = site, kind, seeds
-        self.workers, self.store, self.progress = workers, store, progress
+        self.fleet = fleet
+        self.load = load
+        self.demand = demand
+        self.goal = goal
+        self.site = site
+        self.kind = kind
+        self.seeds = seeds
+        self.workers = workers
+        self.store = store
+        self.progress = progress
         self.steps: dict[int, SizingStep] = {}
         self.rows: dict[int, list[RunResult]] = {}
 
@@ -154,7 +161,8 @@
 
 
 def _explain_unreachable(search: _Search, idle: int) -> str:
-    step, rows = search.steps[idle], search.rows[idle]
+    step = search.steps[idle]
+    rows = search.rows[idle]
     figures = {name: estimate(rows, name)[0] for name in ("gateway_busy", "refused", "failed")}
     share = 100 * step.served_weight_share[0]
     summary = f"with {idle} servers, as good as idle, {step.worst_class} keeps {share:.2f}%"
--- a/meadowpulley/capacity/spike.py
+++ b/meadowpulley/capacity/spike.py
@@ -14,7 +14,8 @@
 from meadowpulley.experiment import Cell, LoadSpec, ResultStore, RunResult, run_cells
 from meadowpulley.fleet import Fleet
 
-BEFORE_S, AFTER_S = 10.0, 25.0
+BEFORE_S = 10.0
+AFTER_S = 25.0
 RECOVERED_SHARE = 0.97  # of the share within the objective before the spike
 RECOVERED_FOR_S = 3
 
@@ -102,7 +103,8 @@
         for s in seeds
     ]
     rows = run_cells(cells, store, workers, timeline=True, progress=progress)
-    limited, unlimited = rows[: len(seeds)], rows[len(seeds) :]
+    limited = rows[: len(seeds)]
+    unlimited = rows[len(seeds) :]
     end = BEFORE_S + length
     overall = (2.0, end + AFTER_S)
     backlog = min(excess, queued_backlog)
--- a/meadowpulley/capacity/verify.py
+++ b/meadowpulley/capacity/verify.py
@@ -22,10 +22,9 @@
 CaseKind = Literal["below", "beyond", "spike", "site", "cold"]
 MAX_ERROR = 0.15
 MIN_SHARE = 0.05  # smaller predicted shares are compared as if they were this large
-BELOW_KNEE, BEYOND_KNEE = (
-    0.6,
-    1.3,
-)  # utilisations of the cases; below the knee the load's own where it is less
+# utilisations of the cases; below the knee the load's own where it is less
+BELOW_KNEE = 0.6
+BEYOND_KNEE = 1.3
 SPIKE_SHAPE = (0.125, 6.0)  # share of requests, and cost factor
 MAX_REQUESTS_PER_S = 420.0  # requests per second that the test bed carries on one machine with a margin
 WARM_UP_MS = 3000.0
@@ -112,7 +111,8 @@
         """Return the load scaled to a utilisation, as a fraction of the fleet's capacity."""
         return replace(load_at_rate(load, demand, utilisation * top), seconds=seconds, **more)
 
-    middle, third = seconds * 1000 / 3, seconds * 1000 / 3
+    middle = seconds * 1000 / 3
+    third = seconds * 1000 / 3
     big = max(fleet.sites, key=lambda s: sum(g.count for g in fleet.servers if g.site == s.name)).name
     found = []
     for kind in kinds:
--- a/meadowpulley/cli/capacity_output.py
+++ b/meadowpulley/cli/capacity_output.py
@@ -60,7 +60,8 @@
 
 
 def _show_demand(plan: CapacityPlan) -> None:
-    output, demand = console(), plan.demand
+    output = console()
+    demand = plan.demand
     rows = [
         [c.name, f"{c.per_s:.1f}", f"{c.work_ms:.1f}", f"{c.spread:.2f}", percent(c.core_share)]
         for c in demand.classes
--- a/meadowpulley/cli/common.py
+++ b/meadowpulley/cli/common.py
@@ -20,7 +20,10 @@
 
 DEFAULT_WIDTH = 150  # characters a line, where there is no terminal
 REPORT_SUFFIXES = (".html", ".md")
-SUCCESS, GOAL_MISSED, BAD_INPUT, TEST_BED_LIMITED = 0, 1, 2, 3
+SUCCESS = 0
+GOAL_MISSED = 1
+BAD_INPUT = 2
+TEST_BED_LIMITED = 3
 P = ParamSpec("P")
 T = TypeVar("T")
 
--- a/meadowpulley/cli/counterexamples.py
+++ b/meadowpulley/cli/counterexamples.py
@@ -139,7 +139,8 @@
     require_writable(out)
     counterexample = _plant_mutant(_read_counterexample(tale_file), mutated)
     try:
-        diagram, steps = stories.sequence_diagram(counterexample), list(stories.replay(counterexample))
+        diagram = stories.sequence_diagram(counterexample)
+        steps = list(stories.replay(counterexample))
     except stories.CounterexampleError as error:
         raise InputError(f"{tale_file}: {error}") from None
     picture = out if out.suffix == ".svg" else out.with_suffix(".svg")
--- a/meadowpulley/cli/demo.py
+++ b/meadowpulley/cli/demo.py
@@ -38,9 +38,11 @@
 
 LOAD_FRACTION = 0.45  # of what all servers can do
 DURATION_S = 75.0
-GOOD_BUILD, BAD_BUILD = 2, 3
+GOOD_BUILD = 2
+BAD_BUILD = 3
 ROLLBACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
-GOOD_AT_MS, BAD_AT_MS = 4_000.0, 36_000.0
+GOOD_AT_MS = 4_000.0
+BAD_AT_MS = 36_000.0
 FLEET_TOML = """
 version = 1
 name = "demo"
--- a/meadowpulley/cli/main.py
+++ b/meadowpulley/cli/main.py
@@ -42,7 +42,9 @@
         run_command(*args, **options)
 
     alias = copy.copy(command)
-    alias.name, alias.hidden, alias.callback = old_name, True, run
+    alias.name = old_name
+    alias.hidden = True
+    alias.callback = run
     return alias
 
 
--- a/meadowpulley/cli/screen.py
+++ b/meadowpulley/cli/screen.py
@@ -135,7 +135,8 @@
 
     def __init__(self, world: Emulation, pace: float) -> None:
         super().__init__()
-        self.world, self.pace = world, pace
+        self.world = world
+        self.pace = pace
         self.paused = False
         self._last_frame_at = time.monotonic()
         self._target_ms = world.clock.now
@@ -148,7 +149,8 @@
     def step(self) -> None:
         """Advance the run by one frame at its pace, and never by more than two frames' time at once."""
         now = time.monotonic()
-        elapsed_s, self._last_frame_at = min(now - self._last_frame_at, 2 / FRAMES_PER_S), now
+        elapsed_s = min(now - self._last_frame_at, 2 / FRAMES_PER_S)
+        self._last_frame_at = now
         if self.paused:
             return
         self._target_ms += elapsed_s * 1000.0 * self.pace
--- a/meadowpulley/cli/verify.py
+++ b/meadowpulley/cli/verify.py
@@ -48,8 +48,10 @@
 from meadowpulley.report import write_page
 from meadowpulley.report.capacity import verify_page
 
-QUICK_S, FULL_S = 22.0, 60.0
-QUICK_SEEDS, FULL_SEEDS = 4, 8
+QUICK_S = 22.0
+FULL_S = 60.0
+QUICK_SEEDS = 4
+FULL_SEEDS = 8
 PARALLEL_RUNS = 2  # runs side by side: each takes about three cores
 CASE_KINDS: tuple[CaseKind, ...] = ("below", "beyond", "spike", "site", "cold")
 
--- a/meadowpulley/experiment/compare.py
+++ b/meadowpulley/experiment/compare.py
@@ -45,7 +45,8 @@
 
 def confidence_interval(values: Sequence[float], confidence: float = CONFIDENCE) -> Interval:
     """Return Student's t interval of a mean; infinite for a single value."""
-    mean, count = float(np.mean(values)), len(values)
+    mean = float(np.mean(values))
+    count = len(values)
     if count < 2:
         return Interval(mean, float("-inf"), float("inf"), count)
     half_width = float(stats.sem(values)) * float(stats.t.ppf((1 + confidence) / 2, count - 1))
@@ -56,7 +57,8 @@
     """Return Wilson's score interval of a share (Wilson 1927)."""
     if not total:
         return Interval(0.0, 0.0, 1.0, 0)
-    quantile, share = float(stats.norm.ppf((1 + confidence) / 2)), count / total
+    quantile = float(stats.norm.ppf((1 + confidence) / 2))
+    share = count / total
     middle = (share + quantile * quantile / (2 * total)) / (1 + quantile * quantile / total)
     half_width = (
         quantile
@@ -75,7 +77,8 @@
         raise ValueError(f"'{first}' and '{second}' share {len(seeds)} seeds; at least 2 are needed")
     found = []
     for metric in sorted(set(one[seeds[0]]) & set(two[seeds[0]])):
-        first_values, second_values = [one[s][metric] for s in seeds], [two[s][metric] for s in seeds]
+        first_values = [one[s][metric] for s in seeds]
+        second_values = [two[s][metric] for s in seeds]
         change = confidence_interval([y - x for x, y in zip(first_values, second_values, strict=True)])
         found.append(Difference(metric, float(np.mean(first_values)), float(np.mean(second_values)), change))
     return found
--- a/meadowpulley/experiment/runner.py
+++ b/meadowpulley/experiment/runner.py
@@ -23,7 +23,8 @@
     """
 
     def __init__(self, path: Path | None = None) -> None:
-        self.path, self.rows = path, dict[str, RunResult]()
+        self.path = path
+        self.rows = dict[str, RunResult]()
         if path is None or not path.exists():
             return
         good = 0
--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -225,7 +225,8 @@
 
     def machines(self) -> list[tuple[int, int]]:
         """Return site and kind indexes of each server, in the order of the file."""
-        sites, kinds = self.site_indexes(), {k.name: n for n, k in enumerate(self.kinds)}
+        sites = self.site_indexes()
+        kinds = {k.name: n for n, k in enumerate(self.kinds)}
         return [(sites[s.site], kinds[s.kind]) for s in self.servers for _ in range(s.count)]
 
     def gateway_sites(self) -> list[int]:
@@ -299,7 +300,8 @@
 def parse_fleet(raw: bytes, file_name: str) -> Fleet:
     """Parse and check a fleet file; `file_name` is for messages. Raises `FleetError`."""
     fleet = read_toml(raw, file_name, Fleet)
-    sites, kinds = [s.name for s in fleet.sites], [k.name for k in fleet.kinds]
+    sites = [s.name for s in fleet.sites]
+    kinds = [k.name for k in fleet.kinds]
     _check_unique(sites, "sites", file_name)
     _check_unique(kinds, "kinds", file_name)
     _check_unique([c.name for c in fleet.classes], "classes", file_name)
--- a/meadowpulley/gossip/list_confirmation_codec.py
+++ b/meadowpulley/gossip/list_confirmation_codec.py
@@ -13,7 +13,8 @@
 import zlib
 from dataclasses import dataclass
 
-QUERY_VERSION, REPLY_VERSION = 0xA2, 0xA3
+QUERY_VERSION = 0xA2
+REPLY_VERSION = 0xA3
 MAX_BYTES = 256  # of a datagram
 MAX_AGE_MS = (1 << 16) - 1
 WORD_MODULUS = 1 << 32
--- a/meadowpulley/load/arrivals.py
+++ b/meadowpulley/load/arrivals.py
@@ -72,7 +72,8 @@
     """
 
     def __init__(self, path: Path, classes: frozenset[str] | None = None) -> None:
-        self.path, self._classes = path, classes
+        self.path = path
+        self._classes = classes
         self.jumps = self.disordered = self.count = 0
         self.truncated = False
         try:
@@ -96,7 +97,8 @@
         self.jumps = self.disordered = self.count = 0
         self.truncated = False
         pending: list[tuple[float, int, Arrival]] = []  # heap of the latest `MAX_DISORDER_MS`
-        latest, shift_ms = 0.0, 0.0
+        latest = 0.0
+        shift_ms = 0.0
         for arrival in self._lines():
             at = arrival.at_ms + shift_ms
             if at < latest - MAX_DISORDER_MS:
--- a/meadowpulley/load/profiles.py
+++ b/meadowpulley/load/profiles.py
@@ -114,11 +114,13 @@
     `per_s` is the mean rate of the steady profile. The same arguments give the same arrivals.
     """
     rng = np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, 0x10AD])))
-    classes, sites = fleet.classes, fleet.sites
+    classes = fleet.classes
+    sites = fleet.sites
     by_class = np.cumsum([c.share for c in classes]) / sum(c.share for c in classes)
     by_site = np.cumsum([s.load for s in sites]) / sum(s.load for s in sites)
     keys = KeySampler(fleet.keys.count, fleet.keys.skew) if fleet.keys.count else None
-    at, end = 0.0, seconds * 1000.0
+    at = 0.0
+    end = seconds * 1000.0
     while per_s > 0:
         at += float(rng.standard_exponential()) * 1000.0 / (per_s * profile.peak)
         if at >= end:
--- a/meadowpulley/load/summary.py
+++ b/meadowpulley/load/summary.py
@@ -52,7 +52,8 @@
     keys: set[int] = set()
     more_keys = False
     count = size = in_second = peak = 0
-    second, last = -1, 0.0
+    second = -1
+    last = 0.0
     for arrival in arrivals:
         count += 1
         last = arrival.at_ms
@@ -66,7 +67,8 @@
         elif arrival.key and arrival.key not in keys:
             more_keys = True
         if int(arrival.at_ms // 1000) != second:
-            second, in_second = int(arrival.at_ms // 1000), 0
+            second = int(arrival.at_ms // 1000)
+            in_second = 0
         in_second += 1
         peak = max(peak, in_second)
     seconds = max(math.ceil(last / 1000), 1)
--- a/meadowpulley/loopback/discovery_faults.py
+++ b/meadowpulley/loopback/discovery_faults.py
@@ -18,7 +18,8 @@
     def __init__(
         self, clock: Timeline, faults: Sequence[DiscoveryFault], on_down: Callable[[], None]
     ) -> None:
-        self._clock, self._faults = clock, faults
+        self._clock = clock
+        self._faults = faults
         for fault in faults:
             if fault.kind == "down":
                 clock.call_at(fault.at_ms, on_down)
--- a/meadowpulley/loopback/driver.py
+++ b/meadowpulley/loopback/driver.py
@@ -51,7 +51,8 @@
     def send_request(self, request: ClientRequest) -> None:
         """Send a request and record it."""
         self.request = request
-        driver, call = self.endpoint.driver, request.call
+        driver = self.endpoint.driver
+        call = request.call
         self.written_at = driver.clock.now
         deadline = max(request.deadline, driver.clock.now + 1.0)
         driver.trace.record(
@@ -74,7 +75,8 @@
             self.endpoint.driver.record_error(f"gateway {self.endpoint.number}: {error}")
             self.abort()
             return
-        request, self.request = self.request, None
+        request = self.request
+        self.request = None
         if message is None:
             self.request = request
         elif request is None:
@@ -92,7 +94,8 @@
         """Report a broken connection to the client of its request."""
         if self in self.endpoint.idle:
             self.endpoint.idle.remove(self)
-        request, self.request = self.request, None
+        request = self.request
+        self.request = None
         if request is not None and not request.answered:
             driver = self.endpoint.driver
             driver.broken.append(
@@ -114,7 +117,10 @@
     """A gateway as the clients of its site reach it."""
 
     def __init__(self, driver: LoadDriver, number: int, site: int, port: int) -> None:
-        self.driver, self.number, self.site, self.port = driver, number, site, port
+        self.driver = driver
+        self.number = number
+        self.site = site
+        self.port = port
         self.alive = True
         self.idle: list[ClientConnection] = []
 
@@ -199,7 +205,8 @@
 
     def encode_request(self, request: ClientRequest) -> bytes:
         """Return a request as bytes."""
-        call, arrival = request.call, request.call.arrival
+        call = request.call
+        arrival = request.call.arrival
         remaining_ms = max(request.deadline - self.clock.now, 1.0)
         headers = {
             "host": protocol.SERVICE_HOST,
--- a/meadowpulley/loopback/gateway_fleet.py
+++ b/meadowpulley/loopback/gateway_fleet.py
@@ -42,7 +42,8 @@
     def __init__(
         self, path: Path, config: Mapping[str, Any], environ: Mapping[str, str], with_shared_state: bool
     ) -> None:
-        self.name, self.address = config["name"], config["listen"]
+        self.name = config["name"]
+        self.address = config["listen"]
         path.write_text(json.dumps(config))
         command: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         if with_shared_state:
@@ -117,9 +118,12 @@
     def __init__(
         self, folder: Path, size: int, config: Mapping[str, Any], environ: Mapping[str, str]
     ) -> None:
-        self.folder, self.size, self.ledger = folder, size, folder / "ledger"
+        self.folder = folder
+        self.size = size
+        self.ledger = folder / "ledger"
         self.ledger.mkdir()
-        self._config, self._environ = config, environ
+        self._config = config
+        self._environ = environ
         host = unique_address()
         self.addresses = [f"{host}:{port}" for port in free_ports(host, size)]
         self.processes: list[GatewayProcess] = []
--- a/meadowpulley/loopback/process_faults.py
+++ b/meadowpulley/loopback/process_faults.py
@@ -70,7 +70,8 @@
     broken: Sequence[BrokenConnection], injector: ProcessFaultInjector[Any]
 ) -> JudgedRequests:
     """Tell for each request whose connection broke whether that was the gateway's right."""
-    killed, crossed = set(), set()
+    killed = set()
+    crossed = set()
     for request in broken:
         absent = any(
             number == request.gateway
@@ -111,7 +112,9 @@
         longest_deadline_ms: float,
         ready_timeout_s: float,
     ) -> None:
-        self._gateways, self._restart, self._origin = gateways, restart, origin
+        self._gateways = gateways
+        self._restart = restart
+        self._origin = origin
         self._shutdown_ms = max(longest_deadline_ms, MIN_SHUTDOWN_MS) + SHUTDOWN_MARGIN_MS
         self._ready_timeout_s = ready_timeout_s
         self._threads: list[threading.Thread] = []
--- a/meadowpulley/loopback/runner.py
+++ b/meadowpulley/loopback/runner.py
@@ -211,7 +211,9 @@
     """Reads the latest complete progress line of each process."""
 
     def __init__(self, folder: Path, title: str, callback: ProgressCallback) -> None:
-        self.folder, self.title, self.callback = folder, title, callback
+        self.folder = folder
+        self.title = title
+        self.callback = callback
 
     def _last_line(self, process_name: str) -> bytes:
         try:
@@ -222,7 +224,8 @@
 
     def report(self) -> bool:
         """Report progress; False where the caller requests the end of the run."""
-        servers, clients = self._last_line("services"), self._last_line("driver")
+        servers = self._last_line("services")
+        clients = self._last_line("driver")
         if not servers or not clients:
             return True
         snapshot = msgspec.json.decode(servers, type=FleetSnapshot)
@@ -285,7 +288,8 @@
         gateways: list[_GatewayProcess] = []
         try:
             # Both processes load their libraries before they get their orders.
-            services, driver = start("services"), start("driver")
+            services = start("services")
+            driver = start("driver")
             for process, process_name in ((services, "services"), (driver, "driver")):
                 _read_line(process, folder / f"{process_name}.log")
             origin = time.monotonic() + START_DELAY_S + plan.start_delay_s * count
--- a/meadowpulley/loopback/service_connections.py
+++ b/meadowpulley/loopback/service_connections.py
@@ -28,7 +28,9 @@
 
     def __init__(self, services: SimulatedServices, server: SimulatedServer, started_at: float) -> None:
         super().__init__(services.real_clock.deadlines, MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES)
-        self.services, self.server, self.started_at = services, server, started_at
+        self.services = services
+        self.server = server
+        self.started_at = started_at
         self.parser = Parser(self.input_buffer, expect_requests=True)
         self.unused = True
         self.refused = False
@@ -84,12 +86,15 @@
         if self.services.orders.plan.drained_servers_reject and entry.state is not ServerState.READY:
             self.respond(AttemptResult.REJECTED)
             return
-        new_connection, self.unused = self.unused, False
+        new_connection = self.unused
+        self.unused = False
         self.job = self.services.offer(self, self.server, class_index, key, work_ms, deadline, new_connection)
 
     def respond(self, result: AttemptResult) -> None:
         """Send the result of the current request."""
-        request_id, self.request_id, self.job = self.request_id, "", None
+        request_id = self.request_id
+        self.request_id = ""
+        self.job = None
         if result is AttemptResult.REJECTED:
             self.services.record(
                 AttemptEnded(
@@ -114,7 +119,8 @@
             self.handle = -1
             if not self.unused:
                 self.server.machine.connections = max(self.server.machine.connections - 1, 0)
-        job, self.job = self.job, None
+        job = self.job
+        self.job = None
         if job is not None and self.reachable:
             self.services.cancel(self.server, job)
 
@@ -131,7 +137,8 @@
 
     def __init__(self, services: SimulatedServices, gateway: int) -> None:
         super().__init__(services.real_clock.deadlines, MAX_BUFFERED_BYTES, 4 * 1024 * 1024)
-        self.services, self.gateway = services, gateway
+        self.services = services
+        self.gateway = gateway
         self.parser = Parser(self.input_buffer, expect_requests=True)
         self.known_version = -1  # version of the waiting poll; -1: none came yet, -2: no poll waits
         self.update_pending = False
@@ -159,7 +166,8 @@
         if parts.path != protocol.ENDPOINTS_PATH or self.services.discovery.unavailable:
             self.send(response_bytes(503 if self.services.discovery.unavailable else 404, {}))
             return
-        faults, rng = self.services.discovery_faults, self.services.rng
+        faults = self.services.discovery_faults
+        rng = self.services.rng
         self.known_version = -2  # unless this call waits: no change answers it
         if faults.rejects(rng):
             self.services.clock.call_later(QUEUE_MS, lambda: self.send(response_bytes(503, {})))
@@ -193,7 +201,9 @@
         self.update_pending = False
         if self.known_version == -2 or not self.is_open:
             return
-        known_version, self.known_version = self.known_version, -2  # no poll waits
+        # no poll waits
+        known_version = self.known_version
+        self.known_version = -2
         self.timeout.clear()
         full = known_version <= 0
         entries = (
@@ -219,7 +229,8 @@
 
     def __init__(self, services: SimulatedServices, gateway: int) -> None:
         super().__init__(services.real_clock.deadlines, MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES)
-        self.services, self.gateway = services, gateway
+        self.services = services
+        self.gateway = gateway
         self.pending_votes: deque[int] = deque()  # call ids of votes without a reply
 
     def write(self, **fields: Any) -> None:
--- a/meadowpulley/loopback/services.py
+++ b/meadowpulley/loopback/services.py
@@ -63,7 +63,8 @@
     def __init__(self, orders: ProcessOrders) -> None:
         self.orders = orders
         plan = orders.plan
-        self.address, self.instances_address = orders.ports.host, orders.ports.instances
+        self.address = orders.ports.host
+        self.instances_address = orders.ports.instances
         self.errors: list[str] = []
         self.trace = TraceWriter()
         self.known_servers: dict[int, set[int]] = {}  # servers known to each gateway
@@ -102,7 +103,8 @@
 
     def record_endpoints(self, gateway: int, entries: tuple[ServerEntry, ...], full: bool) -> None:
         """Record what a gateway learns from a list."""
-        now, listed = self.clock.now, {e.server for e in entries}
+        now = self.clock.now
+        listed = {e.server for e in entries}
         known_servers = self.known_servers.setdefault(gateway, set())
         for server in sorted(known_servers - listed) if full else ():
             self.record(EndpointListed(now, gateway, server, "gone", 0))
@@ -161,7 +163,8 @@
         pass  # updates go to the waiting connections
 
     def _listed_changes(self, entries: tuple[ServerEntry, ...]) -> list[ListedChange]:
-        now, version = self.clock.now, self.discovery.version
+        now = self.clock.now
+        version = self.discovery.version
         return [ListedChange(now, version, e.server, STATE_NAMES[e.state], e.build) for e in entries]
 
     def _discovery_down(self) -> None:
--- a/meadowpulley/loopback/soak.py
+++ b/meadowpulley/loopback/soak.py
@@ -82,14 +82,16 @@
     rng: Random, gateways: int, duration_ms: float, ended: tuple[ProcessFault, ...]
 ) -> tuple[ProcessFault, ...]:
     """Draw restarts, one after another, of gateways that no other fault ends, and stalls and reloads."""
-    faults, already_ended = list(ended), {fault.gateway for fault in ended}
+    faults = list(ended)
+    already_ended = {fault.gateway for fault in ended}
     numbers = [n for n in rng.sample(range(gateways), gateways) if n not in already_ended]
     restarted = numbers[: round(len(numbers) * rng.uniform(0.0, 0.7))]
     begin = rng.uniform(FIRST_FAULT_MS, duration_ms * 0.6)
     spacing_ms = (duration_ms * 0.8 - begin) / max(len(restarted), 1)
     faults += [ProcessFault("terminate", begin + k * spacing_ms, n) for k, n in enumerate(restarted)]
     for _ in range(gateways):
-        at, number = rng.uniform(FIRST_FAULT_MS, duration_ms), rng.randrange(gateways)
+        at = rng.uniform(FIRST_FAULT_MS, duration_ms)
+        number = rng.randrange(gateways)
         faults.append(ProcessFault("stall", at, number, rng.uniform(20.0, MAX_STALL_MS)))
     for at in [rng.uniform(FIRST_FAULT_MS, duration_ms) for _ in range(rng.randrange(3))]:
         faults += [ProcessFault("reload", at, n) for n in numbers[::2]]
@@ -101,7 +103,8 @@
     faults: list[DiscoveryFault] = []
     for kind in ("crowded", "silent", "cut"):
         if rng.random() < 0.5:
-            at, length_ms = rng.uniform(0.0, duration_ms * 0.8), rng.uniform(1_000.0, 6_000.0)
+            at = rng.uniform(0.0, duration_ms * 0.8)
+            length_ms = rng.uniform(1_000.0, 6_000.0)
             faults.append(DiscoveryFault(kind, at, length_ms, rng.uniform(0.1, 0.6)))
     return tuple(faults)
 
@@ -133,7 +136,8 @@
     if rng.random() < 0.4:
         return _Outage((down,), tuple(crashes))
     killed = rng.sample(range(gateways), round(gateways * rng.uniform(0.3, 0.7)))
-    killed_at, down_ms = at + length_ms + rng.uniform(-500.0, 2_000.0), rng.uniform(200.0, 3_000.0)
+    killed_at = at + length_ms + rng.uniform(-500.0, 2_000.0)
+    down_ms = rng.uniform(200.0, 3_000.0)
     kills = [ProcessFault("kill", killed_at + rng.uniform(0.0, 50.0), n, down_ms) for n in killed]
     return _Outage((down,), tuple(crashes), tuple(kills))
 
@@ -148,15 +152,18 @@
     faults = list(crashes)
     for kind, smallest, greatest in SERVER_FAULTS:
         if rng.random() < 0.4:
-            at, length_ms = rng.uniform(FIRST_FAULT_MS, duration_ms * 0.8), rng.uniform(1_000.0, 5_000.0)
-            amount, share = rng.uniform(smallest, greatest), rng.uniform(0.05, 0.25)
+            at = rng.uniform(FIRST_FAULT_MS, duration_ms * 0.8)
+            length_ms = rng.uniform(1_000.0, 5_000.0)
+            amount = rng.uniform(smallest, greatest)
+            share = rng.uniform(0.05, 0.25)
             faults.append(Fault(kind, at, length_ms, amount, share))
     return Scenario(releases=releases, faults=tuple(sorted(faults, key=lambda fault: fault.at_ms)))
 
 
 def soak_plan(seed: int, gateways: int, seconds: float) -> LoopbackPlan:
     """Return the plan of a soak run: the same for the same arguments."""
-    rng, duration_ms = Random(seed), seconds * 1000.0
+    rng = Random(seed)
+    duration_ms = seconds * 1000.0
     outage = _outage(rng, gateways, duration_ms)
     load = LoadSpec(per_s=REQUESTS_PER_GATEWAY_S * gateways, seconds=seconds)
     return LoopbackPlan(
--- a/meadowpulley/loopback/trace.py
+++ b/meadowpulley/loopback/trace.py
@@ -32,7 +32,10 @@
 UNKNOWN = -1  # gateway not known before the merge; as a request: one that no client sent
 # The protocol's tolerances on sockets: longer times, slightly more exposure, and a key that was
 # answered counts some time after the response was written.
-SLACK_MS, EXTRA_ATTEMPTS, EXTRA_SHARE, KEY_DELAY_MS = 50.0, 2.0, 0.04, 150.0
+SLACK_MS = 50.0
+EXTRA_ATTEMPTS = 2.0
+EXTRA_SHARE = 0.04
+KEY_DELAY_MS = 150.0
 
 
 class TraceWriter:
@@ -65,10 +68,8 @@
     records: list[Record] = list(client_records)
     for record in servers:
         if isinstance(record, AttemptSent):
-            attempt, attempt_counts[record.request] = (
-                attempt_counts[record.request],
-                attempt_counts[record.request] + 1,
-            )
+            attempt = attempt_counts[record.request]
+            attempt_counts[record.request] = attempt_counts[record.request] + 1
             attempt_numbers[record.request, record.server] = attempt
             record = replace(record, gateway=gateways.get(record.request, UNKNOWN), attempt=attempt)
         elif isinstance(record, AttemptEnded):
--- a/meadowpulley/simulator_adapter/__main__.py
+++ b/meadowpulley/simulator_adapter/__main__.py
@@ -11,7 +11,8 @@
 def main() -> int:
     """Answer each batch until the input ends; return the exit code, 2 for a malformed frame."""
     host = GatewayHost()
-    source, sink = sys.stdin.buffer, sys.stdout.buffer
+    source = sys.stdin.buffer
+    sink = sys.stdout.buffer
     try:
         while (batch := read_batch(source)) is not None:
             sink.write(host.handle_batch(batch))
--- a/meadowpulley/simulator_adapter/codec.py
+++ b/meadowpulley/simulator_adapter/codec.py
@@ -74,7 +74,10 @@
 _GATEWAY_AND_ID = struct.Struct(">xIQ")
 _GATEWAY = struct.Struct(">xI")
 
-_HAS_WORK_HINT, _IS_RETRY, _HAS_EFFECT = 1, 2, 4  # flags of a request
+# flags of a request
+_HAS_WORK_HINT = 1
+_IS_RETRY = 2
+_HAS_EFFECT = 4
 
 
 class FrameError(Exception):
@@ -218,7 +221,8 @@
         batch.records, offset
     )
     work_ms = work_hint if flags & _HAS_WORK_HINT else None
-    is_retry, has_effect = bool(flags & _IS_RETRY), bool(flags & _HAS_EFFECT)
+    is_retry = bool(flags & _IS_RETRY)
+    has_effect = bool(flags & _HAS_EFFECT)
     return gateway, Request(
         request_id, request_class, tenant, key, deadline_ms, work_ms, is_retry, has_effect
     )
@@ -244,7 +248,8 @@
     gateway, build, exposure_cap, stage, reason_code, phase_code, age_ms, result_code = (
         _ROLLOUT_UPDATE.unpack_from(batch.records, offset)
     )
-    phase, result = _enum_member(Phase, phase_code, where), _enum_member(Result, result_code, where)
+    phase = _enum_member(Phase, phase_code, where)
+    result = _enum_member(Result, result_code, where)
     return gateway, RolloutUpdate(build, stage, phase, exposure_cap, age_ms, result, reason_code == 1)
 
 
