--- a/meadowpulley/lending/quota_enforcer.py
+++ b/meadowpulley/lending/quota_enforcer.py
@@ -18,9 +18,10 @@
 from meadowpulley.lending.records import QuotaGrant
 from meadowpulley.lending.tenant_buckets import TenantBuckets
 
-# Fractions of the gateway's bucket:
-RESERVED_FOR_GRANTED = 0.85  # kept for tenants that were granted something
-RESERVED_FOR_OWNERS = 0.65  # kept for tenants within their own quotas
+# Fractions of the gateway's bucket that remain after a request: above the first any tenant is admitted, above
+# the second those with borrowed tokens, below it only tenants within their own quotas.
+RESERVED_FOR_GRANTED = 0.85
+RESERVED_FOR_OWNERS = 0.65
 PRIORITY_FREE_FRACTION = 0.4  # above it every class is admitted, whatever its priority
 MIN_BURST_REQUESTS = 2.0  # of the greatest cost: with less no request would fit above the reserves
 MAX_RETRY_AFTER_TERMS = 2  # beyond now, up to which retries of a tenant are queued
@@ -197,12 +198,12 @@
     ) -> Admission:
         """Take the cost from one of a tenant's buckets, or from the top of the gateway's."""
         burst = self.burst
-        is_full = remaining >= PRIORITY_FREE_FRACTION * burst
-        if buckets.own_tokens >= cost and buckets.admits_class(class_index, is_full):
+        is_plentiful = remaining >= PRIORITY_FREE_FRACTION * burst
+        if buckets.own_tokens >= cost and buckets.admits_class(class_index, is_plentiful):
             buckets.own_tokens -= cost
             return Admission.OWN
         may_borrow = buckets.borrowed_tokens >= cost and remaining >= RESERVED_FOR_OWNERS * burst
-        if may_borrow and buckets.admits_class(class_index, is_full):
+        if may_borrow and buckets.admits_class(class_index, is_plentiful):
             buckets.borrowed_tokens -= cost
             return Admission.BORROWED
         if remaining >= RESERVED_FOR_GRANTED * burst:
--- a/meadowpulley/lending/tenant_buckets.py
+++ b/meadowpulley/lending/tenant_buckets.py
@@ -56,14 +56,14 @@
         self.own_tokens = min(self.own_tokens + self.own_rate * seconds, self.own_burst)
         self.borrowed_tokens = min(self.borrowed_tokens + self.borrowed_rate * seconds, self.borrowed_burst)
 
-    def admits_class(self, class_index: int, bucket_is_full: bool) -> bool:
+    def admits_class(self, class_index: int, bucket_is_plentiful: bool) -> bool:
         """Return whether a request of a class may take tokens.
 
-        A class of which only a fraction is admitted collects credit with each request. A full bucket admits
-        any class: its tokens would be lost otherwise.
+        A class of which only a fraction is admitted collects credit with each request. While the gateway's
+        bucket holds plenty any class is admitted: a full bucket would lose tokens.
         """
         fraction = self.class_fractions.get(class_index, 1.0)
-        if fraction >= 1 or bucket_is_full:
+        if fraction >= 1 or bucket_is_plentiful:
             return True
         credit = self.class_credit.get(class_index, 0.0) + fraction
         admits = credit >= 1
--- a/meadowpulley/model_checking/request_mutants.py
+++ b/meadowpulley/model_checking/request_mutants.py
@@ -251,7 +251,7 @@
         "nothing looks at what waits",
         "timers answers",
         "members",
-        ("(self.poll_interval_ms if self.waiting else idle_ms)", "idle_ms"),
+        ("(self.waiting_poll_interval_ms if self.waiting else idle_ms)", "idle_ms"),
         requests=1,
         faults=1,
         servers=1,
--- a/meadowpulley/model_checking/rollout_mutants.py
+++ b/meadowpulley/model_checking/rollout_mutants.py
@@ -60,13 +60,13 @@
             "        pass\n",
         ),
         (
-            "    state.goodput.value(state.now, float(ok))\n",
+            "    state.goodput.add(state.now, float(ok))\n",
             (
                 "    from meadowpulley.policy.rollout_stage import is_on_trial\n"
                 "    if is_on_trial(state, attempt.server.build):\n"
                 "        evidence = state.build_evidence[attempt.server.build]\n"
                 "        evidence.sent_windows[attempt.in_flight.exposure_class].add(state.now)\n"
-                "    state.goodput.value(state.now, float(ok))\n"
+                "    state.goodput.add(state.now, float(ok))\n"
             ),
         ),
         requests=3,
--- a/meadowpulley/policy/admission.py
+++ b/meadowpulley/policy/admission.py
@@ -55,5 +55,5 @@
 def _wait_until(state: State, in_flight: InFlightRequest) -> float:
     """Return until when a request waits: a part of its objective, or else its response may be late."""
     max_wait_ms = in_flight.request_class.latency_objective_ms * MAX_WAIT_FRACTION
-    latest_at = in_flight.request.deadline_ms - 2 * state.poll_interval_ms
+    latest_at = in_flight.request.deadline_ms - 2 * state.waiting_poll_interval_ms
     return min(in_flight.arrived_at + max_wait_ms, latest_at)
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -7,6 +7,14 @@
 Only what discovery says renews it, as of the time at which discovery was asked. A response of a server does
 not, good as it may be: it may come from a later incarnation at the same address, which discovery does not
 list yet, and nothing in it says which one responds.
+
+With g for the drain grace less `allowance_ms`, the list may be acted on
+
+- where it is polled, until 6 s and g after discovery was asked for it;
+- while a call for the next change is out, until 2 s and g after its wait ends, if that is later;
+- where it is pushed, while the watch is open; then until g after it closed;
+- where it came with the configuration, until g after the start;
+- where a list may have been lost, until g less 150 ms after the loss was found, at most.
 """
 
 import math
@@ -103,8 +111,8 @@
     """Return until when requests may be written to the server, by the list or another gateway's word."""
     if not state.rules.drain_grace_ms:  # a deployment without such a rule
         return math.inf
-    until = server.confirmed_at + _notification_ms(state) + _grace_ms(state)
-    return max(list_lease_until(state), _unless_lost(state, server.confirmed_at, until))
+    until = server.peer_confirmed_at + _notification_ms(state) + _grace_ms(state)
+    return max(list_lease_until(state), _unless_lost(state, server.peer_confirmed_at, until))
 
 
 def _unless_lost(state: State, confirmed_at: float, until: float) -> float:
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -117,7 +117,7 @@
     confirmed = set(reply.fingerprints)
     for server in _ready_servers(state):
         if server.fingerprint in confirmed:
-            server.confirmed_at = max(server.confirmed_at, as_of_ms)
+            server.peer_confirmed_at = max(server.peer_confirmed_at, as_of_ms)
     state.confirmation.last_confirmed_by = sender
 
 
--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -27,9 +27,11 @@
 POOLED_FAILURE_INCREASE = 0.04  # and the least in the outcomes of many gateways together
 MAX_SERVER_FAILURE_SHARE = 0.4  # at most: failure rate in the statistics that one broken server explains
 REQUIRED_EVIDENCE = 4.0  # log likelihood ratio: three failures over the baseline's
-MIN_OWN_EVIDENCE = 0.4  # of that, else statistics prove nothing: they count time-outs of overloaded servers
-MIN_SERVER_EVIDENCE_LIMIT = 0.25  # of that, at most, from one of many servers: four must fail
-MAX_SERVER_EVIDENCE_LIMIT = 0.7  # of that, at most, from one of a few servers: two must fail
+MIN_OWN_EVIDENCE = (
+    0.4  # of the required evidence, else statistics prove nothing: they count time-outs of overloaded servers
+)
+MIN_SERVER_EVIDENCE_LIMIT = 0.25  # of the required evidence, from one of many servers: four must fail
+MAX_SERVER_EVIDENCE_LIMIT = 0.7  # of the required evidence, from one of a few servers: two must fail
 SERVERS_TO_CONDEMN = 2  # of a few: together they may reach the required evidence
 FAULTY_BASELINE_FACTOR = 0.5  # of those limits where servers of the baseline are faulty too
 FAILURE_RATE_EWMA_WEIGHT = 0.05  # of one outcome in a usual failure rate
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -86,9 +86,9 @@
     """Count time-outs as evidence, where the baseline has few."""
     timeouts = pooled.timeouts()
     responses = pooled.responses()
-    few_timeouts = timeouts.baseline_succeeded <= FAILURE_INCREASE * responses.baseline_succeeded
+    few_timeouts = timeouts.baseline <= FAILURE_INCREASE * responses.baseline_succeeded
     if few_timeouts and responses.baseline_succeeded >= MIN_SAMPLES:
-        evidence.add_timeouts(timeouts.succeeded, responses.succeeded, FAILURE_INCREASE, TIMEOUT_RATE)
+        evidence.add_timeouts(timeouts.newest, responses.succeeded, FAILURE_INCREASE, TIMEOUT_RATE)
 
 
 def _observe_baseline(
--- a/meadowpulley/policy/outcomes.py
+++ b/meadowpulley/policy/outcomes.py
@@ -43,7 +43,7 @@
     timed = attempt.sent_at >= state.resumed_at  # else a stall hid how long it took: nothing is learnt
     if timed and result not in NO_HEALTH_SIGNAL:
         update_health(state, attempt.server, result)
-    state.goodput.value(state.now, float(ok))
+    state.goodput.add(state.now, float(ok))
     if result not in NO_RESPONSE:
         state.bind_key(attempt.in_flight, attempt.server.build)
     _collect_evidence(state, attempt, outcome)
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -19,6 +19,7 @@
     health_probes,
     outcome_gossip,
     outcomes,
+    retry_budget,
     voting,
 )
 from meadowpulley.policy.outlier_detection import eject_unresponsive
@@ -101,7 +102,8 @@
         super().__init__(settings, seed)
         max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION  # no class has to wait longer
         interval_ms = admission.WAITING_POLL_INTERVAL_MS
-        self.poll_interval_ms = min(interval_ms, max_wait_ms) or interval_ms
+        self.waiting_poll_interval_ms = min(interval_ms, max_wait_ms) or interval_ms
+        self.retry_budget = retry_budget.INITIAL_BUDGET
         self.placements = dict(enumerate(placements[1:], 1))
         self.confidence_z = BASE_CONFIDENCE_Z + FLEET_CONFIDENCE_Z * math.log(self.gateway_count)
         voters = max(self.gateway_count / max(self.rollout_settings.rollback_votes, 1), 1.0)
@@ -132,7 +134,7 @@
     def _next_due_at(self) -> float:
         """Return when there is something to do; never for an idle policy, which costs nothing."""
         idle_ms = OUTSTANDING_POLL_INTERVAL_MS if self.attempts else math.inf
-        poll_at = self.now + (self.poll_interval_ms if self.waiting else idle_ms)
+        requests_at = self.now + (self.waiting_poll_interval_ms if self.waiting else idle_ms)
         gossip_at = self.gossip_at if self.gossip.received else math.inf  # digests get old, idle or not
         query_at = endpoint_list_confirmation.next_query_at(self)
-        return min(self.evaluate_at, self.endpoint_list.poll_at, gossip_at, poll_at, query_at)
+        return min(self.evaluate_at, self.endpoint_list.poll_at, gossip_at, requests_at, query_at)
--- a/meadowpulley/policy/send_permission.py
+++ b/meadowpulley/policy/send_permission.py
@@ -2,6 +2,9 @@
 
 Every attempt passes `may_send`: the first, a retry, one after a health check, one of an adopted request. The
 gateway checks again when it writes (`net/write_permission.py`), by the time that `write_by` gives it.
+
+These are the rules. That an ejected server gets nothing is a preference, and no rule: `server_selection`
+leaves it out before.
 """
 
 from enum import Enum
@@ -14,7 +17,12 @@
 
 
 class SendRefusal(Enum):
-    """Why a request may not be sent to a server now; the value names its counter."""
+    """Why a request may not be sent to a server now; the value names its counter.
+
+    A new reason goes here and, in its place, into `send_refusal`; where it can change until the request is
+    written, into `write_by` or `net/write_permission.py` too. Its counter `send_refused.*` and its part of
+    `interval_metrics` follow by themselves; docs/on-call.md and the table of rules in docs/design.md don't.
+    """
 
     REQUEST_FINISHED = "request_finished"
     RESPONSE_STARTED = "response_started"
--- a/meadowpulley/policy/slow_start_budget.py
+++ b/meadowpulley/policy/slow_start_budget.py
@@ -13,7 +13,10 @@
 
 
 def within_slow_start_budget(state: State, server: Server) -> bool:
-    """Tell whether the server is warmed up, or may get another request in this slot."""
+    """Tell whether the server is warmed up, or may get another request in this slot.
+
+    The first question in a slot draws the slot's budget.
+    """
     window_ms = state.rules.overload_window_ms
     if state.slow_start_fraction(server, window_ms) >= 1.0:
         return True
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -27,6 +27,7 @@
     if state.rollback_build == rollout.build:
         return Verdict.ROLL_BACK
     _reject_if_worse(state, rollout, slowdown, evidence_ratio)
+    # Also for a build that was rejected just now: the pause goes on, and may give a second reason.
     suspected = suspect_shared_slowdown(state, rollout.build, rollout.phase is Phase.RELEASED)
     if state.rollback_build == rollout.build:
         return Verdict.ROLL_BACK
--- a/meadowpulley/state/averages.py
+++ b/meadowpulley/state/averages.py
@@ -18,11 +18,15 @@
         self.total = 0.0
         self.updated_at = 0.0
 
-    def value(self, now: float, added: float = 0.0) -> float:
-        """Return the rate at `now`, after adding the given amount."""
+    def add(self, now: float, amount: float) -> None:
+        """Add an amount at a time in ms."""
         decay = math.exp((self.updated_at - now) / self.memory_ms)
-        self.total = self.total * decay + added
+        self.total = self.total * decay + amount
         self.updated_at = now
+
+    def value(self, now: float) -> float:
+        """Return the rate at a time in ms."""
+        self.add(now, 0.0)
         return self.total / self.memory_ms
 
 
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -45,6 +45,13 @@
         return self.baseline_succeeded + self.baseline_failed
 
 
+class ArmTimeouts(NamedTuple):
+    """Attempts that timed out at the newest build and at its baseline."""
+
+    newest: int
+    baseline: int
+
+
 class PooledOutcomes:
     """The sums of several gateways' digests on one build."""
 
@@ -72,9 +79,13 @@
             succeeded = outcomes.succeeded / len(servers)  # digests do not say by which server
             test.add(ServerOutcomes(class_index, server, failed, succeeded), baseline_rate, server_only=True)
 
-    def timeouts(self) -> ArmOutcomes:
-        """Return how many attempts timed out at warmed-up servers, as counts of `succeeded`."""
-        return self.of_class(TIMEOUT_CLASS)
+    def timeouts(self) -> ArmTimeouts:
+        """Return how many attempts timed out at warmed-up servers.
+
+        Digests carry them as successes of a class of its own.
+        """
+        counts = self.of_class(TIMEOUT_CLASS)
+        return ArmTimeouts(counts.succeeded, counts.baseline_succeeded)
 
     def responses(self) -> ArmOutcomes:
         """Return the counts of all classes together."""
@@ -142,7 +153,7 @@
         return any(outcome.failed for outcome in self.unpublished)
 
     def record_timeout(self, server: Server) -> None:
-        """Note a time-out at a warmed-up server for the next digest, as a succeeded response of its class."""
+        """Note a time-out at a warmed-up server for the next digest; `PooledOutcomes.timeouts` reads it."""
         self.unpublished.append(OutcomeCounts(TIMEOUT_CLASS, server.build, server.id, 0, 1))
 
     def accept(self, sender: int, digest: Digest, max_incarnations: int) -> bool:
--- a/meadowpulley/state/rollout.py
+++ b/meadowpulley/state/rollout.py
@@ -17,7 +17,7 @@
         self, own_failures: SequentialFailureTest, pooled_failures: SequentialFailureTest, memory_ms: float
     ) -> None:
         """Begin without evidence; attempts at the build are counted for `memory_ms`."""
-        self.own_failures = own_failures  # by this gateway's outcomes
+        self.own_failures = own_failures  # by this gateway's outcomes and the platform's statistics
         self.pooled_failures = pooled_failures  # by those of all gateways
         self.timeout_evidence = 0.0  # log likelihood ratio that its requests time out, by all gateways
         # By class, and whether by the platform's statistics: exponentially weighted moving averages.
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -33,7 +33,8 @@
         self.ejection_ms = 0.0
         self.last_failure_at = -math.inf
         self.last_response_at = -math.inf
-        self.confirmed_at = -math.inf  # discovery listed it as it is known, by what another gateway says
+        # Until then discovery listed it as it is known here, by what another gateway says.
+        self.peer_confirmed_at = -math.inf
 
     def as_candidate(self, slow_start_fraction: float, mean_latency_ms: float, home_zone: int) -> Candidate:
         """Return the server as a placement policy sees it."""
--- a/meadowpulley/state/state.py
+++ b/meadowpulley/state/state.py
@@ -1,4 +1,7 @@
-"""All that the policy of one gateway keeps, with the bookkeeping on it. Nothing here decides or is tuned."""
+"""All that the policy of one gateway keeps, with the bookkeeping on it.
+
+Nothing here decides, and nothing is tuned but for how much is remembered and for how long.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +49,8 @@
     confidence_z: float  # standard errors between an estimate and its bounds
     required_evidence: float  # log likelihood ratio of failing that condemns a build
     subset_size: float  # how many servers this gateway prefers
-    poll_interval_ms: float  # between two looks at waiting requests
+    waiting_poll_interval_ms: float  # between two looks at waiting requests
+    retry_budget: float  # retries that may be sent
     build_evidence: defaultdict[int, BuildEvidence]
     gossip: GossipState
     placements: dict[int, Placement]  # by arm; arm 0 is the policy's own choice
@@ -89,7 +93,6 @@
         self.request_rate = DecayingRate(RATE_MEMORY_MS)  # without the clients' own retries
         self.goodput = DecayingRate(RATE_MEMORY_MS)
         self.mean_latency_ms = 0.0  # exponentially weighted moving average
-        self.retry_budget = 1.0
         self.concurrency_limit = math.inf
 
     def _init_rollout(self, settings: Settings) -> None:
@@ -99,8 +102,9 @@
         self.rollback_build = NO_BUILD  # the one to be rolled back
         self.trial_started_at = 0.0
         self.stage_started_at = 0.0
-        self.baseline_latency_ms = 0.0  # before the newest build
-        self.baseline_request_rate = 0.0  # before the newest build
+        # Mean latency before the newest build; it follows the baseline while nothing slows that down.
+        self.baseline_latency_ms = 0.0
+        self.baseline_request_rate = 0.0  # the highest seen during the first stage of the newest build
         self.trial_probability = 0.0
         self.trial_probability_valid_until = -math.inf
         self.sticky_share = 0.0  # share of requests whose key binds them to the trial build
@@ -176,7 +180,8 @@
         per_class = self.rollout_settings.exposure_per_class
         in_flight = InFlightRequest(request, request_class, self.now, per_class)
         self.in_flight[request.request] = in_flight
-        self.request_rate.value(self.now, 0.0 if request.client_retry or request.adopted else 1.0)
+        counts = not (request.client_retry or request.adopted)
+        self.request_rate.add(self.now, float(counts))
         if not request.adopted:
             self.request_windows[in_flight.exposure_class].add(self.now)
         for previous in in_flight.possible_executions:
