--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -76,7 +76,7 @@
 
 
 class GatewayPhase(Enum):
-    """The phases of a gateway, in order."""
+    """The phases of a gateway, in order. A gateway that is stopped while it starts skips those between."""
 
     STARTING = "starting"
     READY = "ready"
--- a/meadowpulley/net/http1.py
+++ b/meadowpulley/net/http1.py
@@ -83,8 +83,8 @@
 _NO_MESSAGE = Message()  # in place of a message until a head was parsed
 
 
-def _is_kept_alive(message: Message) -> bool:
-    """Return whether the connection stays open after a message (RFC 9112, 9.3)."""
+def _is_persistent(message: Message) -> bool:
+    """Return whether the connection persists after a message (RFC 9112, 9.3)."""
     connection = message.headers.get("connection", "").lower()
     options = {option.strip() for option in connection.split(",")} if connection else ()
     return "close" not in options and (message.minor_version == 1 or "keep-alive" in options)
@@ -96,6 +96,12 @@
 
 
 class _ParserState(Enum):
+    """What the parser reads next.
+
+    HEAD leads to FIXED_LENGTH, CHUNK_SIZE or UNTIL_CLOSE, by how the body is framed. CHUNK_SIZE and
+    CHUNK_DATA alternate; the last chunk leads to TRAILER. The end of a message leads back to HEAD.
+    """
+
     HEAD = "head"
     FIXED_LENGTH = "fixed length"
     CHUNK_SIZE = "chunk size"
@@ -152,7 +158,7 @@
                     return self._complete_message(bytes(self._body))
                 progressed = line is not None
             else:
-                self._take_rest()
+                self._take_body_until_close()
                 progressed = False
             if not progressed:
                 return None
@@ -163,7 +169,7 @@
             return self._complete_message(bytes(self._body))
         return None
 
-    def _take_rest(self) -> None:
+    def _take_body_until_close(self) -> None:
         """Add all input to a body that ends with the connection."""
         self._body += self._buffer.take(len(self._buffer))
         if len(self._body) > self._max_body_bytes:
@@ -249,7 +255,7 @@
     def _choose_framing(self, lengths: list[str]) -> None:
         """Set the state that reads the body (RFC 9112, 6.3), and what the head says about the connection."""
         message = self._message
-        message.keep_alive = _is_kept_alive(message)
+        message.keep_alive = _is_persistent(message)
         transfer_coding = message.headers.get("transfer-encoding")
         if self._expect_requests and message.minor_version == 1 and "host" not in message.headers:
             raise BadMessageError(400, "no host")
--- a/tests/net_program/test_client_races.py
+++ b/tests/net_program/test_client_races.py
@@ -18,7 +18,8 @@
 def test_duplicate_id_is_not_forwarded_while_an_attempt_is_outstanding(
     start: StartGateway, cancellation_allowed: bool
 ) -> None:
-    # Its client had gone, which freed the id at once: a second copy was sent beside the first.
+    # A client that disconnected freed its request id at once. When the same id came again, a second copy was
+    # sent while the first attempt was still outstanding.
     may_respond = threading.Event()
 
     def hold(handler: BaseHTTPRequestHandler, body: bytes) -> None:
@@ -41,7 +42,8 @@
         may_respond.set()
         assert second.read_response()[::2] == (200, b"second")
     else:
-        assert second.read_response()[0] == 409 and instance.received.empty()
+        assert second.read_response()[0] == 409
+        assert instance.received.empty()
         may_respond.set()
         while not _counters(gateway).get("up.ok"):
             pass
@@ -60,6 +62,5 @@
     instance = FakeInstance()
     client = start([endpoint("s-1", instance.address)]).client()
     assert client.request("POST", "/pay", b"x", X_Remaining=remaining)[0] in (502, 503, 504)
-    assert (
-        client.request("POST", "/pay", b"y")[0] == 200 and instance.received.get(timeout=TIMEOUT_S)[3] == b"y"
-    )
+    assert client.request("POST", "/pay", b"y")[0] == 200
+    assert instance.received.get(timeout=TIMEOUT_S)[3] == b"y"
--- a/tests/net_program/test_customer_settings.py
+++ b/tests/net_program/test_customer_settings.py
@@ -171,15 +171,16 @@
         """The rules on answers and repeats."""
         context = (self.path, self.request_class, self.status, self.body, arrivals)
         repeat, group = self.request_class["repeat"], self.request_class["group"]
-        assert self.status in (200, 502, 503, 504) and len(arrivals) <= max_attempts, context
+        assert self.status in (200, 502, 503, 504), context
+        assert len(arrivals) <= max_attempts, context
         if self.status == 200:  # an answer that was made for this very request
-            assert (
-                self.behaviour in ("ok", "hold") and self.body == f"{self.request_id} {self.path}".encode()
-            ), context
+            assert self.behaviour in ("ok", "hold"), context
+            assert self.body == f"{self.request_id} {self.path}".encode(), context
         if not arrivals or self.behaviour == "away":
             return  # it never ran: refused or repeated as one likes
         if repeat == "side_effect":
-            assert len(arrivals) == 1 and self.status != 503, context
+            assert len(arrivals) == 1, context
+            assert self.status != 503, context
         if repeat == "token":
             assert len(arrivals) == 1 or self.behaviour != "window", context
             assert len(set(arrivals)) == 1 or group != "cell", context
@@ -193,7 +194,8 @@
     client = gateway.client()
     for cls in classes:
         status, headers, _ = client.request("DELETE", f"/{cls['name']}/ok")
-        assert status == 405 and headers["allow"] == ALLOWED_METHODS[cls["repeat"]]  # known by its whole name
+        assert status == 405
+        assert headers["allow"] == ALLOWED_METHODS[cls["repeat"]]  # known by its whole name
     for unknown_name in {f"{name}!" for name in names} | {name[:-1] for name in names} - names:
         assert client.request("GET", f"/{unknown_name}/ok")[0] == 404
 
@@ -270,7 +272,7 @@
 
 
 def test_infinite_number_is_rejected_with_its_path_at_start_and_reload(start: StartGateway) -> None:
-    # JSON's reader takes Infinity: the start ended in a traceback, and the reload in a fault.
+    # Python's JSON reader accepts Infinity. The start ended with a traceback, and a reload with an exception.
     invalid_settings = SETTINGS | {
         "rules": {**SETTINGS["rules"], "cold-ms": float("inf")},
         "balancers": float("inf"),
--- a/tests/net_program/test_lifecycle.py
+++ b/tests/net_program/test_lifecycle.py
@@ -64,8 +64,8 @@
 
 
 def test_listens_after_startup_and_one_reactor_turn(start: StartGateway) -> None:
-    # 133 gateways came back at once: what came while they still started was read 0.3 to 0.4 s later, its
-    # deadline counted from then: one whose instance was silent was answered too late.
+    # When 133 gateways restarted at once, requests that came during the start were read 0.3 to 0.4 s later,
+    # and their deadlines counted from then. Where an instance did not respond, the 504 came too late.
     gateway = start([])
     environ = {**os.environ, "PROXY_CONFIG": str(gateway.config_path)}
     gateway.stop()
@@ -77,7 +77,7 @@
         timeout=TIMEOUT_S,
         check=True,
     )
-    # Nor may a connection outwards get the port meanwhile, its own among them.
+    # Nor may an outgoing connection be given the port meanwhile, not even the gateway's own.
     assert completed.stdout.split()[:4] == ["collect", "refused", "held", "turn"]
     assert completed.stdout.split()[-1] == "listen"
 
@@ -114,7 +114,9 @@
         client.reader.close()
         client.socket.close()
     counters = gateway.wait_for("counters")
-    assert counters["in.requests"] == 1 and counters["out.200"] == 1 and counters["phase"] == "stopped"
+    assert counters["in.requests"] == 1
+    assert counters["out.200"] == 1
+    assert counters["phase"] == "stopped"
     assert gateway.process.wait(TIMEOUT_S) == 0
 
 
@@ -150,7 +152,8 @@
         timeout=TIMEOUT_S,
     )
     [line] = completed.stderr.splitlines()
-    assert line.startswith(f"meadowpulley: {name}: ") and message in line
+    assert line.startswith(f"meadowpulley: {name}: ")
+    assert message in line
     assert completed.returncode == 2
     monkeypatch.setenv(name, "")  # set and empty is off
     start([])
--- a/tests/net_program/test_serving.py
+++ b/tests/net_program/test_serving.py
@@ -44,7 +44,8 @@
     assert (status, body) == (200, b"served money")
     method, path, headers, sent = instance.received.get(timeout=TIMEOUT_S)
     assert (method, path, sent) == ("POST", "/pay/now?x=1", b"money")
-    assert headers["x-txn"] == f"{2:016x}" and headers["x-entity"] == "7f3a9c21e0b4d655"
+    assert headers["x-txn"] == f"{2:016x}"
+    assert headers["x-entity"] == "7f3a9c21e0b4d655"
     assert 0 < int(headers["x-remaining"].removesuffix("u")) <= 4_000_000
     for _ in range(5):
         assert client.request("GET", "/look")[0] == 200
@@ -73,7 +74,8 @@
     full = FakeInstance(lambda handler, _: respond(handler, 503, b"", X_Turned_Away="1"))
     client = start([endpoint("s-1", full.address)]).client()
     status, headers, _ = client.request("POST", "/pay", b"x")
-    assert status == 503 and float(headers["retry-after"]) == 0.5
+    assert status == 503
+    assert float(headers["retry-after"]) == 0.5
 
 
 def test_refused_connection_is_retried_on_another_server(start: StartGateway) -> None:
@@ -82,7 +84,8 @@
         closed_address = f"127.0.0.1:{closed.getsockname()[1]}"
     client = start([endpoint("s-1", closed_address), endpoint("s-2", healthy.address)]).client()
     statuses = [client.request("POST", "/pay", b"x")[0] for _ in range(4)]
-    assert statuses[0] == 200 and set(statuses) <= {
+    assert statuses[0] == 200
+    assert set(statuses) <= {
         200,
         503,
     }  # repeats are few, and what never ran is refused
@@ -133,7 +136,8 @@
 def test_silent_slow_and_partial_clients_time_out(
     start: StartGateway, first_bytes: bytes, trickle: bytes
 ) -> None:
-    # They held their connections for 60 s, and 10 s once a byte had come.
+    # Clients that sent nothing, or never all of a request, held their connections for 60 s, and for 10 s once
+    # a byte had come.
     client = start([]).client()
     client.socket.settimeout(0.1)
     give_up_at, received = time.monotonic() + 3.0, b""
@@ -143,30 +147,32 @@
             received += client.socket.recv(100)
             break
         client.socket.sendall(trickle)
-    assert time.monotonic() < give_up_at and received.startswith(
-        b"HTTP/1.1 408" if first_bytes or trickle else b""
-    )
+    assert time.monotonic() < give_up_at
+    assert received.startswith(b"HTTP/1.1 408" if first_bytes or trickle else b"")
 
 
 def test_idle_client_connection_is_closed(start: StartGateway) -> None:
-    # Such connections stay for good, and only a part of the descriptors is there for clients.
+    # Clients never close some of their idle connections, and only a part of the descriptors is for clients.
     client = start([endpoint("s-1", FakeInstance().address)]).client()
     assert client.request("POST", "/pay", b"x")[0] == 200
     started_at = time.monotonic()
-    assert client.read_response()[0] == 0 and 2.0 <= time.monotonic() - started_at < 3.0
+    assert client.read_response()[0] == 0
+    assert 2.0 <= time.monotonic() - started_at < 3.0
 
 
 def test_garbage_collector_thresholds_stay_low() -> None:
-    # Ended requests and connections stayed until millions of objects had come: memory grew all day long.
+    # Requests and connections end in reference cycles. With high thresholds they stayed until millions of
+    # objects had been created, and memory grew all day long.
     young, middle, old = GC_THRESHOLDS
     assert young * middle * old <= 100_000
 
 
 def test_responses_close_connections_while_half_the_slots_are_used(start: StartGateway) -> None:
-    # Found on a recorded day: clients that ask once and stay held all that clients may open, for 2 s each.
+    # Seen on a recorded day: clients that send one request and stay connected used all slots, for 2 s each.
     gateway = start([endpoint("s-1", FakeInstance().address)])
     status, headers, _ = gateway.client().request("POST", "/pay", b"x")
-    assert status == 200 and "connection" not in headers
+    assert status == 200
+    assert "connection" not in headers
     idle_connections = [socket.create_connection(("127.0.0.1", gateway.port), TIMEOUT_S) for _ in range(75)]
     client = gateway.client()
     status, headers, _ = client.request("POST", "/pay", b"x")
@@ -201,11 +207,12 @@
     instance.received.get(timeout=TIMEOUT_S)
     assert second_client.request("POST", "/pay", b"other", X_Txn="7f3a")[0] == 409
     may_respond.set()
-    assert first_client.read_response()[::2] == (200, b"own") and instance.received.empty()
+    assert first_client.read_response()[::2] == (200, b"own")
+    assert instance.received.empty()
 
 
 def test_hundreds_of_unused_connections_delay_nobody(start: StartGateway) -> None:
-    # Accepting paused with the table full of them, until they had stood idle for a second.
+    # Unused connections filled the table, and accepting paused until they had been idle for a second.
     gateway = start([endpoint("s-1", FakeInstance().address)])
     unused = [socket.create_connection(("127.0.0.1", gateway.port), TIMEOUT_S) for _ in range(400)]
     started_at = time.monotonic()
@@ -251,7 +258,8 @@
     client = start([endpoint("s-1", instance.address)]).client()
     status, _, _ = client.request("POST", "/pay", b"x", X_Remaining="200m")
     may_respond.set()
-    assert status == 502 and instance.received.qsize() == 1
+    assert status == 502
+    assert instance.received.qsize() == 1
 
 
 @pytest.mark.parametrize(
@@ -273,7 +281,8 @@
 def test_malformed_response_fails_its_attempt_and_closes_the_connection(
     start: StartGateway, raw: bytes
 ) -> None:
-    # Noise without an end, and heads and bodies that never end, held a request up until its deadline.
+    # Endless noise in place of a response, or a head or body without an end, delayed a request until its
+    # deadline.
     disconnected = threading.Event()
 
     def respond_malformed(handler: BaseHTTPRequestHandler, _: bytes) -> None:
@@ -289,8 +298,9 @@
     assert disconnected.wait(TIMEOUT_S)
     os.kill(gateway.process.pid, signal.SIGUSR1)
     counters = gateway.wait_for("counters")
-    # As one that may have run, which is no error of that instance's build: any instance sends these.
-    assert counters["up.malformed"] == counters["up.reset"] == 1 and "up.timeout" not in counters
+    # It counts as a reset: the request may have been executed, and the instance's build is not to blame.
+    assert counters["up.malformed"] == counters["up.reset"] == 1
+    assert "up.timeout" not in counters
 
 
 @pytest.mark.parametrize(
--- a/tests/net_program/test_signals.py
+++ b/tests/net_program/test_signals.py
@@ -102,8 +102,8 @@
 def test_signals_take_effect_at_every_step(
     start: StartGateway, step: str, signals: list[signal.Signals], events: list[str], status: int
 ) -> None:
-    # SIGTERM before READY was forgotten: the gateway then listened and served until it was killed. SIGHUP was
-    # passed over though the configuration had been read before it.
+    # A SIGTERM before the gateway was ready was forgotten: it then listened and served until it was killed. A
+    # SIGHUP was ignored, though it came after the configuration had been read.
     gateway, moved = start([], wait=False), FakeDiscovery([])
     gateway.stop()
     new_config = gateway.config_path.with_name("moved.json")
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -137,25 +137,29 @@
 
 
 def test_request_read_at_the_idle_timeout_is_accepted(turns: ReactorHarness) -> None:
-    # What is due ran first, and found the connection silent: the kernel no longer held what was in hand.
+    # Due deadlines run before input that was just read. The idle time-out found nothing unread in the kernel,
+    # since the request had been taken from it, and closed the connection.
     client = turns.client()
     assert turns.request(client) == 200
     turns.clock_offset_ms += IDLE_TIMEOUT_MS + 1.0  # due, and the reactor's own call for it comes only later
     client.send("GET", "/look")
     turns.run_turns()
-    assert turns.policy.count(Request) == 1 and turns.connections[0].request is not None
+    assert turns.policy.count(Request) == 1
+    assert turns.connections[0].request is not None
 
 
 def test_idle_connection_closes_in_the_same_turn(turns: ReactorHarness) -> None:
-    # It was closed by way of the next turn: a request that came in between was read, thrown away and lost.
+    # The connection was closed in the reactor's next turn. A request that came in between was read and lost.
     client = turns.client()
     assert turns.request(client) == 200
     turns.gateway.drain()
-    assert has_input(client) and client.read_response()[0] == 0
+    assert has_input(client)
+    assert client.read_response()[0] == 0
 
 
 def test_backlog_is_answered_when_listening_stops(turns: ReactorHarness) -> None:
-    # The kernel had completed their connections, their requests were there: closing the port reset them all.
+    # The kernel had completed connections that the gateway had not accepted yet, and their requests had come.
+    # Closing the listening socket reset them all.
     turns.gateway.drain()
     waiting = [Client(turns.port) for _ in range(60)]  # more than there are places
     for client in waiting:
@@ -172,7 +176,7 @@
 
 
 def test_draining_gateway_answers_new_connections(turns: ReactorHarness) -> None:
-    # It was closed with no answer, which is a request refused.
+    # A connection accepted while draining was closed without a response, which the client counts as refused.
     client, unused = turns.client(), turns.client()
     turns.gateway.drain()
     assert turns.request(client) == 200
@@ -182,7 +186,8 @@
 
 
 def test_turn_accepts_no_more_connections_than_free_slots(turns: ReactorHarness) -> None:
-    # After a turn in which it took all that it might, the port took twenty more in the next: some were reset.
+    # After a turn that accepted as many connections as it was allowed, Twisted's port accepts twenty more in
+    # the next. There were not enough slots, and some connections were reset.
     half = [turns.client() for _ in range(28)] + [Client(turns.port) for _ in range(9)]
     turns.run_turns(2)
     waiting = [Client(turns.port) for _ in range(60)]
@@ -194,7 +199,8 @@
         turns.run_until_input(client)
         assert client.read_response()[0] == 200
         disconnect(client)
-    assert not turns.gateway.counters["in.rejected_connections"] and turns.gateway.counters["in.pauses"]
+    assert not turns.gateway.counters["in.rejected_connections"]
+    assert turns.gateway.counters["in.pauses"]
 
 
 class SlowReader(Client):
@@ -222,7 +228,8 @@
 
 @pytest.mark.parametrize("out_of_slots", [False, True])
 def test_slow_client_receives_its_last_response_completely(turns: ReactorHarness, out_of_slots: bool) -> None:
-    # A second after the last byte was the kernel's, or at once to make room, it was thrown away with a reset.
+    # A lingering connection was reset after a second, or at once to make room. What the kernel still held of
+    # its last response was lost.
     client = SlowReader(turns.port)
     client.send("GET", "/look", Connection="close")
     while not turns.policy.count(Request):
@@ -235,7 +242,8 @@
     else:
         turns.advance(LINGER_TIMEOUT_MS)
     turns.run_turns(2)
-    assert not turns.connections and client.read_response()[::2] == (200, bytes(60_000))
+    assert not turns.connections
+    assert client.read_response()[::2] == (200, bytes(60_000))
 
 
 PIPELINED_REQUEST = b"GET /look HTTP/1.1\r\nHost: a\r\nX-Txn: 2\r\n\r\n"
@@ -248,7 +256,8 @@
 def test_client_disconnect_is_noticed_despite_pipelined_input(
     turns: ReactorHarness, pipelined: bytes, shutdown_mode: int
 ) -> None:
-    # Reading paused while it had written ahead: its request, and then those behind it, went on for nobody.
+    # The gateway stopped reading from a client that had sent requests ahead, and so never learned that the
+    # client had left. All of its requests were still sent to instances.
     client = turns.client()
     client.send("GET", "/look")
     client.socket.sendall(pipelined)
@@ -256,13 +265,12 @@
         turns.run_turns()
     client.socket.shutdown(shutdown_mode)
     turns.run_turns(20)
-    assert (
-        not turns.connections and turns.policy.count(Request) == turns.policy.count(ClientDisconnected) == 1
-    )
+    assert not turns.connections
+    assert turns.policy.count(Request) == turns.policy.count(ClientDisconnected) == 1
 
 
 def test_flood_on_one_connection_does_not_starve_others(turns: ReactorHarness) -> None:
-    # All that was read was worked on in one turn, 1,700 requests of 64 kB, and every other client waited.
+    # All requests in a read were handled in one turn, up to 1,700 in 64 kB, while every other client waited.
     client, request_count = turns.client(), 1000
     client.socket.sendall(b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n" * request_count)
     counters = turns.gateway.counters
@@ -284,11 +292,12 @@
                 client.socket.send(request_ * 1000)
             turns.advance(1.0)
             turns.run_turns()
-    assert turns.policy.count(Request) <= 2 * MAX_REQUESTS_PER_TURN and turns.request(turns.client()) == 200
+    assert turns.policy.count(Request) <= 2 * MAX_REQUESTS_PER_TURN
+    assert turns.request(turns.client()) == 200
 
 
 def test_request_with_unread_remainder_is_in_time(turns: ReactorHarness) -> None:
-    # A gateway that was held up answered 408 to what had been there for long.
+    # A gateway that was itself delayed answered 408 to a request whose last bytes were waiting in the kernel.
     client = turns.client()
     client.socket.sendall(b"GET /health/live HTTP/1.1\r\n")
     turns.run_turns()
@@ -299,17 +308,20 @@
 
 
 def test_drain_during_a_response_closes_its_connection(turns: ReactorHarness) -> None:
-    # It stayed open for 2 s more, and so did the gateway.
+    # A connection whose response was being written when draining began stayed open for 2 s more, and the
+    # gateway with it.
     client = SlowReader(turns.port)
     client.send("GET", "/look")
     respond_slowly(turns)
     turns.gateway.drain()
-    assert turns.read_to_end(client).endswith(bytes(150_000)) and not turns.connections
+    assert turns.read_to_end(client).endswith(bytes(150_000))
+    assert not turns.connections
 
 
 @pytest.mark.parametrize("path", ["/health/live", "/nothing", "/pay", "/look"])
 def test_requested_close_follows_every_response(turns: ReactorHarness, path: str) -> None:
-    # A health check that waited for the end of the connection waited until it had stood idle for long.
+    # Some responses ignored the client's `connection: close`. A health check that waits for the end of the
+    # connection waited for the idle time-out.
     client = turns.client()
     client.send("GET", path, Connection="close", X_Remaining="0m")
     assert b"connection: close" in turns.read_to_end(client)
@@ -322,7 +334,7 @@
 
 
 def test_slow_reader_may_use_its_whole_deadline(turns: ReactorHarness) -> None:
-    # Bytes of it that the kernel had not taken within 2.1 s were thrown away, and the connection reset.
+    # The rest of a response that the kernel had not taken within 2.1 s was dropped and the connection reset.
     client = SlowReader(turns.port)
     client.send("GET", "/look", Connection="close", X_Remaining="4000m")
     respond_slowly(turns)
@@ -340,7 +352,7 @@
 
 
 def test_unknown_tenants_are_charged_to_no_tenant() -> None:
-    # Who named no tenant, or one that the settings don't name, was taken for the first of them.
+    # A request without a tenant, or with one that the settings don't name, was charged to the first tenant.
     turns = ReactorHarness(tenants=[{"name": name, "share": 0.5, "quota-rps": 9.0} for name in ("a", "a-1")])
     for n, line in enumerate([b"X-Org: a", b"X-Org: a-1", b"X-Org: a-", b"X-Org: ", b"X-Other: a"]):
         client = turns.client()
@@ -370,6 +382,8 @@
     bench.request("r2").disconnect()
     (opening,) = [o for o in bench.reactor.pending_connections if o.address in INSTANCES]
     connection = opening.accept()
-    assert not connection.received_by_peer and not connection.connected
+    assert not connection.received_by_peer
+    assert not connection.connected
     (outcome,) = [e for e in policy.events if isinstance(e, Outcome)]
-    assert outcome.result is Result.NOT_SENT and not bench.gateway.requests.outstanding_ids
+    assert outcome.result is Result.NOT_SENT
+    assert not bench.gateway.requests.outstanding_ids
--- a/tests/test_net_config.py
+++ b/tests/test_net_config.py
@@ -1,4 +1,4 @@
-"""What a gateway refuses to be told, each in one line that names the file and the place in it."""
+"""Rejected configurations: each error is one line that names the file and the place in it."""
 
 from __future__ import annotations
 
--- a/tests/test_net_extension.py
+++ b/tests/test_net_extension.py
@@ -132,17 +132,14 @@
         incoming.is_duplicate,
     )
     assert seen == ("r1", "POST", "/pay?n=1", b"hello", False)
-    assert (
-        incoming.message.headers[protocol.TENANT_HEADER] == "t"
-        and incoming.event.class_index == 1
-        and incoming.event.write
-    )
-    assert (
-        incoming.event.deadline_ms == incoming.arrived_ms + 400.0
-        and bench.recorder.events[-1] is incoming.event
-    )
+    assert incoming.message.headers[protocol.TENANT_HEADER] == "t"
+    assert incoming.event.class_index == 1
+    assert incoming.event.write
+    assert incoming.event.deadline_ms == incoming.arrived_ms + 400.0
+    assert bench.recorder.events[-1] is incoming.event
     bench.respond()
-    assert b" 200 " in client.received_by_peer and extension.responses[0].body == b"r1"
+    assert b" 200 " in client.received_by_peer
+    assert extension.responses[0].body == b"r1"
 
 
 def test_request_completed_by_the_extension_is_never_started() -> None:
@@ -153,14 +150,11 @@
 
     bench = GatewayBench(extension := RecordingExtension(complete))
     client = bench.request()
-    assert b"content-type: text/x" in client.received_by_peer and client.received_by_peer.endswith(
-        b"as before"
-    )
-    assert (
-        not bench.instance.received_by_peer
-        and not extension.responses
-        and "Request" not in bench.request_events()
-    )
+    assert b"content-type: text/x" in client.received_by_peer
+    assert client.received_by_peer.endswith(b"as before")
+    assert not bench.instance.received_by_peer
+    assert not extension.responses
+    assert "Request" not in bench.request_events()
     assert complete(extension.incoming[0])  # it is over
 
 
@@ -169,15 +163,15 @@
     bench = GatewayBench(extension := RecordingExtension(holds_responses=True))
     client = bench.request()
     bench.respond()
-    assert not client.received_by_peer and extension.responses == [
-        Response(200, {"content-type": "text/plain"}, b"r1")
-    ]
+    assert not client.received_by_peer
+    assert extension.responses == [Response(200, {"content-type": "text/plain"}, b"r1")]
     if released:
         extension.releases[0]()
     else:
         bench.wait(421.0)
     extension.releases[0]()
-    assert client.received_by_peer.count(b" 200 ") == 1 and client.received_by_peer.endswith(b"r1")
+    assert client.received_by_peer.count(b" 200 ") == 1
+    assert client.received_by_peer.endswith(b"r1")
     assert bench.gateway.counters["out.release_overdue"] == (not released)
 
 
@@ -188,16 +182,17 @@
     first = bench.request()
     extension.admits = lambda _: mode != "joined"
     second = bench.request()
-    assert (
-        bench.instance.received_by_peer.count(b"GET ") == 1 and bench.request_events().count("Request") == 1
-    )
+    assert bench.instance.received_by_peer.count(b"GET ") == 1
+    assert bench.request_events().count("Request") == 1
     assert (b" 409 " in second.received_by_peer and b"connection: close" in second.received_by_peer) == (
         mode != "joined"
     )
     bench.respond()
-    assert first.received_by_peer.endswith(b"r1") and not bench.gateway.counters["out.duplicate_responses"]
+    assert first.received_by_peer.endswith(b"r1")
+    assert not bench.gateway.counters["out.duplicate_responses"]
     if mode == "joined":
-        assert [a.is_duplicate for a in extension.incoming] == [False, True] and not second.received_by_peer
+        assert [a.is_duplicate for a in extension.incoming] == [False, True]
+        assert not second.received_by_peer
         assert bench.gateway.requests.complete(extension.incoming[1].event.request, extension.responses[0])
         assert second.received_by_peer == first.received_by_peer
     assert not bench.gateway.requests.open_ids
@@ -208,16 +203,19 @@
     prior_attempts = (PriorAttempt(5, 41, 0, 0, 0.0),)
     bench.adopt("lost", responses.append, attempt_count=1, prior_attempts=prior_attempts, arm=2)
     event = next(e for e in bench.recorder.events if isinstance(e, Request))
-    assert event.adopted and (event.prior_attempt_count, event.prior_attempts, event.arm) == (
+    assert event.adopted
+    assert (event.prior_attempt_count, event.prior_attempts, event.arm) == (
         1,
         prior_attempts,
         2,
     )
     bench.gateway.drain()
     bench.wait(1000.0)
-    assert bench.phase == "draining" and b"lost" in bench.instance.received_by_peer
+    assert bench.phase == "draining"
+    assert b"lost" in bench.instance.received_by_peer
     bench.respond(b"lost")
-    assert responses == [Response(200, {"content-type": "text/plain"}, b"lost")] and bench.phase == "stopped"
+    assert responses == [Response(200, {"content-type": "text/plain"}, b"lost")]
+    assert bench.phase == "stopped"
     assert [e.attempt for e in bench.recorder.events if isinstance(e, Outcome)] == [1]
 
 
@@ -245,14 +243,14 @@
     bench.gateway.drain()
     bench.wait(600.0)  # connections still come
     bench.request().disconnect()
-    assert len(extension.disconnected) == 1 and bench.request_events() == ["Request"] + [
-        "ClientDisconnected"
-    ] * (not continues)
+    assert len(extension.disconnected) == 1
+    assert bench.request_events() == ["Request"] + ["ClientDisconnected"] * (not continues)
     bench.wait(200.0)
     assert bench.phase == ("draining" if continues else "stopped")
     if continues:
         bench.respond()
-        assert [a.body for a in extension.responses] == [b"r1"] and bench.phase == "stopped"
+        assert [a.body for a in extension.responses] == [b"r1"]
+        assert bench.phase == "stopped"
 
 
 def test_extension_is_notified_of_draining_before_connections_close() -> None:
@@ -261,7 +259,8 @@
     bench.respond()
     extension.at_draining = lambda: open_at_draining.append(client.connected and not client.closing)
     bench.gateway.drain()
-    assert open_at_draining == [True] and client.closing
+    assert open_at_draining == [True]
+    assert client.closing
 
 
 class Broken:
@@ -276,15 +275,14 @@
     bench = GatewayBench(Broken())
     first, second, third = bench.request("r1"), bench.request("r2"), bench.request("r1")
     bench.respond()
-    assert (
-        b" 200 " in first.received_by_peer
-        and b" 502 " in second.received_by_peer
-        and b" 409 " in third.received_by_peer
-    )
+    assert b" 200 " in first.received_by_peer
+    assert b" 502 " in second.received_by_peer
+    assert b" 409 " in third.received_by_peer
     bench.request("r1").disconnect()
     bench.gateway.drain()
     bench.wait(3000.0)
-    assert bench.phase == "stopped" and not bench.gateway.requests.open_ids
+    assert bench.phase == "stopped"
+    assert not bench.gateway.requests.open_ids
 
 
 def test_stages_may_add_events_and_actions() -> None:
@@ -306,11 +304,9 @@
     )
     bench.recorder.repetitions = 2
     bench.gateway.dispatch(CustomEvent("both in one turn of the decisions"))
-    assert (
-        completed == [True, False]
-        and client.received_by_peer.count(b" 502 ") == 1
-        and not bench.instance.connected
-    )
+    assert completed == [True, False]
+    assert client.received_by_peer.count(b" 502 ") == 1
+    assert not bench.instance.connected
 
 
 def random_walk(extension: RecordingExtension | None, scene: str, seed: int) -> tuple[Any, ...]:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -58,7 +58,9 @@
     with pytest.raises(RingBufferFullError):
         ring.write(b"y")
     ring.clear()
-    assert len(ring) == 0 and ring.free_bytes == 3 * INITIAL_BYTES and len(ring._bytes) == INITIAL_BYTES
+    assert len(ring) == 0
+    assert ring.free_bytes == 3 * INITIAL_BYTES
+    assert len(ring._bytes) == INITIAL_BYTES
 
 
 def test_ring_finds_across_its_seam() -> None:
@@ -66,7 +68,9 @@
     ring.write(b"a" * (INITIAL_BYTES - 1))
     ring.take(INITIAL_BYTES - 2)
     ring.write(b"b\r\n\r\nc")
-    assert ring.find(b"\r\n\r\n") == 2 and ring.find(b"zz") == -1 and ring.find(b"a", 1) == -1
+    assert ring.find(b"\r\n\r\n") == 2
+    assert ring.find(b"zz") == -1
+    assert ring.find(b"a", 1) == -1
 
 
 # Slots
@@ -77,10 +81,14 @@
     first = slots.put("a")
     assert slots.free(first) == "a"
     second = slots.put("b")
-    assert first % 2 == second % 2 and first != second
-    assert slots.get(first) is None and slots.free(first) is None and slots.get(second) == "b"
+    assert first % 2 == second % 2
+    assert first != second
+    assert slots.get(first) is None
+    assert slots.free(first) is None
+    assert slots.get(second) == "b"
     slots.put("c")
-    assert slots.full and sorted(slots) == ["b", "c"]
+    assert slots.full
+    assert sorted(slots) == ["b", "c"]
     with pytest.raises(SlotsFullError):
         slots.put("d")
 
@@ -96,7 +104,8 @@
     time.reactor.advance(0.02)
     assert ran == [10, 10, 20]
     time.reactor.advance(0.01)
-    assert ran == [10, 10, 20, 30] and len(time.deadlines) == 0
+    assert ran == [10, 10, 20, 30]
+    assert len(time.deadlines) == 0
 
 
 def test_cancelled_deadlines_do_not_run_and_are_removed() -> None:
@@ -104,7 +113,8 @@
     kept = time.deadlines.after(50, lambda: ran.append("kept"))
     for _ in range(1000):
         time.deadlines.cancel(time.deadlines.after(20, lambda: ran.append("no")))
-    assert len(time.deadlines) == 1 and len(time.deadlines._heap) < 300
+    assert len(time.deadlines) == 1
+    assert len(time.deadlines._heap) < 300
     time.reactor.advance(0.06)
     assert ran == ["kept"]
     time.deadlines.cancel(kept)  # one that has run is nothing to call off
@@ -125,7 +135,8 @@
     time.deadlines.after(1, again)
     time.reactor.rightNow = 0.002
     time.deadlines.run_due()
-    assert time.faults == ["deadline"] and ran == ["again"]
+    assert time.faults == ["deadline"]
+    assert ran == ["again"]
 
 
 def test_moved_timeout_runs_only_at_its_last_time() -> None:
@@ -169,8 +180,11 @@
     assert whole == parse_messages(data, piece=1) == parse_messages(data, piece=7)
     first, second, third = whole
     assert (first.method, first.target, first.body) == ("POST", "/pay?x=1", b"hello")
-    assert first.headers["x-txn"] == "9b" and first.keep_alive
-    assert second.method == "GET" and not second.keep_alive and second.body == b""
+    assert first.headers["x-txn"] == "9b"
+    assert first.keep_alive
+    assert second.method == "GET"
+    assert not second.keep_alive
+    assert second.body == b""
     assert third.body == b"abcde"
 
 
@@ -198,16 +212,38 @@
         (b"GET / HTTP/1.1\r\n" + HOST + b"X-A: " + b"b" * MAX_HEAD_BYTES, 431),
         (b"GET / HTTP/1.1\r\n" + HOST + b"X-A: b\r\n" * 200 + b"\r\n", 431),
     ],
+    ids=[
+        "TLS",
+        "two blanks",
+        "HTTP 2.0",
+        "no host",
+        "two hosts",
+        "blank before a colon",
+        "folded line",
+        "null byte",
+        "bare line feed",
+        "two lengths",
+        "length and coding",
+        "unknown coding",
+        "signed length",
+        "list of lengths",
+        "length too large",
+        "malformed chunk size",
+        "chunk longer than its size",
+        "chunk too large",
+        "head too large",
+        "too many fields",
+    ],
 )
-def test_bad_requests_raise_their_status(data: bytes, status: int) -> None:
-    for piece in (None, 1):
-        with pytest.raises(BadMessageError) as caught:
-            parse_messages(data, piece=piece)
-        assert caught.value.status == status
+@pytest.mark.parametrize("piece", [None, 1], ids=["whole", "byte by byte"])
+def test_bad_requests_raise_their_status(data: bytes, status: int, piece: int | None) -> None:
+    with pytest.raises(BadMessageError) as caught:
+        parse_messages(data, piece=piece)
+    assert caught.value.status == status
 
 
 def test_head_of_blanks_is_parsed_in_linear_time() -> None:
-    # An expression that tries every split of a run of blanks would take minutes here.
+    # A regular expression that tries every split of a run of blanks would take minutes here.
     with pytest.raises(BadMessageError):
         parse_messages(b"GET / HTTP/1.1\r\n" + HOST + b"X-A: " + b" \t" * 7000 + b"\x00\r\n\r\n")
 
@@ -218,9 +254,12 @@
     ring = RingBuffer(MAX_BUFFERED_BYTES)
     parser = Parser(ring, expect_requests=False)
     ring.write(b"HTTP/1.0 200 OK\r\n\r\nto the end")
-    assert parser.next_message() is None and parser.has_partial_message
+    assert parser.next_message() is None
+    assert parser.has_partial_message
     ended = parser.end_of_stream()
-    assert ended is not None and ended.body == b"to the end" and not ended.keep_alive
+    assert ended is not None
+    assert ended.body == b"to the end"
+    assert not ended.keep_alive
     assert Parser(RingBuffer(100), expect_requests=False).end_of_stream() is None
 
 
@@ -228,7 +267,9 @@
     [request] = parse_messages(request_bytes("POST", "/pay", {"host": "app.svc", "x-txn": "1"}, b"body"))
     assert (request.method, request.body, request.headers["content-length"]) == ("POST", b"body", "4")
     [answer] = parse_messages(response_bytes(503, {"retry-after": "0.500"}, b"", close=True), requests=False)
-    assert answer.status == 503 and answer.headers["retry-after"] == "0.500" and not answer.keep_alive
+    assert answer.status == 503
+    assert answer.headers["retry-after"] == "0.500"
+    assert not answer.keep_alive
 
 
 def test_hop_by_hop_headers_are_not_forwarded() -> None:
@@ -244,16 +285,21 @@
 
 
 def test_remaining_times_and_keys() -> None:
-    assert parse_remaining("480m") == 480.0 and parse_remaining("1500u") == 1.5
-    for bad in ("480", "-1m", "1e3m", "m", "48 m", "1s"):
-        with pytest.raises(BadMessageError):
-            parse_remaining(bad)
-    assert parse_key("7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655 and parse_key("") == 0
+    assert parse_remaining("480m") == 480.0
+    assert parse_remaining("1500u") == 1.5
+    assert parse_key("7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
+    assert parse_key("") == 0
     assert parse_key("user/9") == parse_key("user/9") != parse_key("user/8")
 
 
+@pytest.mark.parametrize("text", ["480", "-1m", "1e3m", "m", "48 m", "1s"])
+def test_what_is_no_remaining_time_is_rejected(text: str) -> None:
+    with pytest.raises(BadMessageError, match="is no time"):
+        parse_remaining(text)
+
+
 def test_http_1_0_request_is_forwarded_with_a_host() -> None:
-    # An instance answers 400 to one of HTTP/1.1 without it, which counted against the instance.
+    # The gateway forwards as HTTP/1.1. Without a Host the instance answered 400, which counted against it.
     assert forwarded_headers({"x-txn": "7"}, "app.svc") == {"host": "app.svc", "x-txn": "7"}
     assert forwarded_headers({"host": "a"}, "app.svc") == {"host": "a"}
 
@@ -267,7 +313,7 @@
 
 
 def test_start_line_is_parsed_once_when_the_head_arrives_byte_by_byte() -> None:
-    # It was read again with every byte behind it: 0.3 s of work for a head of 16 kB.
+    # The start line was parsed again with every later byte: 0.3 s of work for a head of 16 kB.
     ring = RingBuffer(MAX_BUFFERED_BYTES)
     parser = CountingParser(ring, expect_requests=True)
     for byte in b"\r\n\r\nGET /" + b"a" * 4000 + b" HTTP/1.1\r\n" + HOST + b"X-A: " + b"b" * 4000:
@@ -275,16 +321,18 @@
         assert parser.next_message() is None
     assert parser.lines == 1
     ring.write(b"\r\n\r\n")
-    assert parser.next_message() is not None and not len(ring)
+    assert parser.next_message() is not None
+    assert not len(ring)
 
 
-def test_http_1_0_gets_no_100_continue() -> None:
-    for minor in (0, 1):
-        ring = RingBuffer(MAX_BUFFERED_BYTES)
-        parser = Parser(ring, expect_requests=True)
-        rest = b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\n"
-        ring.write(b"POST / HTTP/1.%d\r\n" % minor + HOST + rest)
-        assert parser.next_message() is None and parser.expects_continue == bool(minor)
+@pytest.mark.parametrize(("minor_version", "is_expected"), [(0, False), (1, True)])
+def test_http_1_0_gets_no_100_continue(minor_version: int, is_expected: bool) -> None:
+    ring = RingBuffer(MAX_BUFFERED_BYTES)
+    parser = Parser(ring, expect_requests=True)
+    fields = HOST + b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\n"
+    ring.write(b"POST / HTTP/1.%d\r\n" % minor_version + fields)
+    assert parser.next_message() is None
+    assert parser.expects_continue is is_expected
 
 
 class CountingBytes(bytearray):
@@ -299,7 +347,7 @@
 
 
 def test_ring_find_stops_at_its_match() -> None:
-    # 144 kB of short lines that came at once cost the whole of the rest each.
+    # Each of many short lines that came at once cost a search through all bytes behind it, 144 kB at most.
     ring = RingBuffer(4 * INITIAL_BYTES)
     ring.write(b"x\n" * (2 * INITIAL_BYTES))
     ring._bytes = CountingBytes(ring._bytes)
--- a/tests/test_reactor.py
+++ b/tests/test_reactor.py
@@ -33,8 +33,8 @@
 
 @pytest.mark.parametrize("event", [select.EPOLLERR, select.EPOLLHUP, select.EPOLLERR | select.EPOLLHUP])
 def test_an_error_without_input_is_read_and_no_orderly_end(event: int) -> None:
-    # One reset in some hundreds is reported as an error alone. An answer that the end of its connection
-    # frames was then taken for whole, though its instance had cut it off.
+    # The kernel reports one reset in some hundreds as an error alone, without input. Twisted took it for an
+    # orderly end, and a response framed by the end of its connection for complete though it was cut off.
     connection = ResetConnection()
     reactor: Any = MonotonicReactor()
     reactor.addReader(connection)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -34,7 +34,7 @@
 
 
 def test_no_server_is_ejected_where_most_fail() -> None:
-    # Resting those that timed out in a jam sent all the load to the few left.
+    # Ejecting every server that timed out under overload sent all the load to the few that were left.
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(4))
     for _ in range(200):
@@ -81,7 +81,8 @@
     held = [s for _ in range(40) for s in sends(driver.request(SAFE))]
     assert len(held) < 40
     rejected = [a for _ in range(20) for a in driver.request(SAFE) if isinstance(a, Reject)]
-    assert len(rejected) > 15 and {a.retry_after_ms for a in rejected} == {500.0}
+    assert len(rejected) > 15
+    assert {a.retry_after_ms for a in rejected} == {500.0}
 
 
 def test_retries_are_bounded_by_the_retry_budget() -> None:
@@ -105,7 +106,8 @@
 
 
 def test_an_idle_policy_prefers_faster_kinds_in_proportion() -> None:
-    # Many balancers hold no request most of the time: without this the slower kind got as many and jammed.
+    # Where there are many gateways, each has no request in flight most of the time. The slower kind of server
+    # then got as many requests as the faster one, and was overloaded.
     driver = Driver()
     driver.update_endpoints(server_entry(n, kind=n % 2) for n in range(40))
     got = [0, 0]
@@ -119,7 +121,7 @@
 
 
 def test_attempts_outstanding_during_a_stall_teach_nothing() -> None:
-    # A gateway that gets no turn finds all its answers at once: they look slow, and so did the build.
+    # A gateway that was stalled reads all responses at once. They look slow, and the build was blamed for it.
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(4))
     for _ in range(40):
@@ -141,7 +143,8 @@
 
 
 def test_lost_responses_alone_do_not_lower_the_concurrency_limit() -> None:
-    # Answers got lost while the work ran: half of all requests were refused though the servers were idle.
+    # Responses got lost while the work was done. Half of all requests were rejected though the servers were
+    # idle.
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(8))
     for n in range(200):
@@ -153,7 +156,7 @@
 
 
 def test_an_idle_policy_sets_no_timers() -> None:
-    # Hundreds of gateways that tick twenty times a second got a day cut off.
+    # Hundreds of idle gateways with a timer twenty times a second took more time than a simulated day has.
     driver = Driver()
     driver.update_endpoints([server_entry(0)])
     for _ in range(20):
@@ -165,12 +168,14 @@
 
 
 def test_a_sparse_policy_probes_two_servers_and_takes_the_first_to_answer() -> None:
-    # Hundreds of gateways hold nothing most of the time; own counts then send as much to a jammed server.
+    # Where there are hundreds of gateways, each has nothing in flight most of the time. By its own counts it
+    # sends an overloaded server as much as any other.
     driver = Driver(settings(limits=replace(LIMITS, probes=True)))
     driver.update_endpoints(server_entry(n) for n in range(8))
     actions = driver.request(SAFE)
     asked = [a.server for a in actions if isinstance(a, Probe)]
-    assert len(set(asked)) == 2 and not sends(actions)
+    assert len(set(asked)) == 2
+    assert not sends(actions)
     assert not sends(driver.handle(ProbeResult(asked[0], Result.TIMEOUT, 250.0)))
     [send] = sends(driver.handle(ProbeResult(asked[1], Result.OK, 2.0)))
     assert send.server == asked[1]
@@ -186,7 +191,7 @@
 
 
 def test_without_slow_start_a_new_server_gets_requests_at_once() -> None:
-    # Rules with a span for cold servers and no cold time: each request divided by 0.
+    # Rules with a slow-start fraction and no slow-start time made each request divide by 0.
     driver = Driver(
         replace(settings(), rules=replace(RULES, slow_start_initial_fraction=1.0, slow_start_ms=0.0))
     )
