--- a/meadowpulley/model_checking/shared_state_model/gateway_state.py
+++ b/meadowpulley/model_checking/shared_state_model/gateway_state.py
@@ -38,8 +38,7 @@
 IGNORED_FIELDS = {
     "RolloutPolicy": UNCHANGING_POLICY_FIELDS | {"rng"},
     "InFlightRequest": frozenset({"request_class"}),
-    "LeaseManager": frozenset({"_handlers"}),
-    "TakeoverStage": frozenset({"entries", "gateway_settings", "handlers", "settings"}),
+    "TakeoverStage": frozenset({"entries", "handlers", "settings"}),
     "LendingStage": frozenset({"settings", "priority_weights"}),
     "TransactionBuilder": frozenset({"actions", "transactions", "intents", "now"}),
 }
