--- a/meadowpulley/model_checking/connection_model/transitions.py
+++ b/meadowpulley/model_checking/connection_model/transitions.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 import signal
-from collections.abc import Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
+from typing import ClassVar
 
 from meadowpulley.model_checking.connection_model.configurations import MOVED_DISCOVERY
 from meadowpulley.model_checking.connection_model.invariants import InvariantChecks
@@ -18,13 +19,13 @@
 
 
 class ConnectionModel(InvariantChecks):
-    """The complete model: each step is a method named for it."""
+    """The complete model: `HANDLERS` has the method of each step."""
 
     def apply(self, step: Step) -> tuple[Sequence[int], Sequence[int]]:
         """Make a step happen and check all properties; nothing is drawn in this model."""
         self.messages = []
         try:
-            getattr(self, f"_do_{step.action}")(*step.arguments)
+            self.HANDLERS[step.action](self, *step.arguments)
             self.reactor.run_due()
             self._accept_discovery_connections()
         except Exception as error:  # the reactor would log it, and end the connection
@@ -32,11 +33,11 @@
         self._check_invariants()
         return (), ()
 
-    def _do_connect(self, client_index: int) -> None:
+    def _connect_client(self, client_index: int) -> None:
         client = self.clients[client_index]
         client.transport = self.reactor.attach(self.reactor.ports[0].factory.buildProtocol(None), None)
 
-    def _do_queue(self, client_index: int) -> None:
+    def _queue_in_accept_backlog(self, client_index: int) -> None:
         """The kernel has completed its connection and holds its request; it is not accepted yet."""
         self.faults -= 1
         client = self.clients[client_index]
@@ -45,7 +46,7 @@
         port.reactor = self.reactor
         port.waiting.append((client, client.request_texts[0]))
 
-    def _do_write(self, client_index: int, cut: int) -> None:
+    def _write_request(self, client_index: int, cut: int) -> None:
         client = self.clients[client_index]
         assert client.transport is not None
         data = self._next_request_bytes(client, cut)
@@ -65,7 +66,7 @@
         self.messages.append((f"client {client.number}", "gateway", summary))
         return data
 
-    def _do_unread(self, client_index: int) -> None:
+    def _write_unread_request(self, client_index: int) -> None:
         """A complete request is in the kernel, and the reactor's turn has not come to it."""
         self.faults -= 1
         client = self.clients[client_index]
@@ -74,17 +75,17 @@
             client, len(client.request_texts[client.request_index])
         )
 
-    def _do_turn(self) -> None:
+    def _run_reactor_turn(self) -> None:
         for transport in list(self.reactor.transports):
             transport.deliver()
         if self._accept_pending():
             self.reactor.ports[0].doRead()
 
-    def _do_listen(self) -> None:
+    def _start_listening(self) -> None:
         if not self.reactor.stopped:  # else its reactor never comes to it
             self.gateway.listen()
 
-    def _do_leave(self, client_index: int) -> None:
+    def _disconnect_client(self, client_index: int) -> None:
         client = self.clients[client_index]
         assert client.transport is not None
         client.closed_at, client.transport.peer_closed = self.now, True
@@ -93,9 +94,9 @@
             for s in self.instance_connections
             for m in parse_messages(s.transport.received_by_peer, True)[0]
         }
-        self._do_shut(client_index)
+        self._half_close_client(client_index)
 
-    def _do_shut(self, client_index: int) -> None:
+    def _half_close_client(self, client_index: int) -> None:
         self.faults -= 1
         client = self.clients[client_index]
         assert client.transport is not None
@@ -109,18 +110,18 @@
         assert transport is not None
         return transport
 
-    def _do_jam(self, side: str, index: int) -> None:
+    def _block_writes(self, side: str, index: int) -> None:
         self.faults -= 1
         transport = self._transport(side, index)
         transport.write_blocked = transport.was_write_blocked = True
 
-    def _do_flow(self, side: str, index: int) -> None:
+    def _unblock_writes(self, side: str, index: int) -> None:
         self._transport(side, index).unblock_writes()
 
-    def _do_up(self, index: int) -> None:
+    def _establish_instance_connection(self, index: int) -> None:
         self._accept_instance_connection(self._pending_instance_connections()[index])
 
-    def _do_refused(self, index: int) -> None:
+    def _refuse_instance_connection(self, index: int) -> None:
         self.faults -= 1
         self._pending_instance_connections()[index].refuse()
 
@@ -128,7 +129,7 @@
         self.messages.append((f"instance connection {index}", "gateway", summary))
         self.instance_connections[index].transport.receive(data)
 
-    def _do_answer(self, index: int, kind: str) -> None:
+    def _send_response(self, index: int, kind: str) -> None:
         connection = self.instance_connections[index]
         if kind != "ok":
             self.faults -= 1
@@ -145,13 +146,13 @@
             connection.transport.end_of_input = True
             connection.transport.deliver()
 
-    def _do_again(self, index: int) -> None:
+    def _repeat_last_response(self, index: int) -> None:
         self.faults -= 1
         connection = self.instance_connections[index]
         connection.last_response, response = b"", connection.last_response
         self._send_from_instance(index, response, "its last answer once more")
 
-    def _do_part(self, index: int, cut: int) -> None:
+    def _send_partial_response(self, index: int, cut: int) -> None:
         connection = self.instance_connections[index]
         requests, _ = parse_messages(connection.transport.received_by_peer, True)
         response = self._response_bytes(requests[connection.response_count], "ok")
@@ -159,32 +160,32 @@
         connection.unsent_response = response[cut:]
         self._send_from_instance(index, response[:cut], f"the first {cut} bytes of an answer")
 
-    def _do_rest(self, index: int) -> None:
+    def _send_remaining_response(self, index: int) -> None:
         connection = self.instance_connections[index]
         data, connection.unsent_response = connection.unsent_response, b""
         self._send_from_instance(index, data, "the rest of the answer")
 
-    def _do_drop(self, index: int) -> None:
+    def _close_instance_connection(self, index: int) -> None:
         self.faults -= 1
         transport = self.instance_connections[index].transport
         transport.end_of_input = True
         transport.deliver()
 
-    def _do_fin(self, index: int) -> None:
+    def _close_instance_connection_unnoticed(self, index: int) -> None:
         """The instance has closed the connection, and the gateway's reactor has not noticed yet."""
         self.faults -= 1
         self.instance_connections[index].transport.end_of_input = True
 
-    def _do_read(self, index: int) -> None:
+    def _notice_instance_close(self, index: int) -> None:
         self.instance_connections[index].transport.deliver()
 
-    def _do_sigterm(self) -> None:
+    def _send_sigterm(self) -> None:
         self.faults -= 1
         if not self.stop_requested:
             self.stop_requested, self.stop_requested_at = True, self.now
         self.gateway.on_signal(signal.SIGTERM, None)
 
-    def _do_sighup(self, kind: str) -> None:
+    def _send_sighup(self, kind: str) -> None:
         self.faults -= 1
         self.reload_file = None
         if kind == "moved":
@@ -202,18 +203,18 @@
             )
         self.gateway.on_signal(signal.SIGHUP, None)
 
-    def _do_change(self, index: int, state: str) -> None:
+    def _change_instance_state(self, index: int, state: str) -> None:
         self.faults -= 1
         self.registry.set_state(index, state)
 
-    def _do_fetch(self) -> None:
+    def _fetch_endpoint_list(self) -> None:
         self.list_fetched = True
         self.gateway.discovery.fetch()
 
-    def _do_make(self, index: int) -> None:
+    def _compose_list_response(self, index: int) -> None:
         self._prepare_list_response(index)
 
-    def _do_deliver(self, index: int) -> None:
+    def _receive_list_response(self, index: int) -> None:
         self.messages.append(
             (
                 "discovery",
@@ -223,18 +224,18 @@
         )
         self._deliver_list_response(index)
 
-    def _do_list_failed(self, index: int) -> None:
+    def _fail_list_call(self, index: int) -> None:
         self.faults -= 1
         self.discovery_connections[index].response_count += 1
         self.discovery_connections[index].transport.receive(response_bytes(503, {}))
 
-    def _do_wait(self, place: str) -> None:
+    def _advance_time(self, place: str) -> None:
         self.time_advances -= 1
         if place == "end":
             if not self.reactor.ports:
-                self._do_listen()
-            self._do_turn()
-            self._do_turn()  # whom it accepted is read in the next
+                self._start_listening()
+            self._run_reactor_turn()
+            self._run_reactor_turn()  # whom it accepted is read in the next
             self.reactor.advance(self.reactor.now + DRAIN_OUT_MS)
             self.finished = True
             return
@@ -242,10 +243,41 @@
         assert due_at is not None
         until = max(due_at + {"before": -1.0, "after": 1.0}.get(place, 0.0), self.reactor.now)
         if until > self.reactor.now + 1.0:  # what has come within a millisecond may be read after what is due
-            self._do_turn()
-            self._do_turn()
+            self._run_reactor_turn()
+            self._run_reactor_turn()
         self.reactor.advance(until)
-        self._do_turn()
+        self._run_reactor_turn()
+
+    # From the encoded step name, which stored counterexamples keep, to the method that carries it out.
+    HANDLERS: ClassVar[Mapping[str, Callable[..., None]]] = {
+        "connect": _connect_client,
+        "queue": _queue_in_accept_backlog,
+        "write": _write_request,
+        "unread": _write_unread_request,
+        "turn": _run_reactor_turn,
+        "listen": _start_listening,
+        "leave": _disconnect_client,
+        "shut": _half_close_client,
+        "jam": _block_writes,
+        "flow": _unblock_writes,
+        "up": _establish_instance_connection,
+        "refused": _refuse_instance_connection,
+        "answer": _send_response,
+        "again": _repeat_last_response,
+        "part": _send_partial_response,
+        "rest": _send_remaining_response,
+        "drop": _close_instance_connection,
+        "fin": _close_instance_connection_unnoticed,
+        "read": _notice_instance_close,
+        "sigterm": _send_sigterm,
+        "sighup": _send_sighup,
+        "change": _change_instance_state,
+        "fetch": _fetch_endpoint_list,
+        "make": _compose_list_response,
+        "deliver": _receive_list_response,
+        "list_failed": _fail_list_call,
+        "wait": _advance_time,
+    }
 
     # For people
 
--- a/meadowpulley/model_checking/policy_model/transitions.py
+++ b/meadowpulley/model_checking/policy_model/transitions.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
+from typing import ClassVar
 
 from meadowpulley.interface import (
     EndpointUpdate,
@@ -34,34 +35,34 @@
 
 
 class PolicyModel(EnabledSteps):
-    """The complete model: each step is a method named for it."""
+    """The complete model: `HANDLERS` has the method of each step."""
 
     def apply(self, step: Step) -> tuple[Sequence[int], Sequence[int]]:
         """Make a step happen; return what the policy drew and among how many."""
         RANDOM.begin(step.draws)
         self.messages = []
-        getattr(self, f"_do_{step.action}")(*step.arguments)
+        self.HANDLERS[step.action](self, *step.arguments)
         self._collect_violations()
         return RANDOM.chosen, RANDOM.option_counts
 
     def _spend_fault(self) -> None:
         self.faults -= 1
 
-    def _do_drain(self, server: int) -> None:
+    def _drain_server(self, server: int) -> None:
         self._spend_fault()
         changed = [
             replace(e, state=ServerState.DRAINING) if e.server == server else e for e in self.server_lists[-1]
         ]
         self.server_lists = (*self.server_lists, tuple(changed))
 
-    def _do_gone(self, server: int) -> None:
+    def _remove_server(self, server: int) -> None:
         self._spend_fault()
         self.server_lists = (
             *self.server_lists,
             tuple(e for e in self.server_lists[-1] if e.server != server),
         )
 
-    def _do_return(self, server: int, build: int) -> None:
+    def _restart_server(self, server: int, build: int) -> None:
         self._spend_fault()
         other_entries = [e for e in self.server_lists[-1] if e.server != server]
         returned = self._entry(server, build, self.now)
@@ -77,7 +78,7 @@
             duplicate = self.gateways[index] = gateway.copy()
             duplicate.rollout_updates_due = (*gateway.rollout_updates_due, update)
 
-    def _do_stage(self) -> None:
+    def _start_next_stage(self) -> None:
         self._spend_fault()
         self._advance_rollout()
 
@@ -88,15 +89,15 @@
         else:
             self._move_rollout(Phase.RELEASED, rollout.stage, 1.0)
 
-    def _do_call_back(self) -> None:
+    def _start_rollback(self) -> None:
         self._spend_fault()
         self._move_rollout(Phase.ROLLING_BACK, self.rollout_history[-1].stage, 0.0)
 
-    def _do_withdraw(self) -> None:
+    def _finish_rollback(self) -> None:
         self._spend_fault()
         self._move_rollout(Phase.ROLLED_BACK, self.rollout_history[-1].stage, 0.0)
 
-    def _do_count(self, gateway_index: int, index: int, reply_arrives: bool = True) -> None:
+    def _count_vote(self, gateway_index: int, index: int, reply_arrives: bool = True) -> None:
         gateway = self.gateways[gateway_index] = self.gateways[gateway_index].copy()
         vote, sent_at = gateway.votes[index]
         gateway.votes = (*gateway.votes[:index], *gateway.votes[index + 1 :])
@@ -120,17 +121,17 @@
         due_at = max(sent_at + self.configuration.rollout.call_timeout_ms, self.now)
         gateway.vote_replies_due = [*gateway.vote_replies_due, (due_at, timed_out)]
 
-    def _do_lose_vote(self, gateway_index: int, index: int, outcome: str) -> None:
+    def _lose_vote(self, gateway_index: int, index: int, outcome: str) -> None:
         self._spend_fault()
         if outcome == "counted":
-            self._do_count(gateway_index, index, reply_arrives=False)
+            self._count_vote(gateway_index, index, reply_arrives=False)
             return
         gateway = self.gateways[gateway_index] = self.gateways[gateway_index].copy()
         vote, sent_at = gateway.votes[index]
         gateway.votes = (*gateway.votes[:index], *gateway.votes[index + 1 :])
         self._lose_vote_reply(gateway, vote, sent_at)
 
-    def _do_datagram(self, gateway_index: int, index: int, repeat: bool = False) -> None:
+    def _deliver_datagram(self, gateway_index: int, index: int, repeat: bool = False) -> None:
         gateway = self.gateways[gateway_index] = self.gateways[gateway_index].copy()
         action = gateway.datagrams[index]
         if not repeat:
@@ -140,23 +141,23 @@
                 peer = self.gateways[peer_index] = self.gateways[peer_index].copy()
                 peer.dispatch(self, GossipReceived(gateway_index, action.data))
 
-    def _do_repeat_datagram(self, gateway_index: int, index: int) -> None:
+    def _duplicate_datagram(self, gateway_index: int, index: int) -> None:
         self._spend_fault()
-        self._do_datagram(gateway_index, index, repeat=True)
+        self._deliver_datagram(gateway_index, index, repeat=True)
 
-    def _do_lose_datagram(self, gateway_index: int, index: int) -> None:
+    def _lose_datagram(self, gateway_index: int, index: int) -> None:
         self._spend_fault()
         gateway = self.gateways[gateway_index] = self.gateways[gateway_index].copy()
         gateway.datagrams = (*gateway.datagrams[:index], *gateway.datagrams[index + 1 :])
 
-    def _do_ask(self, gateway_index: int, request_index: int) -> None:
+    def _receive_request(self, gateway_index: int, request_index: int) -> None:
         self.requests_left = tuple(k for k in self.requests_left if k != request_index)
         self.record_message("clients", f"gateway {gateway_index}", "asks")
         self._stepping_gateway(gateway_index).receive_request(
             self, request_index % len(self.configuration.kinds)
         )
 
-    def _do_outcome(self, gateway_index: int, request: int, attempt: int, result_name: str) -> None:
+    def _finish_attempt(self, gateway_index: int, request: int, attempt: int, result_name: str) -> None:
         if result_name != "ok":
             self._spend_fault()
         gateway = self._stepping_gateway(gateway_index)
@@ -167,7 +168,7 @@
         )
         gateway.finish_attempt(self, request, attempt, RESULTS_BY_NAME[result_name])
 
-    def _do_answered(self, gateway_index: int, request: int, attempt: int) -> None:
+    def _send_keyed_response(self, gateway_index: int, request: int, attempt: int) -> None:
         gateway = self._stepping_gateway(gateway_index)
         pending = gateway.pending_requests[request]
         attempt_out = pending.outstanding_attempts[attempt]
@@ -175,34 +176,34 @@
         key = self.configuration.kinds[pending.kind][1]
         gateway.monitor.observe(KeyAnswered(self.now, gateway_index, key, attempt_out.build))
 
-    def _do_late(self, gateway_index: int, index: int) -> None:
+    def _send_late_response(self, gateway_index: int, index: int) -> None:
         gateway = self._stepping_gateway(gateway_index)
         key, build = gateway.abandoned_keys[index]
         gateway.abandoned_keys = (*gateway.abandoned_keys[:index], *gateway.abandoned_keys[index + 1 :])
         gateway.monitor.observe(KeyAnswered(self.now, gateway_index, key, build))
 
-    def _do_leave(self, gateway_index: int, request: int) -> None:
+    def _disconnect_client(self, gateway_index: int, request: int) -> None:
         self._spend_fault()
         self.record_message("clients", f"gateway {gateway_index}", f"leaves request {request}")
         self._stepping_gateway(gateway_index).client_disconnects(self, request)
 
-    def _do_list(self, gateway_index: int, version: int) -> None:
+    def _receive_endpoint_list(self, gateway_index: int, version: int) -> None:
         self.record_message("discovery", f"gateway {gateway_index}", f"list {version}")
         self._stepping_gateway(gateway_index).receive_list(self, version, EndpointUpdateKind.INCREMENTAL)
 
-    def _do_whole_list(self, gateway_index: int) -> None:
+    def _receive_full_endpoint_list(self, gateway_index: int) -> None:
         self.record_message("discovery", f"gateway {gateway_index}", "the whole list")
         self._stepping_gateway(gateway_index).receive_list(
             self, len(self.server_lists) - 1, EndpointUpdateKind.FULL
         )
 
-    def _do_list_failed(self, gateway_index: int) -> None:
+    def _fail_endpoint_poll(self, gateway_index: int) -> None:
         self._spend_fault()
         gateway = self._stepping_gateway(gateway_index)
         gateway.list_retry_owed = self.configuration.must_poll
         gateway.dispatch(self, EndpointUpdate(EndpointUpdateKind.FAILED, max(gateway.known_list, 0)))
 
-    def _do_news(self, gateway_index: int, index: int) -> None:
+    def _receive_rollout_update(self, gateway_index: int, index: int) -> None:
         gateway = self._stepping_gateway(gateway_index)
         update = gateway.rollout_updates_due[index]
         gateway.rollout_updates_due = (
@@ -212,7 +213,7 @@
         self.record_message("platform", f"gateway {gateway_index}", rollout_text(update))
         gateway.receive_rollout_update(self, update)
 
-    def _do_lose_news(self, gateway_index: int, index: int) -> None:
+    def _lose_rollout_update(self, gateway_index: int, index: int) -> None:
         self._spend_fault()
         gateway = self._stepping_gateway(gateway_index)
         gateway.rollout_updates_due = (
@@ -220,7 +221,7 @@
             *gateway.rollout_updates_due[index + 1 :],
         )
 
-    def _do_kill(self, gateway_index: int, version: int) -> None:
+    def _restart_gateway(self, gateway_index: int, version: int) -> None:
         self._spend_fault()
         killed = self.gateways[gateway_index]  # its monitor ends with it: it owes nothing any more
         gateway = self.gateways[gateway_index] = SimulatedGateway(
@@ -229,7 +230,7 @@
         self.last_to_step = gateway_index
         gateway.start(self, version, self.rollout_history[-1])
 
-    def _do_wait(self, edge: str, place: str) -> None:
+    def _advance_time(self, edge: str, place: str) -> None:
         self.time_advances -= 1
         target = next(at for at, n, p in self._time_stops() if (n, p) == (edge, place))
         self.gateways = [h.copy() for h in self.gateways]
@@ -247,6 +248,33 @@
             )
         self.now, self.last_to_step = target, -1
 
+    # From the encoded step name, which stored counterexamples keep, to the method that carries it out.
+    HANDLERS: ClassVar[Mapping[str, Callable[..., None]]] = {
+        "drain": _drain_server,
+        "gone": _remove_server,
+        "return": _restart_server,
+        "stage": _start_next_stage,
+        "call_back": _start_rollback,
+        "withdraw": _finish_rollback,
+        "count": _count_vote,
+        "lose_vote": _lose_vote,
+        "datagram": _deliver_datagram,
+        "repeat_datagram": _duplicate_datagram,
+        "lose_datagram": _lose_datagram,
+        "ask": _receive_request,
+        "outcome": _finish_attempt,
+        "answered": _send_keyed_response,
+        "late": _send_late_response,
+        "leave": _disconnect_client,
+        "list": _receive_endpoint_list,
+        "whole_list": _receive_full_endpoint_list,
+        "list_failed": _fail_endpoint_poll,
+        "news": _receive_rollout_update,
+        "lose_news": _lose_rollout_update,
+        "kill": _restart_gateway,
+        "wait": _advance_time,
+    }
+
     # For people
 
     def describe(self, step: Step) -> str:
