--- a/meadowpulley/model_checking/policy_model/canonical_form.py
+++ b/meadowpulley/model_checking/policy_model/canonical_form.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import Any
+from collections.abc import Iterable, Mapping, Sequence
 
 from meadowpulley.model_checking.choices import ScriptedRandom
 from meadowpulley.model_checking.graph import Copier, FormRules, FormWriter, WriteFunction
-from meadowpulley.state import FailureTestBounds
+from meadowpulley.state import FailureTestBounds, Server
 
 # Fields that stay as they are, and counters by which nothing is decided.
 UNCHANGING_POLICY_FIELDS = frozenset(
@@ -34,30 +33,29 @@
 }
 
 
-def _by_server(writer: FormWriter, value: dict[int, Any]) -> Any:
+def _by_server(writer: FormWriter, value: Mapping[int, object]) -> object:
     pairs = [(writer.server_number(n), n) for n in value]
     return tuple([(name, writer.write(value[n])) for name, n in sorted(pairs)])
 
 
-def _servers(writer: FormWriter, value: Sequence[int]) -> Any:
+def _servers(writer: FormWriter, value: Sequence[int]) -> object:
     return tuple([writer.server_number(n) for n in value])
 
 
-def _evidence_sums(writer: FormWriter, value: dict[int, Any]) -> Any:
-    return tuple(
-        [
-            (k, tuple(sorted((writer.server_number(s), x) for s, x in v.items())))
-            for k, v in sorted(value.items())
-        ]
-    )
+def _evidence_sums(writer: FormWriter, value: Mapping[int, Mapping[int, float]]) -> object:
+    return tuple([(build, _by_server_number(writer, sums)) for build, sums in sorted(value.items())])
 
 
-def _unordered_servers(writer: FormWriter, value: Any) -> Any:
+def _by_server_number(writer: FormWriter, sums: Mapping[int, float]) -> tuple[tuple[int, float], ...]:
+    return tuple(sorted((writer.server_number(server), evidence) for server, evidence in sums.items()))
+
+
+def _unordered_servers(writer: FormWriter, value: Iterable[Server]) -> object:
     """Write servers in any order: all are drawn."""
-    return tuple(sorted([writer.server_number(s.id) for s in value]))
+    return tuple(sorted([writer.server_number(server.id) for server in value]))
 
 
-def _by_key(writer: FormWriter, value: dict[Any, Any]) -> Any:
+def _by_key(writer: FormWriter, value: Mapping[object, object]) -> object:
     return tuple(sorted([(writer.write(k), writer.write(v)) for k, v in value.items()]))
 
 
--- a/meadowpulley/model_checking/policy_model/configurations.py
+++ b/meadowpulley/model_checking/policy_model/configurations.py
@@ -22,8 +22,12 @@
     StageGate,
 )
 
-SAFE, UNSAFE, IDEMPOTENT_WITH_KEY = 0, 1, 2
-BASELINE_BUILD, TRIAL_BUILD = 41, 42  # numbers of builds
+# Indices into CLASSES.
+SAFE = 0
+UNSAFE = 1
+IDEMPOTENT_WITH_KEY = 2
+BASELINE_BUILD = 41
+TRIAL_BUILD = 42
 EDGE_MARGIN_MS = 1.0  # just before and just after an edge
 WELL_PAST_EDGE_MS = 20.0  # well after one
 
--- a/meadowpulley/model_checking/policy_model/enabled_steps.py
+++ b/meadowpulley/model_checking/policy_model/enabled_steps.py
@@ -17,6 +17,8 @@
 from meadowpulley.model_checking.policy_model.gateway import SimulatedGateway
 from meadowpulley.model_checking.policy_model.state import State
 
+SLOTS_PER_OVERLOAD_WINDOW = 4  # time stops at the end of each while a server is in slow start
+
 
 class EnabledSteps(State):
     """The steps that are possible in a state."""
@@ -40,17 +42,25 @@
 
     def _environment_steps(self) -> Iterator[Step]:
         """Steps of servers and the platform; gateways are notified later."""
-        latest_list, rollout = self.server_lists[-1], self.rollout_history[-1]
+        yield from self._server_steps()
+        yield from self._platform_steps()
+        for gateway in self.gateways:
+            yield from self._vote_steps(gateway)
+            yield from self._datagram_steps(gateway)
+
+    def _server_steps(self) -> Iterator[Step]:
+        latest_list = self.server_lists[-1]
         for entry in latest_list:
             if self._fault_allowed("drain") and entry.state is ServerState.READY:
                 yield Step("drain", (entry.server,))
             if self._fault_allowed("gone"):
                 yield Step("gone", (entry.server,))
         if self._fault_allowed("restart"):  # under the same id, with the same build, and cold
-            yield from (Step("return", (e.server, e.build)) for e in latest_list)
+            yield from (Step("return", (entry.server, entry.build)) for entry in latest_list)
         if self._fault_allowed("return"):
-            listed = {e.server for e in latest_list}
-            for server in sorted({e.server for e in self.server_lists[0]} - listed):
+            initial_servers = {entry.server for entry in self.server_lists[0]}
+            listed_servers = {entry.server for entry in latest_list}
+            for server in sorted(initial_servers - listed_servers):
                 yield from (Step("return", (server, build)) for build in (BASELINE_BUILD, TRIAL_BUILD))
             for entry in latest_list:
                 if (
@@ -58,36 +68,53 @@
                     and entry.state is ServerState.READY
                     and not self.configuration.starts_in_slow_start
                 ):
-                    yield Step("return", (entry.server, max(rollout.build, TRIAL_BUILD)))
+                    yield Step("return", (entry.server, max(self.rollout_history[-1].build, TRIAL_BUILD)))
+
+    def _platform_steps(self) -> Iterator[Step]:
+        rollout = self.rollout_history[-1]
         if self._fault_allowed("stage") and rollout.phase is Phase.TRIAL:
             yield Step("stage")
         if self._fault_allowed("call_back") and rollout.phase is Phase.TRIAL:
             yield Step("call_back")
         if self._fault_allowed("withdraw") and rollout.phase is Phase.ROLLING_BACK:
             yield Step("withdraw")
-        for gateway in self.gateways:
-            for index, (_, sent_at) in enumerate(gateway.votes):
-                if sent_at < self.now:
-                    yield Step("count", (gateway.number, index))
-                    if self._fault_allowed("lose_vote"):
-                        yield Step("lose_vote", (gateway.number, index, "counted"))
-                        yield Step("lose_vote", (gateway.number, index, "uncounted"))
-            for index in range(len(gateway.datagrams)):
-                yield Step("datagram", (gateway.number, index))
-                if self._fault_allowed("lose_datagram"):
-                    yield Step("lose_datagram", (gateway.number, index))
-                if self._fault_allowed("repeat_datagram"):
-                    yield Step("repeat_datagram", (gateway.number, index))
+
+    def _vote_steps(self, gateway: SimulatedGateway) -> Iterator[Step]:
+        for index, (_, sent_at) in enumerate(gateway.votes):
+            if sent_at < self.now:
+                yield Step("count", (gateway.number, index))
+                if self._fault_allowed("lose_vote"):
+                    yield Step("lose_vote", (gateway.number, index, "counted"))
+                    yield Step("lose_vote", (gateway.number, index, "uncounted"))
+
+    def _datagram_steps(self, gateway: SimulatedGateway) -> Iterator[Step]:
+        for index in range(len(gateway.datagrams)):
+            yield Step("datagram", (gateway.number, index))
+            if self._fault_allowed("lose_datagram"):
+                yield Step("lose_datagram", (gateway.number, index))
+            if self._fault_allowed("repeat_datagram"):
+                yield Step("repeat_datagram", (gateway.number, index))
 
     def _gateway_steps(self, gateway: SimulatedGateway) -> Iterator[Step]:
         """What may come to one gateway."""
-        gateway_index = gateway.number
+        yield from self._request_steps(gateway.number)
+        yield from self._attempt_steps(gateway)
+        yield from self._list_steps(gateway)
+        yield from self._rollout_update_steps(gateway)
+        if self._fault_allowed("kill"):
+            for version in sorted({0, max(gateway.known_list, 0)}):
+                yield Step("kill", (gateway.number, version))
+
+    def _request_steps(self, gateway_index: int) -> Iterator[Step]:
         kinds: set[tuple[int, int]] = set()
         for index in self.requests_left:
             kind = self.configuration.kinds[index % len(self.configuration.kinds)]
             if kind not in kinds:
                 kinds.add(kind)
                 yield Step("ask", (gateway_index, index))
+
+    def _attempt_steps(self, gateway: SimulatedGateway) -> Iterator[Step]:
+        gateway_index = gateway.number
         for request, pending in gateway.pending_requests.items():
             for attempt, attempt_out in pending.outstanding_attempts.items():
                 yield Step("outcome", (gateway_index, request, attempt, "ok"))
@@ -103,6 +130,9 @@
         for index, (_, build) in enumerate(gateway.abandoned_keys):
             if self._binds_key(build):
                 yield Step("late", (gateway_index, index))
+
+    def _list_steps(self, gateway: SimulatedGateway) -> Iterator[Step]:
+        gateway_index = gateway.number
         latest_version = len(self.server_lists) - 1
         for version in range(gateway.known_list + 1, latest_version + 1):
             yield Step("list", (gateway_index, version))
@@ -112,13 +142,12 @@
             yield Step("list", (gateway_index, latest_version))
         if self._fault_allowed("list_failed"):
             yield Step("list_failed", (gateway_index,))
+
+    def _rollout_update_steps(self, gateway: SimulatedGateway) -> Iterator[Step]:
         for index in range(len(gateway.rollout_updates_due)):
-            yield Step("news", (gateway_index, index))
+            yield Step("news", (gateway.number, index))
             if self._fault_allowed("lose_news"):
-                yield Step("lose_news", (gateway_index, index))
-        if self._fault_allowed("kill"):
-            for version in sorted({0, max(gateway.known_list, 0)}):
-                yield Step("kill", (gateway_index, version))
+                yield Step("lose_news", (gateway.number, index))
 
     def _binds_key(self, build: int) -> bool:
         """Whether it matters when this build answers a key."""
@@ -130,34 +159,36 @@
         stops: dict[float, tuple[float, str, str]] = {}
         last_edge = self.now
         for edge_name in self.configuration.edges:
-            edges = [e for e in self._edge_times(edge_name) if e > self.now]
+            edges = [edge for edge in self._edge_times(edge_name) if edge > self.now]
             if not edges:
                 continue
-            edge = min(edges)
             last_edge = max(last_edge, max(edges))
-            places = [(edge, "at")]
-            if edge_name not in ("timer", "cold"):
-                places = [(edge - EDGE_MARGIN_MS, "before"), *places, (edge + EDGE_MARGIN_MS, "after")]
-            if edge_name == "window":  # what counts generously has let go by then
-                places.append((edge + WELL_PAST_EDGE_MS, "later"))
-            for stop_at, place in places:
+            for stop_at, place in self._places_around(min(edges), edge_name):
                 if stop_at > self.now and stop_at not in stops:
                     stops[stop_at] = (stop_at, edge_name, place)
-        end = max([last_edge, *(h.last_due() for h in self.gateways)]) + EDGE_MARGIN_MS
+        end = max([last_edge, *(gateway.last_due() for gateway in self.gateways)]) + EDGE_MARGIN_MS
         if end not in stops and end > self.now + EDGE_MARGIN_MS:
             stops[end] = (end, "end", "after")
         return sorted(stops.values())
 
+    @staticmethod
+    def _places_around(edge: float, edge_name: str) -> list[tuple[float, str]]:
+        places = [(edge, "at")]
+        if edge_name not in ("timer", "cold"):
+            places = [(edge - EDGE_MARGIN_MS, "before"), *places, (edge + EDGE_MARGIN_MS, "after")]
+        if edge_name == "window":  # what counts generously has let go by then
+            places.append((edge + WELL_PAST_EDGE_MS, "later"))
+        return places
+
     def _edge_times(self, edge_name: str) -> Iterator[float]:
         for gateway in self.gateways:
             if edge_name == "deadline":
-                yield from (a.deadline_ms for a in gateway.pending_requests.values())
+                yield from (pending.deadline_ms for pending in gateway.pending_requests.values())
             elif edge_name == "timer":
                 yield from gateway.timers[:1]
             else:
                 yield from gateway.monitor.time_edges(edge_name)
         if edge_name == "cold":
-            slot = RULES.overload_window_ms / 4
-            warming = [e for e in self.server_lists[-1] if self.now < e.started_ms + RULES.slow_start_ms]
-            if warming:
-                yield (math.floor(self.now / slot) + 1) * slot
+            slot_ms = RULES.overload_window_ms / SLOTS_PER_OVERLOAD_WINDOW
+            if any(self.now < entry.started_ms + RULES.slow_start_ms for entry in self.server_lists[-1]):
+                yield (math.floor(self.now / slot_ms) + 1) * slot_ms
--- a/meadowpulley/model_checking/policy_model/gateway.py
+++ b/meadowpulley/model_checking/policy_model/gateway.py
@@ -67,6 +67,7 @@
     ServerState.DRAINING: "draining",
     ServerState.READY: "ready",
 }
+ClientAnswer = Literal["served", "refused", "failed"]
 NEVER_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
 
 
@@ -96,7 +97,7 @@
                 actions = self.policy.handle(environment.now, self._events[0])
             except ChoiceScriptError:
                 raise
-            except Exception as error:
+            except Exception as error:  # any that leaves the policy is a find: it would end a request or more
                 self.monitor.report("fault", environment.now, f"{type(error).__name__}: {error}")
                 self._events.clear()
                 return
@@ -127,7 +128,8 @@
                 f"gateway {self.number}", "platform", f"votes {action.verdict.name.lower()}"
             )
         elif isinstance(action, Watch | FetchEndpoints):
-            self.list_requested, self.list_retry_owed = True, False
+            self.list_requested = True
+            self.list_retry_owed = False
         elif isinstance(action, SendGossip):
             self.datagrams = (*self.datagrams, action)
 
@@ -191,9 +193,9 @@
             action.server, build, environment.now
         )
 
-    def _answer_client(self, environment: Environment, request: int, answer: str) -> None:
+    def _answer_client(self, environment: Environment, request: int, answer: ClientAnswer) -> None:
         pending = self.pending_requests.get(request)
-        self.monitor.observe(ResponseSent(environment.now, self.number, request, answer))  # type: ignore[arg-type]
+        self.monitor.observe(ResponseSent(environment.now, self.number, request, answer))
         environment.record_message(f"gateway {self.number}", "clients", f"request {request} {answer}")
         if pending is not None and not pending.answered:
             pending.answered = True
@@ -244,7 +246,9 @@
         )
         entries = environment.server_lists[version]
         listed = {e.server for e in entries}
-        self.known_list, self.list_requested, self.list_retry_owed = version, False, False
+        self.known_list = version
+        self.list_requested = False
+        self.list_retry_owed = False
         removed_entries = [e for e in known_entries if e.server not in listed]
         for entry in removed_entries:
             self.monitor.observe(EndpointListed(environment.now, self.number, entry.server, "gone", 0))
@@ -289,7 +293,8 @@
 
     def run_due(self, environment: Environment) -> None:
         """What is due now: attempts end at their request's deadline, then timers, then what is overdue."""
-        now, slack_ms = environment.now, self.settings.rules.response_slack_ms
+        now = environment.now
+        slack_ms = self.settings.rules.response_slack_ms
         for request, pending in list(self.pending_requests.items()):
             if pending.outstanding_attempts and pending.deadline_ms <= now:
                 for attempt in list(pending.outstanding_attempts):
--- a/meadowpulley/model_checking/policy_model/gateway_state.py
+++ b/meadowpulley/model_checking/policy_model/gateway_state.py
@@ -24,6 +24,8 @@
 from meadowpulley.model_checking.policy_model.configurations import Configuration
 from meadowpulley.policy import RolloutPolicy
 
+SHARED_FIELDS = ("settings", "make_policy")
+
 
 class Environment(Protocol):
     """What a gateway sees of its model."""
@@ -43,7 +45,9 @@
     """An attempt whose outcome has not come."""
 
     def __init__(self, server: int, build: int, sent_at: float) -> None:
-        self.server, self.build, self.sent_at = server, build, sent_at
+        self.server = server
+        self.build = build
+        self.sent_at = sent_at
         self.response_sent = False  # the server has answered; what it said is under way
 
 
@@ -51,7 +55,8 @@
     """A request in a gateway's table."""
 
     def __init__(self, kind: int, deadline_ms: float) -> None:
-        self.kind, self.deadline_ms = kind, deadline_ms
+        self.kind = kind
+        self.deadline_ms = deadline_ms
         self.attempt_count = 0
         self.answered = False
         self.outstanding_attempts: dict[int, OutstandingAttempt] = {}
@@ -65,7 +70,9 @@
     def __init__(
         self, number: int, settings: Settings, make_policy: Callable[[Settings, int], RolloutPolicy]
     ) -> None:
-        self.number, self.settings, self.make_policy = number, settings, make_policy
+        self.number = number
+        self.settings = settings
+        self.make_policy = make_policy
         self.monitor = InvariantMonitor(number, settings)
         self.pending_requests: dict[int, PendingRequest] = {}
         self.last_request = 0
@@ -79,7 +86,9 @@
         self.abandoned_keys: tuple[tuple[int, int], ...] = ()
         self.list_requested = False
         self.list_retry_owed = False  # a call failed, and whoever must ask has not asked again
-        self.form_cache: dict[Any, Any] = {}  # forms of this state, until it steps
+        # Of this state, until it steps: its fingerprint by the renaming of servers, and one for each server.
+        self.fingerprint_cache: dict[tuple[tuple[int, int], ...], int] = {}
+        self.server_fingerprint_cache: tuple[int, ...] = ()
         self._events: deque[Event] = deque()
 
     def copy(self) -> Self:
@@ -87,13 +96,17 @@
         memo: dict[int, Any] = {}
         duplicate = type(self).__new__(type(self))
         for name, value in self.__dict__.items():
-            shared = name in ("settings", "make_policy")
-            duplicate.__dict__[name] = (
-                value if shared else COPIER.copy(value, memo) if name != "form_cache" else {}
-            )
+            if name == "fingerprint_cache":
+                duplicate.fingerprint_cache = {}
+            elif name == "server_fingerprint_cache":
+                duplicate.server_fingerprint_cache = ()
+            elif name in SHARED_FIELDS:
+                duplicate.__dict__[name] = value
+            else:
+                duplicate.__dict__[name] = COPIER.copy(value, memo)
         return duplicate
 
-    def form(self, server_numbers: dict[int, int]) -> Any:
+    def form(self, server_numbers: dict[int, int]) -> object:
         """The state of this gateway, with servers renamed."""
         writer = FormWriter(FORM_RULES, server_numbers)
         return (
@@ -114,27 +127,26 @@
     def fingerprint(self, server_numbers: dict[int, int]) -> int:
         """64 bits of the form."""
         cache_key = tuple(server_numbers.items())
-        if cache_key not in self.form_cache:
-            self.form_cache[cache_key] = fingerprint_of(self.form(server_numbers))
-        return int(self.form_cache[cache_key])
+        if cache_key not in self.fingerprint_cache:
+            self.fingerprint_cache[cache_key] = fingerprint_of(self.form(server_numbers))
+        return self.fingerprint_cache[cache_key]
 
     def server_fingerprints(self, numbers: Sequence[int]) -> tuple[int, ...]:
         """What this gateway knows and holds of each server, the number apart."""
-        fingerprints = self.form_cache.get("servers")
-        if fingerprints is None or len(fingerprints) != len(numbers):
-            fingerprints = self.form_cache["servers"] = tuple(self._server_fingerprint(n) for n in numbers)
-        return fingerprints
+        if len(self.server_fingerprint_cache) != len(numbers):
+            self.server_fingerprint_cache = tuple(self._server_fingerprint(number) for number in numbers)
+        return self.server_fingerprint_cache
 
     def _server_fingerprint(self, number: int) -> int:
         server = FormWriter(NAMELESS_FORM_RULES, {number: 0}).write(self.policy.servers.get(number))
-        outstanding = [
-            (r, n, o.sent_at)
-            for r, a in self.pending_requests.items()
-            for n, o in a.outstanding_attempts.items()
-            if o.server == number
-        ]
-        in_flight = self.policy.in_flight.items()
+        outstanding = []
+        for request, pending in self.pending_requests.items():
+            for attempt, attempt_out in pending.outstanding_attempts.items():
+                if attempt_out.server == number:
+                    outstanding.append((request, attempt, attempt_out.sent_at))
         attempted = [
-            (r, h.attempted_servers.index(number)) for r, h in in_flight if number in h.attempted_servers
+            (request, in_flight.attempted_servers.index(number))
+            for request, in_flight in self.policy.in_flight.items()
+            if number in in_flight.attempted_servers
         ]
         return fingerprint_of((server, tuple(sorted(outstanding)), tuple(sorted(attempted))))
--- a/meadowpulley/model_checking/policy_model/state.py
+++ b/meadowpulley/model_checking/policy_model/state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Self
+from typing import Self
 
 from meadowpulley.interface import RolloutUpdate, ServerEntry, ServerState, Settings
 from meadowpulley.model_checking.graph import fingerprint_of
@@ -19,6 +19,7 @@
 from meadowpulley.policy import RolloutPolicy
 
 START_MS = 100_000.0  # all began long ago: servers are warm, windows empty
+EXPOSURE_ROUNDING = 1e-6  # attempts: limits are sums of fractions
 
 
 class State:
@@ -31,11 +32,13 @@
             raise ValueError(
                 f"scene: '{settings.configuration}' is not known; known are {', '.join(CONFIGURATIONS)}"
             )
-        self.settings, self.configuration = settings, CONFIGURATIONS[settings.configuration]
+        self.settings = settings
+        self.configuration = CONFIGURATIONS[settings.configuration]
         self.now = START_MS
         self.last_to_step = -1  # the gateway that stepped last in this moment; -1: none did
         self.requests_left = tuple(range(settings.requests))  # requests still to come
-        self.faults, self.time_advances = settings.faults, settings.time_advances
+        self.faults = settings.faults
+        self.time_advances = settings.time_advances
         self.violations: list[Violation] = []
         self.messages: list[tuple[str, str, str]] = []
         count = max(settings.servers, 1)
@@ -61,11 +64,9 @@
 
     def entry_at(self, version: int, server: int) -> ServerEntry | None:
         """Return the entry of a server in a version of the list, or None."""
-        return (
-            next((e for e in self.server_lists[version] if e.server == server), None)
-            if version >= 0
-            else None
-        )
+        if version < 0:
+            return None
+        return next((entry for entry in self.server_lists[version] if entry.server == server), None)
 
     def record_message(self, sender: str, receiver: str, text: str) -> None:
         """Record what one party says to another."""
@@ -82,9 +83,10 @@
             if gateway.monitor.violations:
                 self.violations += gateway.monitor.violations
                 gateway.monitor.violations = []
-        exposures = [h.monitor.trial_exposure(self.now) for h in self.gateways]
-        sent, limit = sum(n for n, _ in exposures), sum(m for _, m in exposures)
-        if sent > limit + 1e-6:
+        exposures = [gateway.monitor.trial_exposure(self.now) for gateway in self.gateways]
+        sent = sum(sent_by_one for sent_by_one, _ in exposures)
+        limit = sum(limit_of_one for _, limit_of_one in exposures)
+        if sent > limit + EXPOSURE_ROUNDING:
             text = f"{sent} attempts of all gateways at the trial build, {limit:.1f} allowed"
             self.violations.append(Violation("exposure-sum", self.now, -1, text))
 
@@ -94,14 +96,12 @@
         """Return a copy that shares gateways until one of them steps."""
         duplicate = type(self).__new__(type(self))
         duplicate.__dict__.update(self.__dict__)
-        duplicate.gateways, duplicate.violations, duplicate.messages = (
-            list(self.gateways),
-            list(self.violations),
-            [],
-        )
+        duplicate.gateways = list(self.gateways)
+        duplicate.violations = list(self.violations)
+        duplicate.messages = []
         return duplicate
 
-    def form(self) -> Any:
+    def form(self) -> object:
         """Return the complete state in canonical form."""
         server_numbers = self._canonical_server_numbers() if self.settings.symmetry else {}
         gateways = [(self._may_step(h), h.form(server_numbers)) for h in self.gateways]
@@ -120,16 +120,22 @@
     def _may_step(self, gateway: SimulatedGateway) -> bool:
         return not self.settings.ordered_gateways or gateway.number >= self.last_to_step
 
-    def _environment_form(self, server_numbers: dict[int, int]) -> tuple[Any, ...]:
-        server_lists = tuple(
-            tuple(
-                sorted(
-                    (server_numbers.get(e.server, e.server), int(e.state), e.build, e.started_ms)
-                    for e in entries
+    @staticmethod
+    def _list_form(entries: tuple[ServerEntry, ...], server_numbers: dict[int, int]) -> tuple[object, ...]:
+        return tuple(
+            sorted(
+                (
+                    server_numbers.get(entry.server, entry.server),
+                    int(entry.state),
+                    entry.build,
+                    entry.started_ms,
                 )
+                for entry in entries
             )
-            for entries in self.server_lists
         )
+
+    def _environment_form(self, server_numbers: dict[int, int]) -> tuple[object, ...]:
+        server_lists = tuple(self._list_form(entries, server_numbers) for entries in self.server_lists)
         kinds = tuple(
             sorted(self.configuration.kinds[n % len(self.configuration.kinds)] for n in self.requests_left)
         )
--- a/meadowpulley/model_checking/policy_model/transitions.py
+++ b/meadowpulley/model_checking/policy_model/transitions.py
@@ -13,6 +13,7 @@
     Phase,
     Result,
     RolloutUpdate,
+    ServerEntry,
     ServerState,
     Verdict,
     Vote,
@@ -25,6 +26,7 @@
 from meadowpulley.model_checking.properties import Violation
 from meadowpulley.rules import KeyAnswered
 
+MAX_TIMER_ROUNDS = 10_000  # within one advance of time: more is a timer that is set again and again
 RESULTS_BY_NAME = {
     "ok": Result.OK,
     "error": Result.ERROR,
@@ -50,26 +52,24 @@
 
     def _drain_server(self, server: int) -> None:
         self._spend_fault()
-        changed = [
-            replace(e, state=ServerState.DRAINING) if e.server == server else e for e in self.server_lists[-1]
-        ]
-        self.server_lists = (*self.server_lists, tuple(changed))
+        entries = tuple(
+            replace(entry, state=ServerState.DRAINING) if entry.server == server else entry
+            for entry in self.server_lists[-1]
+        )
+        self._publish_server_list(entries)
 
     def _remove_server(self, server: int) -> None:
         self._spend_fault()
-        self.server_lists = (
-            *self.server_lists,
-            tuple(e for e in self.server_lists[-1] if e.server != server),
-        )
+        self._publish_server_list(tuple(entry for entry in self.server_lists[-1] if entry.server != server))
 
     def _restart_server(self, server: int, build: int) -> None:
         self._spend_fault()
-        other_entries = [e for e in self.server_lists[-1] if e.server != server]
+        other_entries = [entry for entry in self.server_lists[-1] if entry.server != server]
         returned = self._entry(server, build, self.now)
-        self.server_lists = (
-            *self.server_lists,
-            tuple(sorted([*other_entries, returned], key=lambda e: e.server)),
-        )
+        self._publish_server_list(tuple(sorted([*other_entries, returned], key=lambda entry: entry.server)))
+
+    def _publish_server_list(self, entries: tuple[ServerEntry, ...]) -> None:
+        self.server_lists = (*self.server_lists, entries)
 
     def _move_rollout(self, phase: Phase, stage: int, cap: float, build: int = 0) -> None:
         update = RolloutUpdate(build or self.rollout_history[-1].build, stage, phase, cap, 0.0)
@@ -83,7 +83,8 @@
         self._advance_rollout()
 
     def _advance_rollout(self) -> None:
-        rollout, caps = self.rollout_history[-1], self.configuration.rollout.caps
+        rollout = self.rollout_history[-1]
+        caps = self.configuration.rollout.caps
         if rollout.stage + 1 < len(caps):
             self._move_rollout(Phase.TRIAL, rollout.stage + 1, caps[rollout.stage + 1])
         else:
@@ -102,12 +103,10 @@
         vote, sent_at = gateway.votes[index]
         gateway.votes = (*gateway.votes[:index], *gateway.votes[index + 1 :])
         rollout = self.rollout_history[-1]
-        counts = (vote.build, vote.stage) == (rollout.build, rollout.stage) and rollout.phase is Phase.TRIAL
-        if counts and vote.verdict is Verdict.ADVANCE:
+        in_trial = vote.build == rollout.build and rollout.phase is Phase.TRIAL
+        if in_trial and vote.stage == rollout.stage and vote.verdict is Verdict.ADVANCE:
             self._advance_rollout()
-        elif (
-            vote.build == rollout.build and rollout.phase is Phase.TRIAL and vote.verdict is Verdict.ROLL_BACK
-        ):
+        elif in_trial and vote.verdict is Verdict.ROLL_BACK:
             self._move_rollout(Phase.ROLLING_BACK, rollout.stage, 0.0)
         gateway = self.gateways[gateway_index] = self.gateways[gateway_index].copy()
         if reply_arrives:
@@ -151,7 +150,7 @@
         gateway.datagrams = (*gateway.datagrams[:index], *gateway.datagrams[index + 1 :])
 
     def _receive_request(self, gateway_index: int, request_index: int) -> None:
-        self.requests_left = tuple(k for k in self.requests_left if k != request_index)
+        self.requests_left = tuple(index for index in self.requests_left if index != request_index)
         self.record_message("clients", f"gateway {gateway_index}", "asks")
         self._stepping_gateway(gateway_index).receive_request(
             self, request_index % len(self.configuration.kinds)
@@ -232,10 +231,14 @@
 
     def _advance_time(self, edge: str, place: str) -> None:
         self.time_advances -= 1
-        target = next(at for at, n, p in self._time_stops() if (n, p) == (edge, place))
-        self.gateways = [h.copy() for h in self.gateways]
-        for _ in range(10_000):
-            due_at = min(h.next_due() for h in self.gateways)
+        target = next(
+            stop_at
+            for stop_at, edge_name, stop_place in self._time_stops()
+            if edge_name == edge and stop_place == place
+        )
+        self.gateways = [gateway.copy() for gateway in self.gateways]
+        for _ in range(MAX_TIMER_ROUNDS):
+            due_at = min(gateway.next_due() for gateway in self.gateways)
             if due_at > target:
                 break
             self.now = max(due_at, self.now)
@@ -246,7 +249,8 @@
             self.violations.append(
                 Violation("timers", self.now, -1, "a timer is set again and again for the same moment")
             )
-        self.now, self.last_to_step = target, -1
+        self.now = target
+        self.last_to_step = -1
 
     # From the encoded step name, which stored counterexamples keep, to the method that carries it out.
     HANDLERS: ClassVar[Mapping[str, Callable[..., None]]] = {
