--- a/meadowpulley/model_checking/connection_model/configurations.py
+++ b/meadowpulley/model_checking/connection_model/configurations.py
@@ -7,7 +7,8 @@
 from meadowpulley.interface import Effect, Limits, RequestClass, Rules
 
 INSTANCES = (("127.0.0.1", 9001), ("127.0.0.1", 9002), ("127.0.0.1", 9003))
-DISCOVERY, MOVED_DISCOVERY = ("127.0.0.1", 9998), ("127.0.0.1", 9999)
+DISCOVERY = ("127.0.0.1", 9998)
+MOVED_DISCOVERY = ("127.0.0.1", 9999)
 CLASSES = (
     RequestClass("look", 200.0, 400.0, Effect.IDEMPOTENT),
     RequestClass("pay", 200.0, 400.0, Effect.NON_IDEMPOTENT),
--- a/meadowpulley/model_checking/connection_model/enabled_steps.py
+++ b/meadowpulley/model_checking/connection_model/enabled_steps.py
@@ -123,11 +123,7 @@
         transport = client.transport
         if transport is None:
             listening_ports = self.reactor.ports[:1]
-            client_known = any(
-                client is other
-                for port in listening_ports
-                for other in (*port.reset_clients, *[w[0] for w in port.waiting])
-            )
+            client_known = any(port.knows(client) for port in listening_ports)
             if (
                 not client.stopped_sending
                 and not client_known
--- a/meadowpulley/model_checking/connection_model/invariants.py
+++ b/meadowpulley/model_checking/connection_model/invariants.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import math
+from collections.abc import Sequence
 from dataclasses import replace
+from http import HTTPStatus
 
 from meadowpulley.model_checking.connection_model.configurations import (
     DISCONNECT_GRACE_MS,
@@ -14,8 +16,17 @@
 )
 from meadowpulley.model_checking.connection_model.enabled_steps import EnabledSteps
 from meadowpulley.model_checking.connection_model.peers import Client, parse_messages
+from meadowpulley.model_checking.scripted_reactor import ScriptedTransport
 from meadowpulley.net import protocol
 from meadowpulley.net.gateway import GatewayPhase
+from meadowpulley.net.http1 import Message
+
+EXCERPT_BYTES = 60  # of what a client got and can't be read
+STATUS_COUNTER_PREFIX = "out."  # before the status of a response
+
+
+def _final_responses(messages: Sequence[Message]) -> list[Message]:
+    return [message for message in messages if message.status >= HTTPStatus.OK]
 
 
 class InvariantChecks(EnabledSteps):
@@ -25,7 +36,8 @@
         for text in self.log.errors:
             self._report_violation("logged", text)
         self.log.errors = []
-        counters, policy = self.gateway.counters, self.gateway.pipeline
+        counters = self.gateway.counters
+        policy = self.gateway.pipeline
         for request, attempt in policy.duplicate_outcomes:
             self._report_violation("outcomes", f"attempt {attempt + 1} of request {request} ended twice")
         policy.duplicate_outcomes.clear()
@@ -50,57 +62,51 @@
     def _check_client(self, client: Client) -> None:
         if client.transport is None:
             return
-        messages, well_formed = parse_messages(client.transport.received_by_peer, False)
-        responses = [m for m in messages if m.status >= 200]
+        received = client.transport.received_by_peer
+        messages, well_formed = parse_messages(received, False)
+        responses = _final_responses(messages)
         if not well_formed:
-            self._report_violation(
-                "connection",
-                f"client {client.number} got what is no answer: {client.transport.received_by_peer[-60:]!r}",
-            )
-        if len(responses) > client.request_index + (
-            1 if client.written_bytes or client.request_index < len(client.request_texts) else 0
-        ):
+            excerpt = received[-EXCERPT_BYTES:]
+            self._report_violation("connection", f"client {client.number} got what is no answer: {excerpt!r}")
+        begun = client.written_bytes > 0 or client.request_index < len(client.request_texts)
+        if len(responses) > client.request_index + int(begun):
             self._report_violation(
                 "connection",
                 f"client {client.number} got {len(responses)} answers to {client.request_index} requests",
             )
+        self._check_bodies(client, responses)
+        self._check_statuses(client, client.transport, responses)
+        client.response_count = len(responses)
+
+    def _check_bodies(self, client: Client, responses: Sequence[Message]) -> None:
+        """Check that each good response is the one to the client's own request at its place."""
         for index, response in enumerate(responses):
-            if response.status == 200 and (
-                index >= len(client.request_ids) or response.body.decode() != client.request_ids[index]
-            ):
-                expected = client.request_ids[index] if index < len(client.request_ids) else "nothing"
+            if response.status != HTTPStatus.OK:
+                continue
+            expected = client.request_ids[index] if index < len(client.request_ids) else "nothing"
+            if expected == "nothing" or response.body.decode() != expected:
                 text = f"client {client.number}: answer {index + 1} is {response.body!r}, not {expected}"
                 self._report_violation("connection", text)
+
+    def _check_statuses(
+        self, client: Client, transport: ScriptedTransport, responses: Sequence[Message]
+    ) -> None:
+        """Check that no well-formed request is answered as the client's fault, unless it came too late."""
         for index in range(client.response_count, len(responses)):
             status = responses[index].status
-            timed_out = status == 408 and (
-                client.request_index <= index or client.transport.was_write_blocked
-            )  # it really had not arrived in full
+            incomplete = client.request_index <= index or transport.was_write_blocked
+            timed_out = status == HTTPStatus.REQUEST_TIMEOUT and incomplete
             well_formed = index < len(client.kinds) and client.kinds[index] != "garbage"
-            if 400 <= status < 500 and well_formed and not timed_out:
+            is_client_error = HTTPStatus.BAD_REQUEST <= status < HTTPStatus.INTERNAL_SERVER_ERROR
+            if is_client_error and well_formed and not timed_out:
                 self._report_violation(
                     "connection", f"client {client.number}: its sound request {index + 1} got {status}"
                 )
             self.messages.append(("gateway", f"client {client.number}", f"answers {responses[index].status}"))
-        client.response_count = len(responses)
 
     def _check_effects(self) -> None:
-        executions: dict[str, int] = {}
-        for connection in self.instance_connections:
-            for index, request in enumerate(parse_messages(connection.transport.received_by_peer, True)[0]):
-                if request.method == "POST" and index not in connection.rejected_requests:
-                    request_id = request.headers.get(protocol.REQUEST_ID_HEADER, "")
-                    executions[request_id] = executions.get(request_id, 0) + 1
-        rejected = {
-            c.request_ids[n]
-            for c in self.clients
-            if c.transport is not None
-            for n, m in enumerate(
-                [m for m in parse_messages(c.transport.received_by_peer, False)[0] if m.status >= 200]
-            )
-            if m.status == 503 and n < len(c.request_ids)
-        }
-        for request_id in sorted(rejected & set(executions)):
+        executions = self._executions()
+        for request_id in sorted(self._rejected_requests() & set(executions)):
             self._report_violation(
                 "effects", f"request {request_id} came whole to an instance and was refused"
             )
@@ -110,33 +116,59 @@
                     "executed", f"request {request_id} came whole to instances {count} times"
                 )
 
+    def _executions(self) -> dict[str, int]:
+        """Return how often each request with an effect came whole to an instance that did not reject it."""
+        executions: dict[str, int] = {}
+        for connection in self.instance_connections:
+            requests, _ = parse_messages(connection.transport.received_by_peer, True)
+            for index, request in enumerate(requests):
+                if request.method == "POST" and index not in connection.rejected_requests:
+                    request_id = request.headers.get(protocol.REQUEST_ID_HEADER, "")
+                    executions[request_id] = executions.get(request_id, 0) + 1
+        return executions
+
+    def _rejected_requests(self) -> set[str]:
+        """Return the ids of requests whose clients were told that they are rejected."""
+        rejected: set[str] = set()
+        for client in self.clients:
+            if client.transport is None:
+                continue
+            messages, _ = parse_messages(client.transport.received_by_peer, False)
+            rejected.update(
+                request_id
+                for request_id, response in zip(client.request_ids, _final_responses(messages), strict=False)
+                if response.status == HTTPStatus.SERVICE_UNAVAILABLE
+            )
+        return rejected
+
     def _check_forwarding(self) -> None:
         """Check that requests completed at an instance by this step may be sent there, and at all."""
         clients_by_request = {request_id: c for c in self.clients for request_id in c.request_ids}
         for connection in self.instance_connections:
-            requests, sent_at = (
-                parse_messages(connection.transport.received_by_peer, True)[0],
-                connection.transport.last_sent_at,
-            )
+            requests, _ = parse_messages(connection.transport.received_by_peer, True)
+            sent_at = connection.transport.last_sent_at
             for request in requests[connection.seen_requests :]:
                 request_id = request.headers.get(protocol.REQUEST_ID_HEADER, "")
-                closed_at = (
-                    clients_by_request[request_id].closed_at if request_id in clients_by_request else math.inf
-                )
+                client = clients_by_request.get(request_id)
+                closed_at = client.closed_at if client is not None else math.inf
                 if request_id in self.undispatched_requests and sent_at > closed_at + DISCONNECT_GRACE_MS:
                     late_ms = sent_at - closed_at
                     text = f"request {request_id} was sent on {late_ms:.0f} ms after its client had gone"
                     self._report_violation("gone", text)
-                notified_at = self.notified_at.get(connection.transport.address or ("", 0), math.inf)
-                if sent_at > notified_at + RULES.drain_grace_ms + TIMING_SLACK_MS:
-                    text = f"request {request_id} went to instance {connection.transport.address}, "
-                    self._report_violation(
-                        "drains", text + f"told not in service {sent_at - notified_at:.0f} ms before"
-                    )
+                self._check_drain_grace(request_id, connection.transport.address, sent_at)
             connection.seen_requests = len(requests)
 
+    def _check_drain_grace(self, request_id: str, address: tuple[str, int] | None, sent_at: float) -> None:
+        """Check that an instance gets no request once it has been out of service for the grace."""
+        notified_at = self.notified_at.get(address or ("", 0), math.inf)
+        if sent_at > notified_at + RULES.drain_grace_ms + TIMING_SLACK_MS:
+            text = f"request {request_id} went to instance {address}, "
+            text += f"told not in service {sent_at - notified_at:.0f} ms before"
+            self._report_violation("drains", text)
+
     def _check_reload(self) -> None:
-        current, initial = self.gateway.config, self.initial_config
+        current = self.gateway.config
+        initial = self.initial_config
         if replace(current, discovery=initial.discovery, platform=initial.platform) != initial:
             self._report_violation("reload", "more than addresses was taken over")
         if (
@@ -155,43 +187,58 @@
         for client in self.clients:
             if client.transport is None or client.stopped_sending or client.transport.was_write_blocked:
                 continue
-            responses = [
-                m for m in parse_messages(client.transport.received_by_peer, False)[0] if m.status >= 200
-            ]
-            if len(responses) < client.owed_responses and all(m.keep_alive for m in responses):
+            messages, _ = parse_messages(client.transport.received_by_peer, False)
+            responses = _final_responses(messages)
+            kept_alive = all(response.keep_alive for response in responses)
+            if len(responses) < client.owed_responses and kept_alive:
                 text = f"client {client.number} wrote {client.owed_responses} whole requests "
                 text += f"and got {len(responses)} answers"
                 self._report_violation("answers", text)
 
     def _check_final_state(self) -> None:
-        gateway = self.gateway
-        counters = gateway.counters.snapshot()
-        answered = sum(n for name, n in counters.items() if name[4:].isdigit() and name.startswith("out."))
-        accepted, disconnected = counters.get("in.requests", 0), counters.get("in.client_disconnected", 0)
+        self._check_counters()
+        self._check_leftovers()
+        stopped = self.gateway.phase is GatewayPhase.STOPPED and self.reactor.stopped
+        told_to_stop = self.stop_requested or self.gateway.phase in (
+            GatewayPhase.DRAINING,
+            GatewayPhase.STOPPED,
+        )
+        if told_to_stop and not stopped:
+            self._report_violation("ends", "told to end, all connections over, and it did not end")
+
+    def _check_counters(self) -> None:
+        """Check that each accepted request was answered, or left by its client."""
+        counters = self.gateway.counters.snapshot()
+        answered = sum(
+            count
+            for name, count in counters.items()
+            if name.startswith(STATUS_COUNTER_PREFIX) and name.removeprefix(STATUS_COUNTER_PREFIX).isdigit()
+        )
+        accepted = counters.get("in.requests", 0)
+        disconnected = counters.get("in.client_disconnected", 0)
         if answered + disconnected != accepted:
             self._report_violation(
                 "answers",
                 f"{accepted} requests taken, {answered} answered, {disconnected} left by their clients",
             )
-        if len(gateway.requests.slots) or gateway.requests.open_ids:
-            slots, ids = len(gateway.requests.slots), len(gateway.requests.open_ids)
+
+    def _check_leftovers(self) -> None:
+        """Check that no slot, id or connection is left over."""
+        gateway = self.gateway
+        slots = len(gateway.requests.slots)
+        ids = len(gateway.requests.open_ids)
+        if slots or ids:
             text = f"{slots} requests and {ids} ids are left over"
             self._report_violation("slots", text)
-        client_transports = [w for w in self.reactor.transports if w.address is None]
-        if len(gateway.clients.connections) or client_transports:
-            slots = len(gateway.clients.connections)
-            text = f"{slots} slots and {len(client_transports)} connections of clients are left"
+        client_transports = [transport for transport in self.reactor.transports if transport.address is None]
+        client_slots = len(gateway.clients.connections)
+        if client_slots or client_transports:
+            text = f"{client_slots} slots and {len(client_transports)} connections of clients are left"
             self._report_violation("slots", text)
-        open_connections = sum(w.address in INSTANCES for w in self.reactor.transports) + len(
-            self._pending_instance_connections()
-        )
+        open_connections = sum(transport.address in INSTANCES for transport in self.reactor.transports)
+        open_connections += len(self._pending_instance_connections())
         if gateway.instances.open_sockets != open_connections:
             self._report_violation(
                 "slots",
                 f"{gateway.instances.open_sockets} sockets to instances counted, {open_connections} are open",
             )
-        stopped = gateway.phase is GatewayPhase.STOPPED and self.reactor.stopped
-        if (
-            self.stop_requested or gateway.phase in (GatewayPhase.DRAINING, GatewayPhase.STOPPED)
-        ) and not stopped:
-            self._report_violation("ends", "told to end, all connections over, and it did not end")
--- a/meadowpulley/model_checking/connection_model/peers.py
+++ b/meadowpulley/model_checking/connection_model/peers.py
@@ -5,12 +5,20 @@
 import math
 from typing import Any
 
+from twisted.python.failure import Failure
+
+from meadowpulley.model_checking.errors import ModelCheckingError, UnknownNameError
 from meadowpulley.model_checking.scripted_reactor import ScriptedPort, ScriptedTransport
 from meadowpulley.net import protocol
 from meadowpulley.net.http1 import BadMessageError, Message, Parser
 from meadowpulley.net.ring import RingBuffer
 
 BULK_BODY_BYTES = 60_000
+REQUEST_KINDS = ("get", "post", "bulk", "chunked", "expect", "garbage")
+HEAD_END = b"\r\n\r\n"
+LAST_CHUNK_CUTS = (7, 6, 1)  # bytes before the end of a message, around the end of its last chunk
+ACCEPTS_PER_TURN = 20  # by how much Twisted's port raises the number of accepts after a full turn
+BUILD = 41
 
 
 def request_bytes_of(kind: str, request_id: str) -> bytes:
@@ -34,26 +42,21 @@
         return f"POST /pay HTTP/1.1\r\n{head}{extra_headers}\r\nhello".encode()
     if kind == "garbage":
         return b"\x16\x03\x01 no HTTP at all\r\n\r\n"
-    raise ValueError(f"no request is called '{kind}'")
+    raise UnknownNameError("request", kind, REQUEST_KINDS)
 
 
 def cut_points(data: bytes) -> tuple[int, ...]:
     """Where a message is cut: after its first byte, around each end of its start line and head, in its
     body."""
-    line_end, head_end = data.find(b"\r\n"), data.find(b"\r\n\r\n")
-    last_cuts = {len(data) - k for k in (7, 6, 1) if len(data) - k > head_end + 4}  # around a chunk's end
-    middle = (head_end + 4 + len(data)) // 2
-    cuts = last_cuts | {
-        1,
-        line_end + 1,
-        line_end + 2,
-        head_end + 2,
-        head_end + 3,
-        head_end + 4,
-        middle,
-        len(data),
-    }
-    return tuple(sorted(p for p in cuts if 0 < p <= len(data)))
+    line_end = data.find(b"\r\n")
+    head_end = data.find(HEAD_END)
+    body_start = head_end + len(HEAD_END)
+    last_cuts = {len(data) - count for count in LAST_CHUNK_CUTS}
+    cuts = {cut for cut in last_cuts if cut > body_start}
+    cuts |= {1, line_end + 1, line_end + 2}
+    cuts |= {head_end + 2, head_end + 3, body_start}
+    cuts |= {(body_start + len(data)) // 2, len(data)}
+    return tuple(sorted(cut for cut in cuts if 0 < cut <= len(data)))
 
 
 class Client:
@@ -74,6 +77,18 @@
         self.owed_responses = 0  # requests that were complete before the gateway said that it closes
         self.response_count = 0
 
+    def connected_transport(self) -> ScriptedTransport:
+        """Return the transport.
+
+        Raises:
+            ModelCheckingError: The client has not connected, so that the step at hand is not enabled.
+        """
+        if self.transport is None:
+            raise ModelCheckingError(
+                f"client {self.number} has no connection; apply its step 'connect' first"
+            )
+        return self.transport
+
 
 class AcceptBacklog(ScriptedPort):
     """A listening port, and those whose connection the kernel has completed and nobody has accepted."""
@@ -84,7 +99,7 @@
         self.reset_clients: list[Client] = []
         self.reactor: Any = None
 
-    def doRead(self) -> None:  # noqa: N802
+    def doRead(self) -> None:  # noqa: N802 (Twisted's name)
         """As Twisted's port does, with the number that it may accept in the next turn."""
         for index in range(self.numberAccepts):
             if not self.waiting:
@@ -93,14 +108,22 @@
             client, data = self.waiting.pop(0)
             client.transport = self.reactor.attach(self.factory.buildProtocol(None), None)
             client.transport.unread = data  # read in the next turn
-        self.numberAccepts += 20
+        self.numberAccepts += ACCEPTS_PER_TURN
 
-    def stopListening(self) -> None:  # noqa: N802
+    def knows(self, client: Client) -> bool:
+        """Tell whether a client waits to be accepted, or was reset while it waited."""
+        waiting_clients = [waiting for waiting, _ in self.waiting]
+        return any(client is other for other in (*self.reset_clients, *waiting_clients))
+
+    def stopListening(self) -> None:  # noqa: N802 (Twisted's name)
         """Close the port."""
-        self.connectionLost(None)
+        self._close()
 
-    def connectionLost(self, reason: Any) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure) -> None:  # noqa: N802 (Twisted's name)
         """Close the port; clients that wait to be accepted are reset."""
+        self._close()
+
+    def _close(self) -> None:
         self.is_open = False
         self.reset_clients += [client for client, _ in self.waiting]
         self.waiting = []
@@ -114,10 +137,8 @@
         self.response_count = 0  # requests
         self.rejected_requests: list[int] = []  # indices of those answered as not executed
         self.unsent_response = b""  # of an answer that has begun
-        self.last_response, self.last_response_at = (
-            b"",
-            -math.inf,
-        )  # its last good answer, which may come once more
+        self.last_response = b""  # its last good answer, which may come once more
+        self.last_response_at = -math.inf
         self.seen_requests = 0  # requests that were complete there when the last step was over
 
 
@@ -142,7 +163,7 @@
                 protocol.ENDPOINT_ADDRESS: f"{host}:{port}",
                 protocol.ENDPOINT_ZONE: "a",
                 protocol.ENDPOINT_STATE: state,
-                protocol.ENDPOINT_BUILD: 41,
+                protocol.ENDPOINT_BUILD: BUILD,
             }
             for n, ((host, port), (state, since)) in enumerate(zip(self.addresses, self.states, strict=True))
             if (state != "terminated" if after_version is None else since > after_version)
--- a/meadowpulley/model_checking/connection_model/state.py
+++ b/meadowpulley/model_checking/connection_model/state.py
@@ -5,6 +5,7 @@
 import json
 import math
 import sys
+from collections.abc import Mapping
 from dataclasses import replace
 from typing import Any, Self
 from urllib.parse import parse_qs, urlsplit
@@ -26,17 +27,19 @@
     Configuration,
 )
 from meadowpulley.model_checking.connection_model.peers import (
+    BUILD,
     AcceptBacklog,
     Client,
     DiscoveryConnection,
     DiscoveryRegistry,
     InstanceConnection,
 )
+from meadowpulley.model_checking.errors import ModelCheckingError, UnknownNameError
 from meadowpulley.model_checking.graph import Copier, FormRules, FormWriter, fingerprint_of
 from meadowpulley.model_checking.model import ModelSettings
 from meadowpulley.model_checking.policy_model.canonical_form import UNCHANGING_POLICY_FIELDS
 from meadowpulley.model_checking.properties import Violation
-from meadowpulley.model_checking.scripted_reactor import ScriptedReactor
+from meadowpulley.model_checking.scripted_reactor import PendingConnection, ScriptedReactor
 from meadowpulley.net import protocol
 from meadowpulley.net.config import Config, ConfigError, parse_address
 from meadowpulley.net.gateway import RESERVED_SOCKETS, Gateway
@@ -122,7 +125,7 @@
 def _initial_config(configuration: Configuration, registry: DiscoveryRegistry) -> Config:
     """Return the gateway's configuration, with a released build and the endpoint list that it has cached."""
     rollout_update = {
-        protocol.MESSAGE_BUILD: 41,
+        protocol.MESSAGE_BUILD: BUILD,
         protocol.ROLLOUT_STAGE: 0,
         protocol.ROLLOUT_PHASE: "stable",
         protocol.ROLLOUT_CAP: 1.0,
@@ -159,11 +162,11 @@
 
     def __init__(self, settings: ModelSettings) -> None:
         if settings.configuration not in CONFIGURATIONS:
-            raise ValueError(
-                f"scene: '{settings.configuration}' is not known; known are {', '.join(CONFIGURATIONS)}"
-            )
-        self.settings, self.configuration = settings, CONFIGURATIONS[settings.configuration]
-        self.faults, self.time_advances = settings.faults, settings.time_advances
+            raise UnknownNameError("scene", settings.configuration, CONFIGURATIONS)
+        self.settings = settings
+        self.configuration = CONFIGURATIONS[settings.configuration]
+        self.faults = settings.faults
+        self.time_advances = settings.time_advances
         self.violations: list[Violation] = []
         self.messages: list[tuple[str, str, str]] = []
         self.log = ErrorLog()
@@ -172,7 +175,9 @@
         self.registry = DiscoveryRegistry(instances)
         self.initial_config = _initial_config(self.configuration, self.registry)
         self.reload_file: Config | None = self.initial_config  # what a reload finds; None: no usable file
-        self.discovery_moved = self.stop_requested = self.list_fetched = False
+        self.discovery_moved = False
+        self.stop_requested = False
+        self.list_fetched = False
         self.stop_requested_at = math.inf
         # When the gateway learned that an instance drains or is gone.
         self.notified_at: dict[tuple[str, int], float] = {}
@@ -222,26 +227,27 @@
             raise ConfigError("no file that can be used")
         return self.reload_file
 
-    def _pending_instance_connections(self) -> list[Any]:
-        return [o for o in self.reactor.pending_connections if o.address in INSTANCES]
+    def _pending_instance_connections(self) -> list[PendingConnection]:
+        return [pending for pending in self.reactor.pending_connections if pending.address in INSTANCES]
 
-    def _accept_instance_connection(self, pending: Any) -> None:
+    def _accept_instance_connection(self, pending: PendingConnection) -> None:
         transport = pending.accept()
         self.instance_connections.append(InstanceConnection(transport))
 
     def _accept_discovery_connections(self) -> None:
         """Connections to discovery come up at once, where it answers."""
-        for pending in [
-            o
-            for o in self.reactor.pending_connections
-            if o.address not in INSTANCES and self.configuration.serves_lists
-        ]:
+        if not self.configuration.serves_lists:
+            return
+        for pending in list(self.reactor.pending_connections):
+            if pending.address in INSTANCES:
+                continue
             self.discovery_connections.append(DiscoveryConnection(pending.accept()))
 
     def _prepare_list_response(self, index: int) -> None:
         """Discovery writes its answer to a call: what it holds at this moment."""
         request = self.discovery_connections[index].pending_call()
-        assert request is not None
+        if request is None:
+            raise ModelCheckingError(f"connection {index} to discovery has no call that waits for an answer")
         after_version = parse_qs(urlsplit(request.target).query).get(protocol.AFTER_PARAMETER)
         self.discovery_connections[index].prepared_response = self.registry.endpoint_list(
             int(after_version[0]) if after_version else None
@@ -250,27 +256,34 @@
     def _deliver_list_response(self, index: int) -> None:
         """Deliver the response; what a newer one said stays known."""
         connection = self.discovery_connections[index]
-        endpoint_list, connection.prepared_response = connection.prepared_response, None
-        assert endpoint_list is not None
+        endpoint_list = connection.prepared_response
+        if endpoint_list is None:
+            raise ModelCheckingError(f"connection {index} to discovery has no answer on its way")
+        connection.prepared_response = None
         connection.response_count += 1
         if endpoint_list[protocol.LIST_VERSION] >= self.notified_version:
             self.notified_version = endpoint_list[protocol.LIST_VERSION]
-            listed = {
-                parse_address(e[protocol.ENDPOINT_ADDRESS]): e[protocol.ENDPOINT_STATE]
-                for e in endpoint_list[protocol.LIST_ENDPOINTS]
-            }
-            for address in self.registry.addresses:
-                state = listed.get(address, "terminated" if endpoint_list[protocol.LIST_IS_SNAPSHOT] else "")
-                if state == "in_service":
-                    self.notified_at.pop(address, None)
-                elif state:
-                    self.notified_at.setdefault(address, self.now)
+            self._note_notified_states(endpoint_list)
         connection.transport.receive(
             response_bytes(200, {"content-type": "application/json"}, json.dumps(endpoint_list).encode())
         )
         self.reactor.run_due()
         self._accept_discovery_connections()
 
+    def _note_notified_states(self, endpoint_list: Mapping[str, Any]) -> None:
+        """Note since when the gateway has known of each instance that it is not in service."""
+        listed_states = {
+            parse_address(entry[protocol.ENDPOINT_ADDRESS]): entry[protocol.ENDPOINT_STATE]
+            for entry in endpoint_list[protocol.LIST_ENDPOINTS]
+        }
+        unlisted_state = "terminated" if endpoint_list[protocol.LIST_IS_SNAPSHOT] else ""
+        for address in self.registry.addresses:
+            state = listed_states.get(address, unlisted_state)
+            if state == "in_service":
+                self.notified_at.pop(address, None)
+            elif state:
+                self.notified_at.setdefault(address, self.now)
+
     def _report_violation(self, property_name: str, text: str) -> None:
         self.violations.append(Violation(property_name, self.reactor.now, 0, text))
 
@@ -281,12 +294,12 @@
         duplicate: Self = _COPIER.copy(self)
         return duplicate
 
-    def form(self) -> Any:
+    def form(self) -> object:
         """Return the state in canonical form."""
         writer = FormWriter(FORM_RULES)
         return writer.write(self.reactor), [
-            writer.write(v)
-            for v in (
+            writer.write(value)
+            for value in (
                 self.gateway,
                 self.clients,
                 self.instance_connections,
--- a/meadowpulley/model_checking/connection_model/transitions.py
+++ b/meadowpulley/model_checking/connection_model/transitions.py
@@ -10,12 +10,15 @@
 from meadowpulley.model_checking.connection_model.configurations import MOVED_DISCOVERY
 from meadowpulley.model_checking.connection_model.invariants import InvariantChecks
 from meadowpulley.model_checking.connection_model.peers import Client, parse_messages
+from meadowpulley.model_checking.errors import StepNotEnabledError
 from meadowpulley.model_checking.model import Step
 from meadowpulley.model_checking.scripted_reactor import ScriptedTransport
 from meadowpulley.net import protocol
 from meadowpulley.net.http1 import response_bytes
 
 DRAIN_OUT_MS = 70_000.0  # by when everything that has a limit has met it
+PLACE_OFFSETS_MS = {"before": -1.0, "after": 1.0}  # from the deadline that a step of time stops at
+UNREAD_TOLERANCE_MS = 1.0  # what has come within this time may be read after what is due
 
 
 class ConnectionModel(InvariantChecks):
@@ -28,7 +31,7 @@
             self.HANDLERS[step.action](self, *step.arguments)
             self.reactor.run_due()
             self._accept_discovery_connections()
-        except Exception as error:  # the reactor would log it, and end the connection
+        except Exception as error:  # the reactor would log it, and end the connection: a find, whatever it is
             self._report_violation("logged", f"{type(error).__name__}: {error}")
         self._check_invariants()
         return (), ()
@@ -48,19 +51,18 @@
 
     def _write_request(self, client_index: int, cut: int) -> None:
         client = self.clients[client_index]
-        assert client.transport is not None
-        data = self._next_request_bytes(client, cut)
-        client.transport.receive(data)
+        transport = client.connected_transport()
+        transport.receive(self._next_request_bytes(client, cut))
 
     def _next_request_bytes(self, client: Client, cut: int) -> bytes:
         """The next bytes that a client writes; a request that is complete now is owed a response."""
-        assert client.transport is not None
+        transport = client.connected_transport()
         data = client.request_texts[client.request_index][client.written_bytes : cut]
         complete = cut == len(client.request_texts[client.request_index])
-        client.request_index, client.written_bytes = (
-            (client.request_index + 1, 0) if complete else (client.request_index, cut)
-        )
-        if complete and not client.transport.closing:
+        client.written_bytes = 0 if complete else cut
+        if complete:
+            client.request_index += 1
+        if complete and not transport.closing:
             client.owed_responses = client.request_index
         summary = f"{len(data)} bytes" + (", the last" if complete else "")
         self.messages.append((f"client {client.number}", "gateway", summary))
@@ -70,10 +72,8 @@
         """A complete request is in the kernel, and the reactor's turn has not come to it."""
         self.faults -= 1
         client = self.clients[client_index]
-        assert client.transport is not None
-        client.transport.unread += self._next_request_bytes(
-            client, len(client.request_texts[client.request_index])
-        )
+        request_size = len(client.request_texts[client.request_index])
+        client.connected_transport().unread += self._next_request_bytes(client, request_size)
 
     def _run_reactor_turn(self) -> None:
         for transport in list(self.reactor.transports):
@@ -87,33 +87,35 @@
 
     def _disconnect_client(self, client_index: int) -> None:
         client = self.clients[client_index]
-        assert client.transport is not None
-        client.closed_at, client.transport.peer_closed = self.now, True
-        self.undispatched_requests = frozenset(client.request_ids) - {
-            m.headers.get(protocol.REQUEST_ID_HEADER, "")
-            for s in self.instance_connections
-            for m in parse_messages(s.transport.received_by_peer, True)[0]
-        }
+        client.closed_at = self.now
+        client.connected_transport().peer_closed = True
+        dispatched_requests: set[str] = set()
+        for connection in self.instance_connections:
+            requests, _ = parse_messages(connection.transport.received_by_peer, True)
+            dispatched_requests.update(
+                request.headers.get(protocol.REQUEST_ID_HEADER, "") for request in requests
+            )
+        self.undispatched_requests = frozenset(client.request_ids) - dispatched_requests
         self._half_close_client(client_index)
 
     def _half_close_client(self, client_index: int) -> None:
         self.faults -= 1
         client = self.clients[client_index]
-        assert client.transport is not None
-        client.stopped_sending = client.transport.end_of_input = True
-        client.transport.deliver()
+        transport = client.connected_transport()
+        client.stopped_sending = True
+        transport.end_of_input = True
+        transport.deliver()
 
     def _transport(self, side: str, index: int) -> ScriptedTransport:
-        transport = (
-            self.clients[index].transport if side == "client" else self.instance_connections[index].transport
-        )
-        assert transport is not None
-        return transport
+        if side == "client":
+            return self.clients[index].connected_transport()
+        return self.instance_connections[index].transport
 
     def _block_writes(self, side: str, index: int) -> None:
         self.faults -= 1
         transport = self._transport(side, index)
-        transport.write_blocked = transport.was_write_blocked = True
+        transport.write_blocked = True
+        transport.was_write_blocked = True
 
     def _unblock_writes(self, side: str, index: int) -> None:
         self._transport(side, index).unblock_writes()
@@ -140,7 +142,8 @@
             connection.rejected_requests.append(connection.response_count - 1)
         response = self._response_bytes(request, "ok" if kind == "early" else kind)
         if kind == "ok":
-            connection.last_response, connection.last_response_at = response, self.now
+            connection.last_response = response
+            connection.last_response_at = self.now
         self._send_from_instance(index, response, f"answers, {kind}")
         if kind == "close":
             connection.transport.end_of_input = True
@@ -149,7 +152,8 @@
     def _repeat_last_response(self, index: int) -> None:
         self.faults -= 1
         connection = self.instance_connections[index]
-        connection.last_response, response = b"", connection.last_response
+        response = connection.last_response
+        connection.last_response = b""
         self._send_from_instance(index, response, "its last answer once more")
 
     def _send_partial_response(self, index: int, cut: int) -> None:
@@ -162,7 +166,8 @@
 
     def _send_remaining_response(self, index: int) -> None:
         connection = self.instance_connections[index]
-        data, connection.unsent_response = connection.unsent_response, b""
+        data = connection.unsent_response
+        connection.unsent_response = b""
         self._send_from_instance(index, data, "the rest of the answer")
 
     def _close_instance_connection(self, index: int) -> None:
@@ -182,7 +187,8 @@
     def _send_sigterm(self) -> None:
         self.faults -= 1
         if not self.stop_requested:
-            self.stop_requested, self.stop_requested_at = True, self.now
+            self.stop_requested = True
+            self.stop_requested_at = self.now
         self.gateway.on_signal(signal.SIGTERM, None)
 
     def _send_sighup(self, kind: str) -> None:
@@ -240,9 +246,10 @@
             self.finished = True
             return
         due_at = self._edge_time(place) if place in self.configuration.edges else self.reactor.next_call_at()
-        assert due_at is not None
-        until = max(due_at + {"before": -1.0, "after": 1.0}.get(place, 0.0), self.reactor.now)
-        if until > self.reactor.now + 1.0:  # what has come within a millisecond may be read after what is due
+        if due_at is None:
+            raise StepNotEnabledError(Step("wait", (place,)), "nothing is due")
+        until = max(due_at + PLACE_OFFSETS_MS.get(place, 0.0), self.reactor.now)
+        if until > self.reactor.now + UNREAD_TOLERANCE_MS:
             self._run_reactor_turn()
             self._run_reactor_turn()
         self.reactor.advance(until)
--- a/meadowpulley/model_checking/model.py
+++ b/meadowpulley/model_checking/model.py
@@ -7,8 +7,11 @@
 
 from msgspec import Struct, field
 
+from meadowpulley.model_checking.errors import UnknownNameError
 from meadowpulley.model_checking.properties import Violation
 
+MODELS = ("decisions", "connection", "shared")  # by their stored names
+
 
 class Step(Struct, frozen=True):
     """One step: what happens (`action`), to whom (`arguments`), and what the policy drew meanwhile."""
@@ -72,7 +75,11 @@
 
 
 def make_model(settings: ModelSettings, **options: Any) -> Model:
-    """Return the start of a model. Raises ValueError, naming a setting that is not known."""
+    """Return the start of a model.
+
+    Raises:
+        UnknownNameError: The settings name a model or a configuration that does not exist.
+    """
     if settings.model == "decisions":
         from meadowpulley.model_checking.policy_model import PolicyModel
 
@@ -87,4 +94,4 @@
 
         shared: Model = SharedStateModel(settings, **options)
         return shared
-    raise ValueError(f"world: '{settings.model}' is not known; known are decisions, connection, shared")
+    raise UnknownNameError("world", settings.model, MODELS)
--- a/meadowpulley/model_checking/policy_model/canonical_form.py
+++ b/meadowpulley/model_checking/policy_model/canonical_form.py
@@ -42,8 +42,13 @@
     return tuple([writer.server_number(n) for n in value])
 
 
-def _evidence_sums(writer: FormWriter, value: Mapping[int, Mapping[int, float]]) -> object:
-    return tuple([(build, _by_server_number(writer, sums)) for build, sums in sorted(value.items())])
+def _evidence_sums(writer: FormWriter, value: Mapping[tuple[int, float], Mapping[int, float]]) -> object:
+    return tuple(
+        [
+            (class_and_increase, _by_server_number(writer, sums))
+            for class_and_increase, sums in sorted(value.items())
+        ]
+    )
 
 
 def _by_server_number(writer: FormWriter, sums: Mapping[int, float]) -> tuple[tuple[int, float], ...]:
--- a/meadowpulley/model_checking/policy_model/state.py
+++ b/meadowpulley/model_checking/policy_model/state.py
@@ -6,6 +6,7 @@
 from typing import Self
 
 from meadowpulley.interface import RolloutUpdate, ServerEntry, ServerState, Settings
+from meadowpulley.model_checking.errors import UnknownNameError
 from meadowpulley.model_checking.graph import fingerprint_of
 from meadowpulley.model_checking.model import ModelSettings
 from meadowpulley.model_checking.policy_model.canonical_form import RANDOM
@@ -29,9 +30,7 @@
         self, settings: ModelSettings, make_policy: Callable[[Settings, int], RolloutPolicy] = RolloutPolicy
     ) -> None:
         if settings.configuration not in CONFIGURATIONS:
-            raise ValueError(
-                f"scene: '{settings.configuration}' is not known; known are {', '.join(CONFIGURATIONS)}"
-            )
+            raise UnknownNameError("scene", settings.configuration, CONFIGURATIONS)
         self.settings = settings
         self.configuration = CONFIGURATIONS[settings.configuration]
         self.now = START_MS
--- a/meadowpulley/model_checking/shared_state_model/state.py
+++ b/meadowpulley/model_checking/shared_state_model/state.py
@@ -5,6 +5,7 @@
 from typing import Any, NamedTuple, Self
 
 from meadowpulley.ledger import Incarnation, MemoryStore
+from meadowpulley.model_checking.errors import UnknownNameError
 from meadowpulley.model_checking.graph import FormWriter, fingerprint_of
 from meadowpulley.model_checking.model import ModelSettings
 from meadowpulley.model_checking.shared_state_model.configurations import CONFIGURATIONS
@@ -34,9 +35,7 @@
 
     def __init__(self, settings: ModelSettings) -> None:
         if settings.configuration not in CONFIGURATIONS:
-            raise ValueError(
-                f"scene: '{settings.configuration}' is not known; known are {', '.join(CONFIGURATIONS)}"
-            )
+            raise UnknownNameError("scene", settings.configuration, CONFIGURATIONS)
         self.settings, self.configuration = settings, CONFIGURATIONS[settings.configuration]
         self.now = START_MS
         self.requests_left = tuple(range(settings.requests))  # requests still to come
