--- a/meadowpulley/emulator/attempts.py
+++ b/meadowpulley/emulator/attempts.py
@@ -5,6 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from meadowpulley.emulator.failpoints import Step
 from meadowpulley.emulator.requests import CONNECTION_REUSABLE, NOT_EXECUTED, Attempt, InFlightRequest
 from meadowpulley.interface import Cancel, Outcome as AttemptOutcome, Result, Send
 from meadowpulley.rules import AttemptEnded, AttemptSent
@@ -25,7 +26,7 @@
         """Send an attempt as the policy decided."""
         gateway = self.gateway
         request = gateway.in_flight.get(action.request)
-        if request is None or gateway.interrupted_at("send", partial(self.send, action)):
+        if request is None or gateway.interrupted_at(Step.BEFORE_ATTEMPT_SENT, partial(self.send, action)):
             return
         attempt = self._start(request, action)
         if attempt.server is None or not self._connect(attempt):
@@ -63,7 +64,7 @@
             gateway.max_open_connections = max(gateway.max_open_connections, connections.open)
         attempt.connected = True
         gateway.emulation.transmit(gateway, attempt, new_connection)
-        gateway.emulation.failpoints.reached(gateway, "sent")
+        gateway.emulation.failpoints.reached(gateway, Step.AFTER_ATTEMPT_SENT)
         return True
 
     def cancel(self, action: Cancel) -> None:
@@ -95,9 +96,13 @@
         """End an attempt with its one outcome, and forward a good response."""
         gateway, request = self.gateway, attempt.request
         retry = partial(self.finish, attempt, result)
-        if attempt.ended or gateway.interrupted_at("outcome", retry):
+        if attempt.ended or gateway.interrupted_at(Step.BEFORE_OUTCOME_HANDLED, retry):
             return
-        if result is Result.OK and not request.finished and gateway.interrupted_at("answer", retry):
+        if (
+            result is Result.OK
+            and not request.finished
+            and gateway.interrupted_at(Step.BEFORE_RESPONSE_SENT, retry)
+        ):
             return
         attempt.ended = True
         gateway.remove_attempt(attempt)
--- a/meadowpulley/emulator/emulation.py
+++ b/meadowpulley/emulator/emulation.py
@@ -41,7 +41,6 @@
 from meadowpulley.takeover import TakeoverStage
 
 FAILURE_DETECTION_MS = 1000.0  # until the front end stops sending clients to a crashed gateway
-MAX_TAIL_MS = 30_000.0  # after the last arrival, for calls that are still open
 
 
 class Emulation(ServerFleet):
--- a/meadowpulley/emulator/failpoints.py
+++ b/meadowpulley/emulator/failpoints.py
@@ -1,25 +1,40 @@
-"""Failpoints: named steps of a gateway's work at which it can be killed or paused."""
+"""Failpoints: steps of a gateway's work at which it can be killed or paused."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Literal
+from enum import Enum
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from meadowpulley.emulator.gateway import SimulatedGateway
 
-StepName = Literal["take", "commit", "written", "told", "send", "sent", "outcome", "answer", "answered"]
-STEP_DESCRIPTIONS: dict[StepName, str] = {
-    "take": "a request has come whole, and the decisions are not told yet",
-    "commit": "a group of steps is about to leave for the ledger",
-    "written": "the ledger has carried a group out, and its answer has not come back",
-    "told": "the ledger's answer has come back, and nobody has looked at it",
-    "send": "an attempt is decided, and none of its bytes has gone out",
-    "sent": "an attempt has gone out",
-    "outcome": "the end of an attempt has come, and nobody has looked at it",
-    "answer": "a final answer is decided, and none of its bytes has gone out",
-    "answered": "a final answer has gone out",
+
+class Step(Enum):
+    """Where a failpoint stands: before or after an operation of the gateway."""
+
+    BEFORE_REQUEST_DISPATCHED = "before_request_dispatched"
+    BEFORE_COMMIT_SENT = "before_commit_sent"
+    AFTER_COMMIT_APPLIED = "after_commit_applied"
+    BEFORE_COMMIT_RESULT_HANDLED = "before_commit_result_handled"
+    BEFORE_ATTEMPT_SENT = "before_attempt_sent"
+    AFTER_ATTEMPT_SENT = "after_attempt_sent"
+    BEFORE_OUTCOME_HANDLED = "before_outcome_handled"
+    BEFORE_RESPONSE_SENT = "before_response_sent"
+    AFTER_RESPONSE_SENT = "after_response_sent"
+
+
+STEP_DESCRIPTIONS: dict[Step, str] = {
+    Step.BEFORE_REQUEST_DISPATCHED: "a request was received completely and not yet dispatched to the stages",
+    Step.BEFORE_COMMIT_SENT: "a batch of transactions is ready and not yet sent to the ledger",
+    Step.AFTER_COMMIT_APPLIED: "the ledger applied a batch and its response has not arrived",
+    Step.BEFORE_COMMIT_RESULT_HANDLED: "the ledger's response arrived and was not yet handled",
+    Step.BEFORE_ATTEMPT_SENT: "an attempt was decided and none of its bytes was sent",
+    Step.AFTER_ATTEMPT_SENT: "an attempt was sent",
+    Step.BEFORE_OUTCOME_HANDLED: "an attempt ended and its outcome was not yet handled",
+    Step.BEFORE_RESPONSE_SENT: "a final response was decided and none of its bytes was sent",
+    Step.AFTER_RESPONSE_SENT: "a final response was sent",
 }
 
 
@@ -27,11 +42,14 @@
 class _Failpoint:
     """One action, run at a step after `skip` matching steps."""
 
-    step: StepName
+    step: Step
     action: Callable[[SimulatedGateway], None]
     gateway: int | None
     skip: int
 
+    def matches(self, gateway: int, step: Step) -> bool:
+        return self.step is step and self.gateway in (None, gateway)
+
 
 class Failpoints:
     """A set of failpoints; each runs its action once, at the first matching step after `skip` others."""
@@ -41,7 +59,7 @@
 
     def add(
         self,
-        step: StepName,
+        step: Step,
         action: Callable[[SimulatedGateway], None],
         gateway: int | None = None,
         skip: int = 0,
@@ -49,13 +67,12 @@
         """Set an action at a step, on one gateway or on whichever reaches it first."""
         self._failpoints.append(_Failpoint(step, action, gateway, skip))
 
-    def reached(self, gateway: SimulatedGateway, step: StepName) -> None:
+    def reached(self, gateway: SimulatedGateway, step: Step) -> None:
         """Run the actions that are set at this step of this gateway."""
         if not self._failpoints:  # hot path: most runs set none
             return
-        for failpoint in [
-            t for t in self._failpoints if t.step == step and t.gateway in (None, gateway.number)
-        ]:
+        matching = [failpoint for failpoint in self._failpoints if failpoint.matches(gateway.number, step)]
+        for failpoint in matching:
             failpoint.skip -= 1
             if failpoint.skip < 0:
                 self._failpoints.remove(failpoint)
--- a/meadowpulley/emulator/gateway.py
+++ b/meadowpulley/emulator/gateway.py
@@ -14,7 +14,7 @@
 from meadowpulley.emulator.attempts import AttemptHandler
 from meadowpulley.emulator.clients import ClientRequest
 from meadowpulley.emulator.connection_pool import ConnectionPool
-from meadowpulley.emulator.failpoints import StepName
+from meadowpulley.emulator.failpoints import Step
 from meadowpulley.emulator.gateway_services import service_handlers
 from meadowpulley.emulator.ledger import LedgerPort
 from meadowpulley.emulator.process import SimulatedProcess
@@ -255,7 +255,9 @@
             self.accept(client_request)
 
     def _dispatch_request(self, request: InFlightRequest) -> None:
-        if request.finished or self.interrupted_at("take", partial(self._dispatch_request, request)):
+        if request.finished or self.interrupted_at(
+            Step.BEFORE_REQUEST_DISPATCHED, partial(self._dispatch_request, request)
+        ):
             return
         self.dispatch(self._request_event(request))
 
@@ -286,7 +288,7 @@
             self._finish(request)
             self.dispatch(ClientDisconnected(request.client_request.number))
 
-    def interrupted_at(self, step: StepName, callback: Callable[[], None]) -> bool:
+    def interrupted_at(self, step: Step, callback: Callable[[], None]) -> bool:
         """Return whether a fault set at this step stops it; after a pause the callback runs later."""
         self.emulation.failpoints.reached(self, step)
         if self.alive and self.paused:
@@ -321,21 +323,25 @@
         number = request.client_request.number
         self.emulation.record(ResponseSent(self.clock.now, self.number, number, response, content))  # type: ignore[arg-type]
         self.emulation.clients.respond(request.client_request, response, retry_after_ms)
-        self.emulation.failpoints.reached(self, "answered")
+        self.emulation.failpoints.reached(self, Step.AFTER_RESPONSE_SENT)
 
     def _reject(self, action: Reject) -> None:
         request = self.in_flight.get(action.request)
         if (
             request is None
             or request.finished
-            or self.interrupted_at("answer", partial(self._reject, action))
+            or self.interrupted_at(Step.BEFORE_RESPONSE_SENT, partial(self._reject, action))
         ):
             return
         self._send_response(request, "refused", action.retry_after_ms)
 
     def _fail(self, action: Fail) -> None:
         request = self.in_flight.get(action.request)
-        if request is None or request.finished or self.interrupted_at("answer", partial(self._fail, action)):
+        if (
+            request is None
+            or request.finished
+            or self.interrupted_at(Step.BEFORE_RESPONSE_SENT, partial(self._fail, action))
+        ):
             return
         self._send_response(request, "failed", 0.0)
 
--- a/meadowpulley/emulator/ledger.py
+++ b/meadowpulley/emulator/ledger.py
@@ -16,6 +16,7 @@
 import numpy as np
 
 from meadowpulley.emulator.clock import Timeline, uniform
+from meadowpulley.emulator.failpoints import Step
 from meadowpulley.ledger import (
     Changes,
     Commit,
@@ -190,7 +191,7 @@
             self._call_later(0.0, self._send)
 
     def _send(self) -> None:
-        if self._outstanding is not None or self._gateway.interrupted_at("commit", self._send):
+        if self._outstanding is not None or self._gateway.interrupted_at(Step.BEFORE_COMMIT_SENT, self._send):
             return
         group = self._pending_commits.next_batch()
         if group is None:
@@ -213,11 +214,11 @@
             respond = self._gateway.in_this_incarnation(lambda: self._response_received(commit, fault))
             ledger.clock.call_later(ledger.delay(gateway_number), respond)
         if self._gateway.alive and self._gateway.incarnation == self.incarnation:
-            self._gateway.emulation.failpoints.reached(self._gateway, "written")
+            self._gateway.emulation.failpoints.reached(self._gateway, Step.AFTER_COMMIT_APPLIED)
 
     def _response_received(self, commit: _OutstandingCommit, fault: str) -> None:
         if commit.finished or self._gateway.interrupted_at(
-            "told", lambda: self._response_received(commit, fault)
+            Step.BEFORE_COMMIT_RESULT_HANDLED, lambda: self._response_received(commit, fault)
         ):
             return
         self._finish(commit)
--- a/meadowpulley/emulator/takeover_gateway.py
+++ b/meadowpulley/emulator/takeover_gateway.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from meadowpulley.emulator.clients import ClientCall, ClientRequest
+from meadowpulley.emulator.failpoints import Step
 from meadowpulley.emulator.gateway import SimulatedGateway
 from meadowpulley.emulator.requests import Attempt, InFlightRequest
 from meadowpulley.ledger import Incarnation
@@ -59,7 +60,7 @@
         if (
             request is None
             or request.finished
-            or self.interrupted_at("answer", partial(self._deliver, action))
+            or self.interrupted_at(Step.BEFORE_RESPONSE_SENT, partial(self._deliver, action))
         ):
             return
         if action.status == STATUS_OK:
--- a/tests/stories/steps_fleet.py
+++ b/tests/stories/steps_fleet.py
@@ -9,7 +9,7 @@
 from pytest_bdd import given, parsers, then, when
 
 from meadowpulley.emulator import Build, Emulation
-from meadowpulley.emulator.failpoints import STEP_DESCRIPTIONS
+from meadowpulley.emulator.failpoints import Step
 from meadowpulley.interface import Phase
 from meadowpulley.rules import AttemptSent, RequestReceived, ResponseSent
 from tests.stories.fleet_scenario import FleetScenario
@@ -24,6 +24,17 @@
     "are three times slower": "slowness",
 }
 SERVICE_FAULTS = {"discovery": "discovery_down", "the platform": "platform_down", "datagrams": "peers_lost"}
+STEPS = {
+    "a request has come whole, and the decisions are not told yet": Step.BEFORE_REQUEST_DISPATCHED,
+    "a group of steps is about to leave for the ledger": Step.BEFORE_COMMIT_SENT,
+    "the ledger has carried a group out, and its answer has not come back": Step.AFTER_COMMIT_APPLIED,
+    "the ledger's answer has come back, and nobody has looked at it": Step.BEFORE_COMMIT_RESULT_HANDLED,
+    "an attempt is decided, and none of its bytes has gone out": Step.BEFORE_ATTEMPT_SENT,
+    "an attempt has gone out": Step.AFTER_ATTEMPT_SENT,
+    "the end of an attempt has come, and nobody has looked at it": Step.BEFORE_OUTCOME_HANDLED,
+    "a final answer is decided, and none of its bytes has gone out": Step.BEFORE_RESPONSE_SENT,
+    "a final answer has gone out": Step.AFTER_RESPONSE_SENT,
+}
 CLASSES = {"look-ups": "look-up", "bookings": "booking", "transfers": "transfer"}
 
 
@@ -108,9 +119,9 @@
     )
 
 
-def _step(moment: str) -> Any:
+def _step(moment: str) -> Step:
     """The step that a moment in a story's words names."""
-    return {text: step for step, text in STEP_DESCRIPTIONS.items()}[moment.removeprefix("when ")]
+    return STEPS[moment.removeprefix("when ")]
 
 
 # When: servers, discovery, the platform
