--- a/meadowpulley/emulator/attempts.py
+++ b/meadowpulley/emulator/attempts.py
@@ -12,6 +12,7 @@
 
 if TYPE_CHECKING:
     from meadowpulley.emulator.gateway import SimulatedGateway
+    from meadowpulley.emulator.simulated_server import SimulatedServer
 
 RESPONSE_CPU_SHARE = 0.4  # share of a request's CPU spent on its response
 
@@ -29,14 +30,16 @@
         if request is None or gateway.interrupted_at(Step.BEFORE_ATTEMPT_SENT, partial(self.send, action)):
             return
         attempt = self._start(request, action)
-        if attempt.server is None or not self._connect(attempt):
+        if attempt.server is None or not self._connect(attempt, attempt.server):
             self.finish(attempt, Result.CONNECT_FAILED)
 
     def _start(self, request: InFlightRequest, action: Send) -> Attempt:
         """Record a new attempt and set its time-out."""
-        gateway, now = self.gateway, self.gateway.clock.now
+        gateway = self.gateway
         emulation = gateway.emulation
-        number, request.attempt_count = request.attempt_count, request.attempt_count + 1
+        now = gateway.clock.now
+        number = request.attempt_count
+        request.attempt_count += 1
         deadline = request.deadline
         if action.timeout_ms:
             deadline = min(deadline, now + action.timeout_ms)
@@ -52,18 +55,18 @@
             emulation.clock.call_at(deadline, timeout)
         return attempt
 
-    def _connect(self, attempt: Attempt) -> bool:
+    def _connect(self, attempt: Attempt, server: SimulatedServer) -> bool:
         """Transmit an attempt on an idle or a new connection; False where no connection is free."""
-        gateway, connections = self.gateway, self.gateway.connections
-        assert attempt.server is not None
-        new_connection = not connections.take_idle(gateway.clock.now, attempt.server.entry.server)
+        gateway = self.gateway
+        connections = gateway.connections
+        new_connection = not connections.take_idle(gateway.clock.now, server.entry.server)
         if new_connection and not connections.reserve():
             return False
         if new_connection:
             connections.open += 1
             gateway.max_open_connections = max(gateway.max_open_connections, connections.open)
         attempt.connected = True
-        gateway.emulation.transmit(gateway, attempt, new_connection)
+        gateway.emulation.transmit(gateway, attempt, server, new_connection)
         gateway.emulation.failpoints.reached(gateway, Step.AFTER_ATTEMPT_SENT)
         return True
 
@@ -94,7 +97,8 @@
 
     def finish(self, attempt: Attempt, result: Result) -> None:
         """End an attempt with its one outcome, and forward a good response."""
-        gateway, request = self.gateway, attempt.request
+        gateway = self.gateway
+        request = attempt.request
         retry = partial(self.finish, attempt, result)
         if attempt.ended or gateway.interrupted_at(Step.BEFORE_OUTCOME_HANDLED, retry):
             return
@@ -119,8 +123,11 @@
             self.abandon(attempt)
 
     def _dispatch_outcome(self, attempt: Attempt, result: Result) -> None:
-        gateway, request, now = self.gateway, attempt.request, self.gateway.clock.now
-        number, executed = request.client_request.number, result not in NOT_EXECUTED
+        gateway = self.gateway
+        request = attempt.request
+        now = self.gateway.clock.now
+        number = request.client_request.number
+        executed = result not in NOT_EXECUTED
         gateway.emulation.record(AttemptEnded(now, gateway.number, number, attempt.number, executed))
         server = attempt.server.entry.server if attempt.server is not None else -1
         complete = request.finished or result is Result.OK
--- a/meadowpulley/emulator/builds.py
+++ b/meadowpulley/emulator/builds.py
@@ -6,6 +6,8 @@
 
 from meadowpulley.fleet.model import Name, NotNegative, Positive, Share
 
+FAULTY_SLOWDOWN = 1.2  # from this factor on a build counts as faulty
+
 
 class Build(Struct, frozen=True, forbid_unknown_fields=True):
     """A build and its faults, if it has any. `speed` multiplies the machine's speed.
@@ -28,7 +30,8 @@
     @property
     def faulty(self) -> bool:
         """Whether the build fails requests or is at least 20% slower than it should be."""
-        return self.failure_share > 0 or self.work_factor >= 1.2 or self.shared_slowdown >= 1.2
+        slowed = max(self.work_factor, self.shared_slowdown) >= FAULTY_SLOWDOWN
+        return self.failure_share > 0 or slowed
 
     def fault_active(self, age_ms: float, utilisation: float) -> bool:
         """Return whether the fault shows at an age (ms) with this share of slots in use."""
--- a/meadowpulley/emulator/clients.py
+++ b/meadowpulley/emulator/clients.py
@@ -14,6 +14,8 @@
 from meadowpulley.fleet import Fleet
 from meadowpulley.load.arrivals import Arrival
 
+MIN_JITTER = 0.5  # a backoff is multiplied by between this and 1 more
+
 
 class GatewayEndpoint(Protocol):
     """The part of a gateway that clients use."""
@@ -72,15 +74,18 @@
         failover_after_ms: float = 0.0,
         disconnect: Callable[[ClientRequest], None] = lambda request: None,
     ) -> None:
-        self._stable_request_ids, self._failover_after_ms, self._disconnect = (
-            stable_request_ids,
-            failover_after_ms,
-            disconnect,
-        )
-        self._clock, self._rng, self.fleet, self._network = clock, rng, fleet, network
-        self._load, self._gateways_of, self._result = load, gateways_of, result
+        self._stable_request_ids = stable_request_ids
+        self._failover_after_ms = failover_after_ms
+        self._disconnect = disconnect
+        self._clock = clock
+        self._rng = rng
+        self.fleet = fleet
+        self._network = network
+        self._load = load
+        self._gateways_of = gateways_of
+        self._result = result
         self._last_number = 0
-        self._class_indexes = {c.name: n for n, c in enumerate(fleet.classes)}
+        self._class_indexes = {each.name: index for index, each in enumerate(fleet.classes)}
         self._site_indexes = fleet.site_indexes()
         self.arrivals_done = False  # the load is exhausted
         self.open_calls = 0  # calls that have not ended
@@ -120,11 +125,12 @@
             call.first_sent_at + self.fleet.classes[call.class_index].deadline_ms - now,
         )
         request = ClientRequest(number, call, now, now + time_limit_ms, call.request_id)
-        gateways = [g for g in self._gateways_of(call.site)]
+        gateways = self._gateways_of(call.site)
         if time_limit_ms <= 0 or not gateways:
             self._finish(call, None)
             return
-        request.gateway = gateway = gateways[int(self._rng.random() * len(gateways))]
+        gateway = gateways[int(self._rng.random() * len(gateways))]
+        request.gateway = gateway
         self._deliver(lambda: self._arrive_at_gateway(request, gateway))
         self._clock.call_at(request.deadline, lambda: self._deadline_passed(request))
         if self._failover_after_ms and call.requests_sent <= self.fleet.clients.retries:
@@ -186,17 +192,15 @@
             self._retry_or_end(request.call, retry_after_ms, response in ("refused", "broke"))
 
     def _retry_or_end(self, call: ClientCall, retry_after_ms: float, not_executed: bool) -> None:
-        model, request_class = self.fleet.clients, self.fleet.classes[call.class_index]
+        model = self.fleet.clients
+        request_class = self.fleet.classes[call.class_index]
         retry_allowed = not_executed or (model.retries_failed and request_class.effect != "unsafe")
         backoff_ms = model.backoff_ms * 2 ** (call.requests_sent - 1)
         if retry_after_ms and self._rng.random() < model.honours_retry_after:
             backoff_ms = max(backoff_ms, retry_after_ms)
-        backoff_ms *= 0.5 + float(self._rng.random())
-        if (
-            retry_allowed
-            and call.requests_sent <= model.retries
-            and self._clock.now + backoff_ms < call.first_sent_at + request_class.deadline_ms
-        ):
+        backoff_ms *= MIN_JITTER + float(self._rng.random())
+        in_time = self._clock.now + backoff_ms < call.first_sent_at + request_class.deadline_ms
+        if retry_allowed and in_time and call.requests_sent <= model.retries:
             self._result.record_retry(call)
             self._clock.call_later(backoff_ms, lambda: self._send_request(call))
         else:
--- a/meadowpulley/emulator/connection_pool.py
+++ b/meadowpulley/emulator/connection_pool.py
@@ -5,21 +5,24 @@
 from collections import defaultdict
 from collections.abc import Callable
 
+IDLE_TIME_USED = 0.9  # share of the idle time-out after which a connection is not reused
+
 
 class ConnectionPool:
     """Connections of one gateway incarnation. `on_closed(server, count)` reports those that it closes."""
 
     def __init__(self, capacity: int, idle_ms: float, on_closed: Callable[[int, int], None]) -> None:
-        self.capacity, self._idle_ms, self._on_closed = capacity, idle_ms, on_closed
+        self.capacity = capacity
+        self._idle_ms = idle_ms
+        self._on_closed = on_closed
         self.open = 0  # idle or in use
-        self._idle_since: dict[int, list[float]] = defaultdict(
-            list
-        )  # start of idle time of each, by server, newest last
+        # Start of the idle time of each connection, by server, newest last.
+        self._idle_since: dict[int, list[float]] = defaultdict(list)
 
     def take_idle(self, now: float, server: int) -> bool:
         """Take an idle connection to a server into use; False where none is young enough."""
         idle_since = self._idle_since[server]
-        while idle_since and idle_since[0] < now - self._idle_ms * 0.9:
+        while idle_since and idle_since[0] < now - self._idle_ms * IDLE_TIME_USED:
             idle_since.pop(0)
             self.close(server)
         if idle_since:
--- a/meadowpulley/emulator/discovery.py
+++ b/meadowpulley/emulator/discovery.py
@@ -31,7 +31,10 @@
         model: DiscoveryModel,
         notify: Callable[[int, EndpointUpdate], None],
     ) -> None:
-        self._clock, self._rng, self.model, self._notify_gateway = clock, rng, model, notify
+        self._clock = clock
+        self._rng = rng
+        self.model = model
+        self._notify_gateway = notify
         self.on_change: Callable[[], None] = lambda: None  # called after each published change
         self.unavailable = False
         self.extra_delay_ms = 0.0  # added to the usual delay
@@ -40,19 +43,19 @@
         self._listed_at: dict[int, float] = {}  # publication time of each server's latest change
         self._watches: dict[int, _Watch] = {}
         self._stalled_watches: dict[int, _Watch] = {}  # open, but send no updates
-        self.on_presumed_update: Callable[[int, EndpointUpdate], None] = lambda gateway, update: (
-            None
-        )  # called with updates that count as known though not received
+        # Called with updates that count as known though not received.
+        self.on_presumed_update: Callable[[int, EndpointUpdate], None] = lambda gateway, update: None
 
     # Endpoint list
 
     def current_entries(self) -> tuple[ServerEntry, ...]:
         """Return all entries that are not removed."""
-        return tuple(e for _, e in self._entries.values() if e.state is not ServerState.REMOVED)
+        entries = (entry for _, entry in self._entries.values())
+        return tuple(entry for entry in entries if entry.state is not ServerState.REMOVED)
 
     def changes_since(self, version: int) -> tuple[ServerEntry, ...]:
         """Return the entries that changed after a version, removed ones included."""
-        return tuple(e for v, e in self._entries.values() if v > version)
+        return tuple(entry for changed_in, entry in self._entries.values() if changed_in > version)
 
     def add_initial(self, entry: ServerEntry) -> None:
         """List a server that was there before the run."""
@@ -117,8 +120,9 @@
 
     def _presume_known(self, gateway: int, watch: _Watch) -> None:
         """Report missed drains and removals as known. Builds count only from the list that was received."""
-        missed, watch.last_version = self.changes_since(watch.last_version), self.version
-        removals = tuple(e for e in missed if e.state is not ServerState.READY)
+        missed = self.changes_since(watch.last_version)
+        watch.last_version = self.version
+        removals = tuple(entry for entry in missed if entry.state is not ServerState.READY)
         if removals:
             self.on_presumed_update(
                 gateway, EndpointUpdate(EndpointUpdateKind.INCREMENTAL, self.version, removals)
--- a/meadowpulley/emulator/emulation.py
+++ b/meadowpulley/emulator/emulation.py
@@ -40,6 +40,7 @@
 from meadowpulley.rules import KeyAnswered, Record, RuleParameters, TraceChecker
 from meadowpulley.takeover import TakeoverStage
 
+RUN_STEP_MS = 1000.0  # a run ends at a multiple of this
 FAILURE_DETECTION_MS = 1000.0  # until the front end stops sending clients to a crashed gateway
 
 
@@ -61,7 +62,9 @@
         from_ms: float = 0.0,
         shared_state: SharedState | None = None,
     ) -> None:
-        self.build_policy, self._on_record, self.shared_state = build_policy, on_record, shared_state
+        self.build_policy = build_policy
+        self._on_record = on_record
+        self.shared_state = shared_state
         self.failpoints = Failpoints()
         clock = VirtualClock()
         self.virtual_clock = clock
@@ -79,7 +82,7 @@
         self._ledger_observer = LedgerObserver()
         takeover_enabled = shared_state is not None and shared_state.takeover is not None
         gateway_class = TakeoverGateway if takeover_enabled else SimulatedGateway
-        self.gateways = [gateway_class(self, n) for n in range(len(fleet.gateway_sites()))]
+        self.gateways = [gateway_class(self, number) for number in range(len(fleet.gateway_sites()))]
         self.checker = TraceChecker(self._rule_parameters())
         self.clients = self._build_clients(load, takeover_enabled)
         self.discovery.on_presumed_update = self._record_presumed_update
@@ -127,7 +130,7 @@
         policy = self.build_policy(gateway.settings, seed)
         if self.shared_state is None or self.ledger is None or gateway.incarnation is None:
             return policy, []
-        number, incarnation = gateway.number, gateway.incarnation
+        number = gateway.number
 
         def on_admitted(now: float, request: Request) -> None:
             """Record the admission of a request at `now` (ms)."""
@@ -136,9 +139,9 @@
                 self.record(record)
 
         chain = self.chains[number] = StageChain(
-            self.shared_state, gateway.settings, seed, incarnation, policy, on_admitted
+            self.shared_state, gateway.settings, seed, gateway.incarnation, policy, on_admitted
         )
-        gateway.ledger_port = LedgerPort(self.ledger, gateway, incarnation, chain.watched_prefixes)
+        gateway.ledger_port = LedgerPort(self.ledger, gateway, gateway.incarnation, chain.watched_prefixes)
         return chain.lease_manager, chain.lease_manager.start(self.clock.now)
 
     def takeover_of(self, gateway: SimulatedGateway) -> TakeoverStage:
@@ -165,7 +168,7 @@
     def run(self) -> EmulationResult:
         """Play the complete load and wait for all calls to end."""
         while not self.over:
-            self.run_until(self.clock.now + 1000.0)
+            self.run_until(self.clock.now + RUN_STEP_MS)
         return self.finish()
 
     def run_until(self, when: float) -> None:
@@ -175,15 +178,16 @@
     @property
     def over(self) -> bool:
         """Whether the last arrival has come and all calls have ended."""
-        return self.clients.arrivals_done and not self.clients.open_calls and self.clock.now % 1000.0 == 0.0
+        ended = self.clients.arrivals_done and not self.clients.open_calls
+        return ended and self.clock.now % RUN_STEP_MS == 0.0
 
     def finish(self) -> EmulationResult:
         """Complete and return the result."""
         result = self.result
         self.collect_results()
         self.checker.finish(self.clock.now)
-        result.gateways = [g.summary(self.clock.now) for g in self.gateways]
-        result.violations = [str(b) for b in self.checker.violations]
+        result.gateways = [gateway.summary(self.clock.now) for gateway in self.gateways]
+        result.violations = [str(violation) for violation in self.checker.violations]
         result.violation_counts = self.checker.counts
         return result
 
@@ -197,11 +201,12 @@
 
     # Attempts
 
-    def transmit(self, gateway: SimulatedGateway, attempt: Attempt, new_connection: bool) -> None:
+    def transmit(
+        self, gateway: SimulatedGateway, attempt: Attempt, server: SimulatedServer, new_connection: bool
+    ) -> None:
         """Send an attempt to its server, on a new or a reused connection."""
-        server = attempt.server
-        assert server is not None
-        source, destination = gateway.site, server.entry.zone
+        source = gateway.site
+        destination = server.entry.zone
         lost = server.unreachable or not self.network.reachable(source, destination)
         if lost:  # a reused connection stays silent until the gateway's time-out
             if new_connection:
@@ -239,7 +244,8 @@
     def reply(self, tag: Any, server: SimulatedServer, result: AttemptResult) -> None:
         """Send a server's result back to the gateway."""
         gateway, attempt = tag
-        source, destination = server.entry.zone, gateway.site
+        source = server.entry.zone
+        destination = gateway.site
         if self.network.reachable(source, destination):
             self.clock.call_later(
                 self.network.one_way(source, destination),
@@ -248,7 +254,8 @@
 
     def abandon(self, attempt: Attempt) -> None:
         """Cancel an attempt's job at its server where that is possible."""
-        server, job = attempt.server, attempt.job
+        server = attempt.server
+        job = attempt.job
         if server is not None and job is not None:
             self.cancel(server, job)
 
@@ -257,14 +264,9 @@
     def _gateways_of(self, site: int) -> list[GatewayEndpoint]:
         """Return a site's gateways, or all; crashed or paused ones only until the front end notices."""
         now = self.clock.now
-        available = [
-            g
-            for g in self.gateways
-            if not g.draining
-            and (g.alive or now < g.crashed_at + FAILURE_DETECTION_MS)
-            and (not g.paused or now < g.paused_at + FAILURE_DETECTION_MS)
-        ]
-        return [g for g in available if g.site == site] or list(available)
+        available = [gateway for gateway in self.gateways if _appears_available(gateway, now)]
+        at_site = [gateway for gateway in available if gateway.site == site]
+        return list(at_site or available)
 
     def send_endpoint_update(self, gateway: int, update: EndpointUpdate) -> None:
         """Deliver an endpoint update to a gateway."""
@@ -282,7 +284,8 @@
             f"gateway {gateway.number} votes {vote.verdict.name.lower()} on build {vote.build} "
             f"stage {vote.stage}"
         )
-        incarnation, number = gateway.incarnation_count, gateway.number
+        incarnation = gateway.incarnation_count
+        number = gateway.number
         delay_ms = uniform(self._call_delays, self.fleet.rollout.call_ms)
         self.clock.call_later(delay_ms, lambda: self.platform.vote(number, vote))
         if self.platform.unavailable:
@@ -311,6 +314,13 @@
             gateway.dispatch(message)
 
 
+def _appears_available(gateway: SimulatedGateway, now: float) -> bool:
+    """Return whether a front end sends clients to a gateway: it notices a crash or a pause late."""
+    crash_noticed = not gateway.alive and now >= gateway.crashed_at + FAILURE_DETECTION_MS
+    pause_noticed = gateway.paused and now >= gateway.paused_at + FAILURE_DETECTION_MS
+    return not (gateway.draining or crash_noticed or pause_noticed)
+
+
 def emulate(
     fleet: Fleet, load: Iterable[Arrival], seed: int, scenario: Scenario | None = None
 ) -> EmulationResult:
--- a/meadowpulley/emulator/faults.py
+++ b/meadowpulley/emulator/faults.py
@@ -179,7 +179,10 @@
     def __init__(
         self, emulation: Emulation, reason: str, factor: float, servers: list[SimulatedServer]
     ) -> None:
-        self._emulation, self._reason, self._factor, self._servers = emulation, reason, factor, servers
+        self._emulation = emulation
+        self._reason = reason
+        self._factor = factor
+        self._servers = servers
         self._cleared = False
 
     def start(self, draw_length_ms: Callable[[], float]) -> None:
--- a/meadowpulley/emulator/gateway.py
+++ b/meadowpulley/emulator/gateway.py
@@ -56,14 +56,18 @@
 
     def __init__(self, emulation: Emulation, number: int) -> None:
         super().__init__(emulation.clock)
-        self.emulation, self.number = emulation, number
+        self.emulation = emulation
+        self.number = number
         self.group = emulation.fleet.gateway_groups()[number]
         self.site = emulation.fleet.gateway_sites()[number]
         self.settings = emulation.settings_of(number)
-        free = self.group.descriptors - self.group.reserved_descriptors
-        self.client_slots = max(int(free * self.group.client_descriptor_share), 1)
-        self.server_slots = max(free - self.client_slots, 1)
-        self.request_count = self.attempt_count = self.max_open_connections = self.max_in_flight = 0
+        free_descriptors = self.group.descriptors - self.group.reserved_descriptors
+        self.client_slots = max(int(free_descriptors * self.group.client_descriptor_share), 1)
+        self.server_slots = max(free_descriptors - self.client_slots, 1)
+        self.request_count = 0
+        self.attempt_count = 0
+        self.max_open_connections = 0
+        self.max_in_flight = 0
         self.cpu_ms = 0.0
         self.draining = False  # shutting down: the front end sends it no more clients
         self.pipeline: Any = None  # the outermost stage, or the policy itself
@@ -152,7 +156,8 @@
         if self.paused:
             self.emulation.record(GatewayResumed(self.clock.now, self.number))
         super().resume()
-        for request in [h for h in self.in_flight.values() if not h.finished and h.client_request.answered]:
+        abandoned = [request for request in self.in_flight.values() if request.abandoned_by_client]
+        for request in abandoned:
             self._handle_disconnect(request)
 
     def client_disconnected(self, client_request: ClientRequest) -> None:
@@ -180,7 +185,7 @@
             return
         if isinstance(event, EndpointUpdate):
             self.record_endpoints(event)
-            self._known_builds |= {e.server: e.build for e in event.entries}
+            self._known_builds |= {entry.server: entry.build for entry in event.entries}
         self.run_actions(self.pipeline.handle(self.clock.now, event), self.execute)
 
     def execute(self, action: Any) -> None:
@@ -262,10 +267,10 @@
         self.dispatch(self._request_event(request))
 
     def _request_event(self, request: InFlightRequest) -> Any:
-        call, request_number = request.client_request.call, request.client_request.number
+        call = request.client_request.call
         tenant = self.emulation.tenant_of(call.arrival.key)
         return Request(
-            request_number,
+            request.client_request.number,
             call.class_index,
             tenant,
             call.arrival.key,
--- a/meadowpulley/emulator/gateway_services.py
+++ b/meadowpulley/emulator/gateway_services.py
@@ -48,7 +48,8 @@
     """Carries out the actions of one gateway on the services around it."""
 
     def __init__(self, gateway: SimulatedGateway) -> None:
-        self.gateway, self.emulation = gateway, gateway.emulation
+        self.gateway = gateway
+        self.emulation = gateway.emulation
 
     def vote(self, vote: Vote) -> None:
         """Send a vote to the platform."""
--- a/meadowpulley/emulator/ledger.py
+++ b/meadowpulley/emulator/ledger.py
@@ -46,6 +46,8 @@
     "gone": "ledger: its directory is gone: bring it back",
 }
 _WRITE_FAULTS = ("full", "read-only", "gone")
+_NO_RESPONSE_FAULTS = ("cut", "unheard")
+_NO_RESPONSE_MESSAGE = "ledger: it does not answer"
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,12 +67,13 @@
     """The store, and its faults for all gateways or for single ones."""
 
     def __init__(self, clock: Timeline, rng: np.random.Generator, model: LedgerModel) -> None:
-        self.clock, self._rng, self.model = clock, rng, model
+        self.clock = clock
+        self._rng = rng
+        self.model = model
         self.store = MemoryStore()
         self.operations: Counter[str] = Counter()
-        self.on_commit: Callable[[Incarnation, Transaction], None] = lambda incarnation, step: (
-            None
-        )  # called with each committed transaction
+        # Called with each committed transaction.
+        self.on_commit: Callable[[Incarnation, Transaction], None] = lambda incarnation, transaction: None
         self._faults: dict[int | None, LedgerFault] = {}
 
     def set_fault(self, fault: LedgerFault | None, gateway: int | None = None) -> None:
@@ -101,7 +104,7 @@
         """Register a new incarnation of a gateway. Raises `LedgerError` where that is not possible now."""
         fault = self.fault_of(gateway)
         if fault not in (None, "slow"):
-            raise LedgerError(_FAULT_MESSAGES.get(str(fault), "ledger: it does not answer"))
+            raise LedgerError(_FAULT_MESSAGES.get(str(fault), _NO_RESPONSE_MESSAGE))
         self.operations["begin"] += 1
         return self.store.register(f"g{gateway}", self.model.lease_ms)
 
@@ -110,19 +113,19 @@
         if self.model.single_host:
             self.store.dead_incarnations.add(incarnation)
 
-    def commit(self, gateway: int, incarnation: Incarnation, group: CommitBatch) -> list[CommitCompleted]:
+    def commit(self, gateway: int, incarnation: Incarnation, batch: CommitBatch) -> list[CommitCompleted]:
         """Apply a batch of transactions. Raises `LedgerError` where the store cannot be written."""
         fault = self.fault_of(gateway)
         if fault in _WRITE_FAULTS:
             raise LedgerError(_FAULT_MESSAGES[str(fault)])
-        steps = group.transactions
+        transactions = batch.transactions
         self.operations["groups"] += 1
-        self.operations["steps"] += len(steps)
-        results = self.store.commit(incarnation, steps)
-        for step, result in zip(steps, results, strict=True):
+        self.operations["steps"] += len(transactions)
+        results = self.store.commit(incarnation, transactions)
+        for transaction, result in zip(transactions, results, strict=True):
             if result.outcome is TransactionOutcome.COMMITTED:
-                self.on_commit(incarnation, step)
-        return group.completions(results)
+                self.on_commit(incarnation, transaction)
+        return batch.completions(results)
 
     def scan(self, gateway: int, prefix: str) -> tuple[Record, ...]:
         """Return all records under a prefix. Raises `LedgerError` where the store cannot be read."""
@@ -149,7 +152,7 @@
 class _OutstandingCommit:
     """A batch on its way to the ledger and back."""
 
-    group: CommitBatch
+    batch: CommitBatch
     finished: bool = False
     results: list[CommitCompleted] = field(default_factory=list)
 
@@ -164,12 +167,10 @@
         incarnation: Incarnation,
         watched_prefixes: Callable[[], tuple[str, ...]],
     ) -> None:
-        self.ledger, self.incarnation, self._gateway, self._watched_prefixes = (
-            ledger,
-            incarnation,
-            gateway,
-            watched_prefixes,
-        )
+        self.ledger = ledger
+        self.incarnation = incarnation
+        self._gateway = gateway
+        self._watched_prefixes = watched_prefixes
         self._prefixes: tuple[str, ...] = ()
         self.disconnected = False
         self.watched_members: tuple[str, ...] | None = ()  # members whose renewals are reported; None: all
@@ -193,21 +194,24 @@
     def _send(self) -> None:
         if self._outstanding is not None or self._gateway.interrupted_at(Step.BEFORE_COMMIT_SENT, self._send):
             return
-        group = self._pending_commits.next_batch()
-        if group is None:
+        batch = self._pending_commits.next_batch()
+        if batch is None:
             return
-        commit = self._outstanding = _OutstandingCommit(group)
-        gateway_number, ledger = self._gateway.number, self.ledger
+        commit = _OutstandingCommit(batch)
+        self._outstanding = commit
+        gateway_number = self._gateway.number
+        ledger = self.ledger
         if ledger.fault_of(gateway_number) != "cut":
             # Also where the gateway crashes: a batch that was sent is applied.
             ledger.clock.call_later(ledger.delay(gateway_number), lambda: self._apply(commit))
         self._call_later(ledger.model.timeout_ms, lambda: self._timed_out(commit))
 
     def _apply(self, commit: _OutstandingCommit) -> None:
-        gateway_number, ledger = self._gateway.number, self.ledger
+        gateway_number = self._gateway.number
+        ledger = self.ledger
         fault = ""
         try:
-            commit.results = ledger.commit(gateway_number, self.incarnation, commit.group)
+            commit.results = ledger.commit(gateway_number, self.incarnation, commit.batch)
         except LedgerError as error:
             fault = str(error)
         if ledger.fault_of(gateway_number) != "unheard":
@@ -227,19 +231,21 @@
         elif self.disconnected:
             self.disconnected = False
             self._gateway.dispatch(LedgerRecovered())
-        for result in commit.group.unknown_completions() if fault else commit.results:
+        results = commit.batch.unknown_completions() if fault else commit.results
+        for result in results:
             self._gateway.dispatch(result)
 
     def _timed_out(self, commit: _OutstandingCommit) -> None:
         if commit.finished:
             return
         self._finish(commit)
-        self._report_lost("ledger: it does not answer")
-        for result in commit.group.unknown_completions():
+        self._report_lost(_NO_RESPONSE_MESSAGE)
+        for result in commit.batch.unknown_completions():
             self._gateway.dispatch(result)
 
     def _finish(self, commit: _OutstandingCommit) -> None:
-        commit.finished, self._outstanding = True, None
+        commit.finished = True
+        self._outstanding = None
         if len(self._pending_commits):
             self._call_later(0.0, self._send)
 
@@ -252,7 +258,8 @@
 
     def scan(self, action: Scan) -> None:
         """Read all records under a prefix and dispatch the result."""
-        gateway_number, ledger = self._gateway.number, self.ledger
+        gateway_number = self._gateway.number
+        ledger = self.ledger
         result = ScanCompleted(action.ticket, None, action.owner)
 
         def read() -> None:
@@ -263,15 +270,16 @@
                     action.ticket, ledger.scan(gateway_number, action.prefix), action.owner
                 )
 
-        unreachable = ledger.fault_of(gateway_number) in ("cut", "unheard")
+        unreachable = ledger.fault_of(gateway_number) in _NO_RESPONSE_FAULTS
         if not unreachable:
             self._call_later(ledger.delay(gateway_number), read)
         wait_ms = ledger.model.timeout_ms if unreachable else 2.0 * ledger.delay(gateway_number)
         self._call_later(wait_ms, lambda: self._gateway.dispatch(result))
 
     def _poll(self) -> None:
-        gateway_number, ledger = self._gateway.number, self.ledger
-        if ledger.fault_of(gateway_number) in ("cut", "unheard"):
+        gateway_number = self._gateway.number
+        ledger = self.ledger
+        if ledger.fault_of(gateway_number) in _NO_RESPONSE_FAULTS:
             self._call_later(ledger.model.poll_ms, self._poll)
         else:
             started_at = ledger.clock.now
@@ -279,10 +287,12 @@
 
     def _read_changes(self, started_at: float) -> None:
         """Read the changes and schedule the next poll."""
-        gateway_number, ledger = self._gateway.number, self.ledger
+        gateway_number = self._gateway.number
+        ledger = self.ledger
         prefixes = self._watched_prefixes()
         if prefixes != self._prefixes:  # read everything under the new prefixes
-            self._prefixes, self._version = prefixes, 0
+            self._prefixes = prefixes
+            self._version = 0
         try:
             changes = ledger.changes(gateway_number, self._version, prefixes, self.watched_members)
         except LedgerError as error:
--- a/meadowpulley/emulator/ledger_observer.py
+++ b/meadowpulley/emulator/ledger_observer.py
@@ -56,7 +56,8 @@
             work = decode_request_record(value)
         except RecordError:
             return []
-        previous, gateway = self._known_records.get(request_id), gateway_number(incarnation)
+        previous = self._known_records.get(request_id)
+        gateway = gateway_number(incarnation)
         self._known_records[request_id] = _KnownRecord(incarnation, work.state)
         records: list[Record] = []
         if previous is None or previous.state is RequestState.REJECTED:
--- a/meadowpulley/emulator/machine.py
+++ b/meadowpulley/emulator/machine.py
@@ -67,8 +67,12 @@
         speed: float = 1.0,
         warmed_up: bool = False,
     ) -> None:
-        self.kind, self.rules, self.keys = kind, rules, keys
-        self.started_at, self.speed, self.warmed_up = started_at, kind.speed * speed, warmed_up
+        self.kind = kind
+        self.rules = rules
+        self.keys = keys
+        self.started_at = started_at
+        self.speed = kind.speed * speed
+        self.warmed_up = warmed_up
         self.slowness = 1.0  # factor of faults on the service time
         self.draining = self.down = self.overloaded = self.frozen = False
         self.lost_jobs: list[Job] = []  # jobs lost in an overload
@@ -81,13 +85,11 @@
         self._service_attained = 0.0  # standard-core milliseconds per running request since the start
         self._completions: list[tuple[float, int, Job]] = []
         self._completed: list[CompletedJob] = []
-        self._recent_work: deque[tuple[float, float]] = (
-            deque()
-        )  # work offered within the overload window, during slow start
+        # Time and work (ms) of requests offered within the overload window, during slow start.
+        self._recent_work: deque[tuple[float, float]] = deque()
         self._recent_work_ms = 0.0
-        self._remembered_keys: OrderedDict[int, float] = (
-            OrderedDict()
-        )  # remembered keys with the time of their latest request
+        # Remembered keys with the time of their latest request.
+        self._remembered_keys: OrderedDict[int, float] = OrderedDict()
 
     @property
     def advanced_to(self) -> float:
@@ -107,13 +109,10 @@
         """Integrate the slow-start fraction: linear during slow start, 1 afterwards."""
         warm_at = -math.inf if self.warmed_up else self.started_at + self.kind.slow_start_ms
         slow_start_end = min(max(warm_at, start), end)
-        slow_start_ms = (
-            (slow_start_end - start)
-            * (self.slow_start_fraction(start) + self.slow_start_fraction(slow_start_end))
-            / 2
-            if slow_start_end > start
-            else 0.0
-        )
+        slow_start_ms = 0.0
+        if slow_start_end > start:
+            fractions = self.slow_start_fraction(start) + self.slow_start_fraction(slow_start_end)
+            slow_start_ms = (slow_start_end - start) * fractions / 2
         return slow_start_ms + end - slow_start_end
 
     def _time_of_warm_equivalent(self, start: float, amount: float) -> float:
@@ -124,10 +123,8 @@
         slow_start_ms = self._warm_equivalent_ms(start, warm_at)
         if amount >= slow_start_ms:
             return warm_at + amount - slow_start_ms
-        slope, base = (
-            (1 - self.kind.slow_start_from) / self.kind.slow_start_ms,
-            self.slow_start_fraction(start),
-        )
+        slope = (1 - self.kind.slow_start_from) / self.kind.slow_start_ms
+        base = self.slow_start_fraction(start)
         if slope <= 0:
             return start + amount / base
         return start + (math.sqrt(base * base + 2 * slope * amount) - base) / slope
@@ -136,7 +133,8 @@
 
     def _service_rate(self) -> float:
         """Return the standard-core milliseconds that each running request attains in a warm millisecond."""
-        running, cores = len(self.running), self.kind.cores
+        running = len(self.running)
+        cores = self.kind.cores
         if not running or self.frozen:
             return 0.0
         crowding = max(running / cores - self.kind.thrash_at, 0.0)
@@ -145,7 +143,8 @@
     def _serve_until(self, until: float) -> None:
         if until <= self._now:
             return
-        rate, running = self._service_rate(), len(self.running)
+        rate = self._service_rate()
+        running = len(self.running)
         if rate > 0:
             gained = rate * self._warm_equivalent_ms(self._now, until)
             self._service_attained += gained
@@ -175,7 +174,8 @@
             self._completed.append(CompletedJob(job, end, True))
             self._start_queued()
         self._serve_until(now)
-        completed, self._completed = self._completed, []
+        completed = self._completed
+        self._completed = []
         return completed
 
     def _start_queued(self) -> None:
@@ -198,7 +198,8 @@
             self._remembered_keys.move_to_end(job.key)
             if len(self._remembered_keys) > self.keys.max_remembered:
                 self._remembered_keys.popitem(last=False)
-        job.started_at, job.finish_service = self._now, self._service_attained + work
+        job.started_at = self._now
+        job.finish_service = self._service_attained + work
         self.running.add(job)
         heapq.heappush(self._completions, (job.finish_service, job.number, job))
 
@@ -247,13 +248,13 @@
     def stop(self) -> list[Job]:
         """Stop the process and return the jobs that are lost with it."""
         self.down = True
-        lost = [j for j in [*self.running, *self.queued] if not j.dropped]
+        lost = [job for job in [*self.running, *self.queued] if not job.dropped]
         for job in lost:
             job.dropped = True
         self.running.clear()
         self.queued.clear()
         self._completions.clear()
-        return sorted(lost, key=lambda j: j.number)
+        return sorted(lost, key=lambda job: job.number)
 
     # Overload
 
--- a/meadowpulley/emulator/network.py
+++ b/meadowpulley/emulator/network.py
@@ -5,14 +5,15 @@
 import numpy as np
 
 from meadowpulley.emulator.clock import uniform
-from meadowpulley.fleet import NetworkModel as Figures
+from meadowpulley.fleet import NetworkModel
 
 
 class SimulatedNetwork:
     """One-way delays in milliseconds. A partitioned site exchanges nothing with other sites."""
 
-    def __init__(self, model: Figures, rng: np.random.Generator) -> None:
-        self.model, self._rng = model, rng
+    def __init__(self, model: NetworkModel, rng: np.random.Generator) -> None:
+        self.model = model
+        self._rng = rng
         self.partitioned_sites: set[int] = set()
         self.extra_gossip_loss = 0.0  # share of datagrams lost by a fault
 
@@ -43,8 +44,6 @@
     def gossip_delay(self, source: int, destination: int) -> float | None:
         """Draw the delay of a datagram between gateways; None where it is lost."""
         lost = self._rng.random() < max(self.model.gossip_loss, self.extra_gossip_loss)
-        return (
-            None
-            if lost or not self.reachable(source, destination)
-            else uniform(self._rng, self.model.gossip_delay_ms)
-        )
+        if lost or not self.reachable(source, destination):
+            return None
+        return uniform(self._rng, self.model.gossip_delay_ms)
--- a/meadowpulley/emulator/platform.py
+++ b/meadowpulley/emulator/platform.py
@@ -14,6 +14,13 @@
 from meadowpulley.fleet import RolloutModel
 from meadowpulley.interface import Phase, Result, RolloutUpdate, Verdict, Vote
 
+STAGED_VERDICTS = (Verdict.ADVANCE, Verdict.HOLD)  # verdicts on a stage; a rollback is on the build
+VOTING_PHASES = (Phase.TRIAL, Phase.RELEASED)
+COUNTED_WHILE_UNAVAILABLE = 0.5  # share of the votes that count although their replies are lost
+VOTE_RATE_WINDOW_MS = 1000.0  # `votes_per_s` limits the calls within it
+HELD_STAGE_RETRY_MS = 500.0  # interval of checks whether enough gateways still hold an overdue stage
+MAX_STATE_AGE_MS = 3_600_000.0  # the age of the first state, which has no start, is reported as this
+
 
 class ServerControl(Protocol):
     """Operations of the platform on the servers."""
@@ -39,6 +46,20 @@
     since: float
 
 
+@dataclass(frozen=True, slots=True)
+class _CountedVote:
+    """A vote that counts until `expires_at` (ms)."""
+
+    vote: Vote
+    expires_at: float
+
+    def supports(self, verdict: Verdict, state: RolloutState, now: float) -> bool:
+        vote = self.vote
+        if vote.verdict is not verdict or vote.build != state.build or self.expires_at < now:
+            return False
+        return verdict not in STAGED_VERDICTS or vote.stage == state.stage
+
+
 class RolloutPlatform:
     """Controls the rollout on `servers`; `notify(gateway, update)` delivers updates."""
 
@@ -52,19 +73,21 @@
         servers: ServerControl,
         notify: Callable[[int, RolloutUpdate], None],
     ) -> None:
-        self._clock, self._rng, self.model, self.server_count = clock, rng, model, server_count
-        self._servers, self._notify_gateway = servers, notify
+        self._clock = clock
+        self._rng = rng
+        self.model = model
+        self.server_count = server_count
+        self._servers = servers
+        self._notify_gateway = notify
         last_stage = len(model.stages) - 1
         self.state = RolloutState(first_build.number, last_stage, Phase.RELEASED, 1.0, -math.inf)
         self.history: list[RolloutState] = []
         self.unavailable = False
         self.extra_delay_ms = 0.0
         self.gateways: set[int] = set()  # subscribed gateways
-        self._newest_build, self._previous_build = (
-            first_build,
-            first_build,
-        )  # newest build, and the one released before it
-        self._votes: dict[int, tuple[Verdict, int, int, float]] = {}  # verdict, build, stage, expiry
+        self._newest_build = first_build
+        self._previous_build = first_build  # the one released before the newest
+        self._votes: dict[int, _CountedVote] = {}  # the latest of each gateway
         self._recent_calls: list[float] = []
         self._last_delivery_at: dict[int, float] = {}
         self._pending_build: Build | None = None
@@ -89,9 +112,8 @@
 
     def _start_stage(self, stage: int) -> None:
         share = self.model.stages[stage]
-        count = math.ceil(share * self.server_count) - (
-            math.ceil(self.model.stages[stage - 1] * self.server_count) if stage else 0
-        )
+        started = math.ceil(self.model.stages[stage - 1] * self.server_count) if stage else 0
+        count = math.ceil(share * self.server_count) - started
         self._servers.start_servers(self._newest_build, count, self.model.style == "in_place")
         if self.model.gate == "timer":
             self._clock.call_later(self.model.stage_time_ms, self.evaluate)
@@ -113,7 +135,8 @@
         self._servers.drain_builds(lambda number: number < newest)
 
     def _roll_back(self) -> None:
-        faulty, previous = self._newest_build.number, self._previous_build
+        faulty = self._newest_build.number
+        previous = self._previous_build
         missing = self.server_count - self._servers.serving_count(previous.number)
         released = self.state.phase is Phase.RELEASED or self.model.style == "in_place"
         self._votes.clear()
@@ -140,11 +163,11 @@
     def vote(self, gateway: int, vote: Vote) -> None:
         """Handle a vote; the reply comes as a rollout update."""
         if self.unavailable:
-            if self._rng.random() < 0.5:  # the reply is lost, but the vote counts
+            if self._rng.random() < COUNTED_WHILE_UNAVAILABLE:  # the reply is lost, but the vote counts
                 self._count_vote(gateway, vote)
             return
         now = self._clock.now
-        self._recent_calls = [at for at in self._recent_calls if at > now - 1000.0]
+        self._recent_calls = [at for at in self._recent_calls if at > now - VOTE_RATE_WINDOW_MS]
         if len(self._recent_calls) >= self.model.votes_per_s:
             self._reply_to_vote(gateway, Result.REJECTED)
             return
@@ -153,54 +176,52 @@
 
     def _count_vote(self, gateway: int, vote: Vote) -> Result:
         state = self.state
-        staged = vote.verdict in (Verdict.ADVANCE, Verdict.HOLD)
-        fits = vote.build == state.build and (not staged or vote.stage == state.stage)
-        if not fits or state.phase not in (Phase.TRIAL, Phase.RELEASED):
+        staged = vote.verdict in STAGED_VERDICTS
+        is_current = vote.build == state.build and (not staged or vote.stage == state.stage)
+        if not is_current or state.phase not in VOTING_PHASES:
             return Result.NOT_SENT
-        self._votes[gateway] = (
-            vote.verdict,
-            vote.build,
-            vote.stage,
-            self._clock.now + self.model.vote_ttl_ms,
-        )
+        self._votes[gateway] = _CountedVote(vote, self._clock.now + self.model.vote_ttl_ms)
         self.evaluate()
         return Result.OK
 
     def _valid_votes(self, verdict: Verdict) -> int:
-        now, state = self._clock.now, self.state
-        staged = verdict in (Verdict.ADVANCE, Verdict.HOLD)
-        return sum(
-            v is verdict and build == state.build and (not staged or stage == state.stage) and until >= now
-            for v, build, stage, until in self._votes.values()
-        )
+        now = self._clock.now
+        state = self.state
+        return sum(counted.supports(verdict, state, now) for counted in self._votes.values())
 
     def evaluate(self) -> None:
         """Advance or roll back the build where votes or time require it."""
-        state, model, now = self.state, self.model, self._clock.now
-        if self.unavailable or state.phase not in (Phase.TRIAL, Phase.RELEASED):
+        state = self.state
+        model = self.model
+        if self.unavailable or state.phase not in VOTING_PHASES:
             return
-        if (
-            self._valid_votes(Verdict.ROLL_BACK) >= model.rollback_votes
-            and self._previous_build is not self._newest_build
-        ):
+        can_roll_back = self._previous_build is not self._newest_build
+        if can_roll_back and self._valid_votes(Verdict.ROLL_BACK) >= model.rollback_votes:
             self._roll_back()
+        elif state.phase is not Phase.TRIAL:
             return
-        if state.phase is not Phase.TRIAL:
-            return
-        ready_at = state.since + model.soak_ms
-        if model.gate == "timer":
-            stage_time_over = now >= state.since + model.stage_time_ms
-            if stage_time_over and not (
-                model.hold_votes and self._valid_votes(Verdict.HOLD) >= model.hold_votes
-            ):
-                self._advance()
-            elif stage_time_over:
-                self._clock.call_later(500.0, self.evaluate)
+        elif model.gate == "timer":
+            self._advance_by_time()
         elif self._valid_votes(Verdict.ADVANCE) >= model.advance_votes:
-            if now >= ready_at:
-                self._advance()
-            else:
-                self._clock.call_at(ready_at, self.evaluate)
+            self._advance_after_soak()
+
+    def _advance_by_time(self) -> None:
+        """Advance once the stage's time is over, unless enough gateways hold it."""
+        model = self.model
+        if self._clock.now < self.state.since + model.stage_time_ms:
+            return
+        if model.hold_votes and self._valid_votes(Verdict.HOLD) >= model.hold_votes:
+            self._clock.call_later(HELD_STAGE_RETRY_MS, self.evaluate)
+        else:
+            self._advance()
+
+    def _advance_after_soak(self) -> None:
+        """Advance a stage that has enough votes, no sooner than after its soak time."""
+        ready_at = self.state.since + self.model.soak_ms
+        if self._clock.now >= ready_at:
+            self._advance()
+        else:
+            self._clock.call_at(ready_at, self.evaluate)
 
     # Updates
 
@@ -216,7 +237,7 @@
     def current_update(self, result: Result = Result.OK, is_vote_reply: bool = False) -> RolloutUpdate:
         """Return an update with the current state."""
         state = self.state
-        age_ms = min(self._clock.now - state.since, 3_600_000.0)
+        age_ms = min(self._clock.now - state.since, MAX_STATE_AGE_MS)
         return RolloutUpdate(state.build, state.stage, state.phase, state.cap, age_ms, result, is_vote_reply)
 
     def _reply_to_vote(self, gateway: int, result: Result) -> None:
@@ -264,7 +285,8 @@
     def recover(self) -> None:
         """Make the platform available again and continue with a build offered meanwhile."""
         self.unavailable = False
-        pending, self._pending_build = self._pending_build, None
+        pending = self._pending_build
+        self._pending_build = None
         if pending is not None:
             self.offer(pending)
         self.evaluate()
--- a/meadowpulley/emulator/process.py
+++ b/meadowpulley/emulator/process.py
@@ -15,8 +15,10 @@
 
     def __init__(self, clock: Timeline) -> None:
         self.clock = clock
-        self.alive = self.paused = False
-        self.crashed_at = self.paused_at = -math.inf
+        self.alive = False
+        self.paused = False
+        self.crashed_at = -math.inf
+        self.paused_at = -math.inf
         self.incarnation_count = 0
         self._unfinished: list[Callable[[], None]] = []  # rest of the turn that a pause interrupted
         self._deferred: list[Callable[[], None]] = []
@@ -24,13 +26,16 @@
     def begin_incarnation(self) -> None:
         """Start a new incarnation."""
         self.incarnation_count += 1
-        self.alive, self.paused = True, False
+        self.alive = True
+        self.paused = False
 
     def end_incarnation(self) -> None:
         """End the incarnation; deferred work is lost."""
-        self.alive = self.paused = False
+        self.alive = False
+        self.paused = False
         self.crashed_at = self.clock.now
-        self._unfinished, self._deferred = [], []
+        self._unfinished = []
+        self._deferred = []
 
     def in_this_incarnation(self, callback: Callable[[], None]) -> Callable[[], None]:
         """Wrap a callback so that it runs only in this incarnation, and not while paused."""
@@ -63,7 +68,8 @@
     def pause(self) -> None:
         """Suspend the process."""
         if self.alive and not self.paused:
-            self.paused, self.paused_at = True, self.clock.now
+            self.paused = True
+            self.paused_at = self.clock.now
 
     def resume(self) -> None:
         """Finish the interrupted turn, then handle what came in meanwhile, in order."""
@@ -71,6 +77,7 @@
             return
         self.paused = False
         waiting = [*self._unfinished, *self._deferred]
-        self._unfinished, self._deferred = [], []
+        self._unfinished = []
+        self._deferred = []
         for callback in waiting:
             self.in_this_incarnation(callback)()
--- a/meadowpulley/emulator/requests.py
+++ b/meadowpulley/emulator/requests.py
@@ -14,11 +14,8 @@
     from meadowpulley.emulator.simulated_server import SimulatedServer
 
 NOT_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
-CONNECTION_REUSABLE = (
-    Result.OK,
-    Result.ERROR,
-    Result.REJECTED,
-)  # results after which the connection can be reused
+# Results after which the connection can be reused.
+CONNECTION_REUSABLE = (Result.OK, Result.ERROR, Result.REJECTED)
 
 
 @dataclass(slots=True, eq=False)
@@ -46,12 +43,18 @@
     finished: bool = False  # has its final response; attempts may still be outstanding
     outstanding_attempts: dict[int, Attempt] = field(default_factory=dict)
 
+    @property
+    def abandoned_by_client(self) -> bool:
+        """Whether the client disconnected or gave up before the final response."""
+        return not self.finished and self.client_request.answered
+
 
 def endpoint_records(
     now: float, gateway: int, known_servers: set[int], event: EndpointUpdate
 ) -> list[EndpointListed]:
     """Return the trace records of an endpoint update and bring `known_servers` up to date with it."""
-    listed, records = {e.server for e in event.entries}, list[EndpointListed]()
+    listed = {entry.server for entry in event.entries}
+    records: list[EndpointListed] = []
     if event.kind is not EndpointUpdateKind.INCREMENTAL:
         records = [
             EndpointListed(now, gateway, server, "gone", 0) for server in sorted(known_servers - listed)
@@ -59,7 +62,9 @@
         known_servers.clear()
     known_servers |= listed
     records += [
-        EndpointListed(now, gateway, e.server, STATE_NAMES[e.state], e.build, e.cell, e.zone)
-        for e in event.entries
+        EndpointListed(
+            now, gateway, entry.server, STATE_NAMES[entry.state], entry.build, entry.cell, entry.zone
+        )
+        for entry in event.entries
     ]
     return records
--- a/meadowpulley/emulator/results.py
+++ b/meadowpulley/emulator/results.py
@@ -125,7 +125,8 @@
     """
 
     def __init__(self, fleet: Fleet, from_ms: float = 0.0) -> None:
-        self.fleet, self.from_ms = fleet, from_ms
+        self.fleet = fleet
+        self.from_ms = from_ms
         self.classes = [ClassResult(c.name) for c in fleet.classes]
         self._uncounted = ClassResult("")
         self.seconds: list[SecondResult] = []
@@ -151,7 +152,8 @@
 
     def record_call(self, call: ClientCall) -> None:
         """Count a new call."""
-        class_result, weight = self._class_result(call), self.fleet.classes[call.class_index].priority_weight
+        class_result = self._class_result(call)
+        weight = self.fleet.classes[call.class_index].priority_weight
         class_result.calls += 1
         class_result.weight_offered += weight
         second = self.second(call.first_sent_at)
@@ -168,7 +170,8 @@
 
     def record_rejection_or_failure(self, call: ClientCall, rejected: bool) -> None:
         """Count a call that ended as rejected or failed."""
-        class_result, second = self._class_result(call), self.second(call.first_sent_at)
+        class_result = self._class_result(call)
+        second = self.second(call.first_sent_at)
         class_result.rejected += rejected
         class_result.failed += not rejected
         second.rejected += rejected
@@ -178,11 +181,9 @@
         """Count a served call and its latency; None is a call that ended without a response."""
         if took_ms is None:
             return
-        request_class, class_result, second = (
-            self.fleet.classes[call.class_index],
-            self._class_result(call),
-            self.second(call.first_sent_at),
-        )
+        request_class = self.fleet.classes[call.class_index]
+        class_result = self._class_result(call)
+        second = self.second(call.first_sent_at)
         class_result.latency.record_value(max(int(took_ms * 1000), 1))
         within_objective = took_ms <= request_class.latency_objective_ms
         weight = (
@@ -209,7 +210,9 @@
     def record_stage(self, since: float, build: int, stage: int, phase: str) -> None:
         """Note the state of the rollout for all seconds from a time in milliseconds on."""
         for second in self.seconds[max(int(since // 1000), 0) :]:
-            second.build, second.stage, second.phase = build, stage, phase
+            second.build = build
+            second.stage = stage
+            second.phase = phase
 
     # Totals
 
@@ -234,7 +237,8 @@
         available: Counter[str] = Counter()
         used: Counter[str] = Counter()
         for server in self.servers:
-            name, cores = getattr(server, dimension), self.fleet.kind(server.kind).cores
+            name = getattr(server, dimension)
+            cores = self.fleet.kind(server.kind).cores
             available[name] += server.up_ms * cores  # type: ignore[assignment]
             used[name] += server.up_ms * cores * server.utilisation  # type: ignore[assignment]
         return {name: used[name] / available[name] if available[name] else 0.0 for name in sorted(available)}
--- a/meadowpulley/emulator/scenario.py
+++ b/meadowpulley/emulator/scenario.py
@@ -71,8 +71,10 @@
 
 def check_scenario(scenario: Scenario, file_name: str, fleet: Fleet) -> None:
     """Check a scenario against its fleet. Raises `FleetError`."""
-    sites, classes = [s.name for s in fleet.sites], [c.name for c in fleet.classes]
-    last_build, last_at = scenario.first_build, -1.0
+    sites = [s.name for s in fleet.sites]
+    classes = [c.name for c in fleet.classes]
+    last_build = scenario.first_build
+    last_at = -1.0
     for index, release in enumerate(scenario.releases):
         path = f"{file_name}: releases[{index}]"
         if release.build.number <= last_build:
@@ -89,7 +91,8 @@
                 f"{path}.build.fails_class: '{release.build.failing_class}' is no class; "
                 f"known are {known_classes}"
             )
-        last_build, last_at = release.build.number, release.at_ms
+        last_build = release.build.number
+        last_at = release.at_ms
     for index, fault in enumerate(scenario.faults):
         path = f"{file_name}: faults[{index}]"
         if fault.site is not None and fault.site not in sites:
--- a/meadowpulley/emulator/server_fleet.py
+++ b/meadowpulley/emulator/server_fleet.py
@@ -46,7 +46,10 @@
         streams: RandomStreams,
         result: EmulationResult,
     ) -> None:
-        self.fleet, self.scenario, self.clock, self.streams = fleet, scenario, clock, streams
+        self.fleet = fleet
+        self.scenario = scenario
+        self.clock = clock
+        self.streams = streams
         self.result = result
         self.shared_slowness = 1.0
         self._rng = streams.stream("servers")
@@ -128,7 +131,8 @@
 
     def collect_results(self) -> None:
         """Fill the result with the servers' figures."""
-        result, now = self.result, self.clock.now
+        result = self.result
+        now = self.clock.now
         result.elapsed_ms = now
         for server in [*self.stopped_servers, *self.servers.values()]:
             if server.up:
@@ -222,7 +226,9 @@
         """Take a machine away without notice: open connections do not respond until discovery notices."""
         self._finish_jobs(server)
         server.machine.stop()
-        server.up, server.unreachable, server.absent = False, True, True
+        server.up = False
+        server.unreachable = True
+        server.absent = True
         self.server_stopped(server)
         self.discovery.schedule_change(replace(server.entry, state=ServerState.REMOVED))
 
@@ -230,7 +236,8 @@
         """End a server's process: connections break and new ones are refused until discovery notices."""
         self._finish_jobs(server)
         self._reset_jobs(server, server.machine.stop())
-        server.up, server.absent = False, True
+        server.up = False
+        server.absent = True
         self.server_stopped(server)
         self.discovery.schedule_change(replace(server.entry, state=ServerState.REMOVED))
 
@@ -245,7 +252,10 @@
         kind = self.fleet.kinds[server.entry.kind]
         server.machine = Machine(kind, self.fleet.rules, self.fleet.keys, now, server.build.speed)
         server.entry = replace(server.entry, started_ms=now)
-        server.started_at, server.up, server.unreachable, server.absent = now, True, False, False
+        server.started_at = now
+        server.up = True
+        server.unreachable = False
+        server.absent = False
         server.served = server.rejected = 0
         server.wakeup_at = float("inf")
         server.machine.set_slowness(server.combined_slowdown)
@@ -340,7 +350,8 @@
             self._schedule_wakeup(server)
 
     def _work_of(self, server: SimulatedServer, work_ms: float, new_connection: bool) -> float:
-        build, kind = server.build, self.fleet.kinds[server.entry.kind]
+        build = server.build
+        kind = self.fleet.kinds[server.entry.kind]
         if build.work_factor != 1.0 and self._build_fault_active(server):
             work_ms *= build.work_factor
         return work_ms + (kind.connect_work_ms if new_connection else 0.0)
--- a/meadowpulley/emulator/snapshot.py
+++ b/meadowpulley/emulator/snapshot.py
@@ -66,20 +66,21 @@
 
 def fleet_snapshot(fleet: ServerFleet) -> FleetSnapshot:
     """Return the current state of the servers and the rollout."""
-    now, rollout = fleet.clock.now, fleet.platform.state
+    now = fleet.clock.now
+    rollout = fleet.platform.state
     servers = tuple(
         ServerSnapshot(
-            number=h.entry.server,
-            site=fleet.fleet.sites[h.entry.zone].name,
-            kind=h.machine.kind.name,
-            build=h.entry.build,
-            state=STATE_NAMES[h.entry.state] if h.up else "down",
-            slot_use=len(h.machine.running) / h.machine.kind.slots,
-            queued=len(h.machine.queued),
-            slow_start_fraction=h.machine.slow_start_fraction(now),
-            served=h.served,
+            number=server.entry.server,
+            site=fleet.fleet.sites[server.entry.zone].name,
+            kind=server.machine.kind.name,
+            build=server.entry.build,
+            state=STATE_NAMES[server.entry.state] if server.up else "down",
+            slot_use=len(server.machine.running) / server.machine.kind.slots,
+            queued=len(server.machine.queued),
+            slow_start_fraction=server.machine.slow_start_fraction(now),
+            served=server.served,
         )
-        for h in fleet.servers.values()
+        for server in fleet.servers.values()
     )
     phase = PHASE_NAMES[rollout.phase].replace("_", " ")
     events = tuple((at, text) for at, text in fleet.result.events if "votes none" not in text)
@@ -90,16 +91,16 @@
     """Return the figures of each class so far."""
     return tuple(
         ClassSnapshot(
-            c.name,
-            c.served_weight_share,
-            c.calls,
-            c.within_objective,
-            c.late,
-            c.rejected,
-            c.failed,
-            c.latency_ms(99) if c.served else 0.0,
+            figures.name,
+            figures.served_weight_share,
+            figures.calls,
+            figures.within_objective,
+            figures.late,
+            figures.rejected,
+            figures.failed,
+            figures.latency_ms(99) if figures.served else 0.0,
         )
-        for c in result.classes
+        for figures in result.classes
     )
 
 
--- a/meadowpulley/emulator/takeover_gateway.py
+++ b/meadowpulley/emulator/takeover_gateway.py
@@ -89,7 +89,8 @@
     # Adopted requests
 
     def _adopt(self, action: messages.AdoptRequest) -> None:
-        now, emulation = self.clock.now, self.emulation
+        now = self.clock.now
+        emulation = self.emulation
         if self.pending_responses >= self.client_slots:
             self.dispatch(messages.AdoptionResult(action.request_id, None))
             return
