--- a/meadowpulley/emulator/server_fleet.py
+++ b/meadowpulley/emulator/server_fleet.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
@@ -15,7 +14,8 @@
 from meadowpulley.emulator.builds import Build
 from meadowpulley.emulator.clock import RandomStreams, Timeline, uniform
 from meadowpulley.emulator.discovery import SimulatedDiscovery
-from meadowpulley.emulator.machine import Job, Machine, OfferResult
+from meadowpulley.emulator.job_execution import JobExecution
+from meadowpulley.emulator.machine import Job, Machine
 from meadowpulley.emulator.platform import RolloutPlatform
 from meadowpulley.emulator.results import EmulationResult
 from meadowpulley.emulator.scenario import Scenario
@@ -32,6 +32,7 @@
 from meadowpulley.rules import PHASE_NAMES, InstanceOverloaded, Record
 
 SERVERS_PER_CELL = 6
+EARLIEST_START_MS = 1e-3  # a server without slow start is listed as started at 0, so no other may be
 SHARED_SLOWDOWN_PERIOD_MS = 250.0  # interval at which a shared slowdown is weighted by the build's traffic
 
 
@@ -54,9 +55,10 @@
         self.shared_slowness = 1.0
         self._rng = streams.stream("servers")
         self._machines = fleet.machines()
-        self._start_order = [int(n) for n in self._rng.permutation(len(self._machines))]
-        self._started_count = self._last_server = self._last_job = 0
-        self._attempts_by_build: Counter[int] = Counter()
+        self._start_order = [int(position) for position in self._rng.permutation(len(self._machines))]
+        self._started_count = 0
+        self._last_server = 0
+        self._jobs = JobExecution(fleet, clock, self._rng, self)
         self.servers: dict[int, SimulatedServer] = {}  # servers that discovery may list, running or not
         self.stopped_servers: list[SimulatedServer] = []
         self.discovery = SimulatedDiscovery(
@@ -122,7 +124,7 @@
         now = self.clock.now
         for server in [*self.stopped_servers, *self.servers.values()]:
             if server.up:
-                self._finish_jobs(server)
+                self._jobs.finish(server)
             until = server.running_until(now)
             self.result.used_core_ms += sign * server.machine.busy_core_ms
             self.result.available_core_ms += (
@@ -138,7 +140,7 @@
             if server.up:
                 server.machine.advance(now)
             result.servers.append(server.result(self.fleet, now))
-        result.servers.sort(key=lambda s: s.server)
+        result.servers.sort(key=lambda server_result: server_result.server)
         for rollout in self.platform.history:
             result.record_stage(rollout.since, rollout.build, rollout.stage, PHASE_NAMES[rollout.phase])
 
@@ -151,7 +153,7 @@
         machine = Machine(
             self.fleet.kinds[kind], self.fleet.rules, self.fleet.keys, now, build.speed, warmed_up=warmed_up
         )
-        started_ms = 0.0 if warmed_up else max(now, 1e-3)
+        started_ms = 0.0 if warmed_up else max(now, EARLIEST_START_MS)
         entry = ServerEntry(
             self._last_server,
             self._last_server // SERVERS_PER_CELL,
@@ -187,15 +189,25 @@
         server = self._add_server(build, position)
         self.discovery.schedule_change(server.entry)
         if replacing:
-            candidates = [h for h in self.servers.values() if h.entry.build != build.number and h.is_serving]
-            same_position = [h for h in candidates if h.position == position]
-            for old in (same_position or candidates)[:1]:
-                self._drain_server(old)
+            self._drain_replaced(build, position)
+
+    def _drain_replaced(self, build: Build, position: int) -> None:
+        """Drain one server of another build, the one at the same position where it is still serving."""
+        candidates = [
+            server
+            for server in self.servers.values()
+            if server.entry.build != build.number and server.is_serving
+        ]
+        same_position = [server for server in candidates if server.position == position]
+        for replaced in (same_position or candidates)[:1]:
+            self._drain_server(replaced)
 
     def drain_builds(self, matches: Callable[[int], bool]) -> None:
         """Drain all ready servers whose build matches."""
-        for server in [h for h in self.servers.values() if matches(h.entry.build) and h.is_serving]:
-            self._drain_server(server)
+        serving = [server for server in self.servers.values() if server.is_serving]
+        for server in serving:
+            if matches(server.entry.build):
+                self._drain_server(server)
 
     def _drain_server(self, server: SimulatedServer) -> None:
         server.entry = replace(server.entry, state=ServerState.DRAINING)
@@ -209,7 +221,7 @@
     def _stop_server(self, server: SimulatedServer) -> None:
         if self.servers.get(server.entry.server) is not server:
             return
-        self._reset_jobs(server, server.machine.stop())
+        self._jobs.stop(server)
         if server.up:
             server.up = False
             self.server_stopped(server)
@@ -218,13 +230,9 @@
         server.entry = replace(server.entry, state=ServerState.REMOVED)
         self.discovery.schedule_change(server.entry)
 
-    def _reset_jobs(self, server: SimulatedServer, jobs: list[Job]) -> None:
-        for job in jobs:
-            self.reply(job.tag, server, AttemptResult.RESET)
-
     def vanish(self, server: SimulatedServer) -> None:
         """Take a machine away without notice: open connections do not respond until discovery notices."""
-        self._finish_jobs(server)
+        self._jobs.finish(server)
         server.machine.stop()
         server.up = False
         server.unreachable = True
@@ -234,8 +242,8 @@
 
     def crash(self, server: SimulatedServer) -> None:
         """End a server's process: connections break and new ones are refused until discovery notices."""
-        self._finish_jobs(server)
-        self._reset_jobs(server, server.machine.stop())
+        self._jobs.finish(server)
+        self._jobs.stop(server)
         server.up = False
         server.absent = True
         self.server_stopped(server)
@@ -256,7 +264,8 @@
         server.up = True
         server.unreachable = False
         server.absent = False
-        server.served = server.rejected = 0
+        server.served = 0
+        server.rejected = 0
         server.wakeup_at = float("inf")
         server.machine.set_slowness(server.combined_slowdown)
         self.server_started(server)
@@ -264,16 +273,16 @@
 
     def freeze(self, server: SimulatedServer, frozen: bool) -> None:
         """Stop or continue the work of a machine whose connections stay open."""
-        self._finish_jobs(server)
+        self._jobs.finish(server)
         server.machine.frozen = frozen
-        self._schedule_wakeup(server)
+        self._jobs.schedule_wakeup(server)
 
     def set_slowdown(self, server: SimulatedServer, reason: str, factor: float) -> None:
         """Make a server slower for a reason. Factors of several reasons multiply; 1 clears a reason."""
-        self._finish_jobs(server)
+        self._jobs.finish(server)
         server.slowdowns[reason] = factor
         server.machine.set_slowness(server.combined_slowdown)
-        self._schedule_wakeup(server)
+        self._jobs.schedule_wakeup(server)
 
     def set_slowdown_of_all(self, reason: str, factor: float) -> None:
         """Make all servers slower for a reason."""
@@ -289,9 +298,7 @@
             self.clock.call_later(SHARED_SLOWDOWN_PERIOD_MS, partial(self._apply_shared_slowdown, build))
 
     def _apply_shared_slowdown(self, build: Build) -> None:
-        total = sum(self._attempts_by_build.values())
-        share = self._attempts_by_build[build.number] / total if total else 0.0
-        self._attempts_by_build.clear()
+        share = self._jobs.take_attempt_share(build.number)
         self.set_slowdown_of_all("drag", 1.0 + (build.shared_slowdown - 1.0) * share)
         if self.platform.state.build == build.number:
             self.clock.call_later(SHARED_SLOWDOWN_PERIOD_MS, partial(self._apply_shared_slowdown, build))
@@ -314,93 +321,22 @@
 
         Returns the job, or None where none was started.
         """
-        if new_connection and not server.machine.connect():
-            server.rejected += 1
-            self.reply(tag, server, AttemptResult.REJECTED)
-            return None
-        self._attempts_by_build[server.entry.build] += 1
-        if server.error_rate and self._rng.random() < server.error_rate:
-            self.reply(tag, server, AttemptResult.ERROR)
-            return None
-        self._last_job += 1
-        job = Job(
-            self._last_job,
-            self._work_of(server, work_ms, new_connection),
-            key,
-            deadline,
-            class_index,
-            tag=tag,
-        )
-        self._finish_jobs(server)
-        offer = server.machine.offer(self.clock.now, job)
-        if offer is OfferResult.REJECTED:
-            server.rejected += 1
-            self.reply(tag, server, AttemptResult.REJECTED)
-        elif offer is OfferResult.DOWN:
-            self._overloaded(server)
-            self.reply(tag, server, AttemptResult.RESET)
-        self._schedule_wakeup(server)
-        return job
+        return self._jobs.offer(tag, server, class_index, key, work_ms, deadline, new_connection)
 
     def cancel(self, server: SimulatedServer, job: Job) -> None:
         """Cancel a job whose attempt was cancelled, where the kind of server notices."""
-        if server.up and (server.machine.kind.cancels_running or server.machine.kind.cancels_waiting):
-            self._finish_jobs(server)
-            server.machine.cancel(self.clock.now, job)
-            self._schedule_wakeup(server)
-
-    def _work_of(self, server: SimulatedServer, work_ms: float, new_connection: bool) -> float:
-        build = server.build
-        kind = self.fleet.kinds[server.entry.kind]
-        if build.work_factor != 1.0 and self._build_fault_active(server):
-            work_ms *= build.work_factor
-        return work_ms + (kind.connect_work_ms if new_connection else 0.0)
-
-    def _build_fault_active(self, server: SimulatedServer) -> bool:
-        utilisation = len(server.machine.running) / server.machine.kind.slots
-        return server.build.fault_active(self.clock.now - server.machine.started_at, utilisation)
+        self._jobs.cancel(server, job)
 
-    def _overloaded(self, server: SimulatedServer) -> None:
+    def server_overloaded(self, server: SimulatedServer) -> None:
         """Take a server down that was overloaded in slow start; its jobs are lost."""
         if server.up:
             server.up = False
             self.record(InstanceOverloaded(self.clock.now, server.entry.server))
             self.log_event(f"server {server.entry.server} was pushed over")
-            self._reset_jobs(server, server.machine.lost_jobs)
+            self._jobs.reset(server, server.machine.lost_jobs)
             self.server_stopped(server)
             self.discovery.schedule_change(replace(server.entry, state=ServerState.REMOVED))
 
-    def _schedule_wakeup(self, server: SimulatedServer) -> None:
-        """Schedule the next completion of a server, unless an earlier wake-up is set."""
-        when = server.machine.next_event_at()
-        if when < server.wakeup_at:
-            server.wakeup_at = when
-            self.clock.call_at(when, partial(self._wake_up, server, server.machine, when))
-
-    def _wake_up(self, server: SimulatedServer, machine: Machine, when: float) -> None:
-        if server.machine is not machine or server.wakeup_at != when:
-            return
-        server.wakeup_at = float("inf")
-        self._finish_jobs(server)
-        self._schedule_wakeup(server)
-
-    def _finish_jobs(self, server: SimulatedServer) -> None:
-        for completed in server.machine.advance(self.clock.now):
-            tag = completed.job.tag
-            if not completed.executed:
-                self.reply(tag, server, AttemptResult.REJECTED)
-                continue
-            class_name = self.fleet.classes[completed.job.class_index].name
-            failure_share = server.build.failure_share_of(class_name)
-            if failure_share and self._build_fault_active(server) and self._rng.random() < failure_share:
-                self.reply(tag, server, AttemptResult.ERROR)
-                continue
-            server.served += 1
-            if completed.job.key:
-                self.key_answered(tag, server, completed.job.key)
-            if not (server.response_loss_rate and self._rng.random() < server.response_loss_rate):
-                self.reply(tag, server, AttemptResult.OK)
-
     def connections_closed(self, server_id: int, count: int) -> None:
         """Note that a gateway closed connections to a server."""
         server = self.servers.get(server_id)
