--- a/meadowpulley/model_checking/connection_model/state.py
+++ b/meadowpulley/model_checking/connection_model/state.py
@@ -44,6 +44,7 @@
 from meadowpulley.net.config import Config, ConfigError, parse_address
 from meadowpulley.net.gateway import RESERVED_SOCKETS, Gateway
 from meadowpulley.net.http1 import Message, response_bytes
+from meadowpulley.net.log import UNEXPECTED_EXCEPTION_EVENT
 from meadowpulley.policy import RolloutPolicy
 
 IGNORED_FIELDS = {
@@ -117,7 +118,7 @@
 
     def error(self, event: str, exc_info: bool = False, **fields: Any) -> None:
         """Keep the text of an exception that the gateway has caught."""
-        if event == "fault":
+        if event == UNEXPECTED_EXCEPTION_EVENT:
             error_type, value, _ = sys.exc_info()
             self.errors.append(f"{fields.get('where')}: {error_type.__name__ if error_type else ''}: {value}")
 
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -42,6 +42,7 @@
 from meadowpulley.net.extension import Extension
 from meadowpulley.net.gossip import GossipTransport
 from meadowpulley.net.instance_pools import InstancePools
+from meadowpulley.net.log import UNEXPECTED_EXCEPTION_EVENT
 from meadowpulley.net.reactor_interface import GatewayReactor, StreamReactor
 from meadowpulley.net.request_admission import RequestAdmission
 from meadowpulley.net.request_table import RequestTable
@@ -258,7 +259,7 @@
     def log_counters(self) -> None:
         """Log all counters, at SIGUSR1 and at the end."""
         if self.capture is not None:
-            self.log.info("capture", written=self.capture.written, dropped=self.capture.dropped)
+            self.log.info("load_capture_summary", written=self.capture.written, dropped=self.capture.dropped)
         dropped = self._policy.gossip.rejected_digests
         extra = {"peers.dropped": dropped} if dropped else {}
         extra |= {f"send_refused.{name}": count for name, count in self._policy.send_refusals.items()}
@@ -279,7 +280,7 @@
     def log_fault(self, where: str) -> None:
         """Log and count the exception that is being handled. `where` names the component."""
         self.counters.add(f"fault.{where}")
-        self.log.error("fault", where=where, exc_info=True)
+        self.log.error(UNEXPECTED_EXCEPTION_EVENT, where=where, exc_info=True)
 
     def register_action(self, action_type: type[ActionT], handler: Callable[[ActionT], None]) -> None:
         """Carry out actions of a type that stages of the pipeline add.
--- a/meadowpulley/net/log.py
+++ b/meadowpulley/net/log.py
@@ -5,11 +5,11 @@
 import logging
 import sys
 import time
-from typing import Any
 
 import structlog
 from structlog.typing import EventDict, FilteringBoundLogger, WrappedLogger
 
+UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # a fault of ours was caught, and the gateway goes on
 MAX_LINES_PER_SECOND = 20  # of each event name; the next line that is written counts the suppressed ones
 UNLIMITED_EVENTS = ("request_trace",)  # requested line by line by an operator: none of them is suppressed
 
@@ -18,14 +18,15 @@
     """A structlog processor that drops events which come too often, so that bad input cannot fill the log."""
 
     def __init__(self) -> None:
+        """Begin with nothing counted."""
         self._second = 0
         self._counts: dict[str, int] = {}
         self._suppressed: dict[str, int] = {}
 
     def __call__(self, _: WrappedLogger, __: str, event: EventDict) -> EventDict:
-        name, second = str(event["event"]), int(time.monotonic())
-        if second != self._second:
-            self._second, self._counts = second, {}
+        """Return the event, with the number of suppressed ones before it, or drop it."""
+        name = str(event["event"])
+        self._begin_second(int(time.monotonic()))
         self._counts[name] = self._counts.get(name, 0) + 1
         if self._counts[name] > MAX_LINES_PER_SECOND and name not in UNLIMITED_EVENTS:
             self._suppressed[name] = self._suppressed.get(name, 0) + 1
@@ -34,6 +35,11 @@
             event["suppressed"] = self._suppressed.pop(name)
         return event
 
+    def _begin_second(self, second: int) -> None:
+        if second != self._second:
+            self._second = second
+            self._counts = {}
+
 
 class StderrLogger:
     """Write lines to standard error. Errors are ignored: an unread log must not stop the gateway."""
@@ -49,7 +55,7 @@
     debug = info = warning = error = critical = msg
 
 
-def open_log(**fields: Any) -> FilteringBoundLogger:
+def open_log(**fields: object) -> FilteringBoundLogger:
     """Return a logger that adds `fields` to each of its lines."""
     log: FilteringBoundLogger = structlog.wrap_logger(
         StderrLogger(),
--- a/tests/processes/test_lending.py
+++ b/tests/processes/test_lending.py
@@ -12,6 +12,7 @@
 import pytest
 
 from meadowpulley.loopback.gateway_fleet import GatewayProcess, build_layouts, send_request
+from meadowpulley.net.log import UNEXPECTED_EXCEPTION_EVENT
 from tests.processes.gateway_cluster import GatewayCluster, wait_until
 
 CAPACITY = 60.0  # requests per second, of all gateways
@@ -56,7 +57,7 @@
     made = GatewayCluster(tmp_path, 3, ENVIRON)
     yield made
     made.stop()
-    assert not [line for p in made.fleet.processes for line in p.events("fault")]
+    assert not [line for p in made.fleet.processes for line in p.events(UNEXPECTED_EXCEPTION_EVENT)]
 
 
 def max_excess(times: list[float]) -> float:
--- a/tests/processes/test_takeover.py
+++ b/tests/processes/test_takeover.py
@@ -14,6 +14,7 @@
 
 from meadowpulley.ledger.failpoints import FAILPOINTS_VARIABLE
 from meadowpulley.loopback.gateway_fleet import GatewayProcess, build_layouts
+from meadowpulley.net.log import UNEXPECTED_EXCEPTION_EVENT
 from tests.processes.gateway_cluster import GatewayCluster, response_status, wait_until
 
 Start = Callable[..., GatewayCluster]
@@ -38,7 +39,12 @@
     yield start
     for world in worlds:
         world.stop()
-    faults = [line for world in worlds for p in world.fleet.processes for line in p.events("fault")]
+    faults = [
+        line
+        for world in worlds
+        for p in world.fleet.processes
+        for line in p.events(UNEXPECTED_EXCEPTION_EVENT)
+    ]
     assert not faults, faults[0]
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -115,7 +115,7 @@
         assert client.request("GET", "/look", X_Resent="1")[0] == 200
         client.socket.close()
         gateway.process.terminate()
-        counted = gateway.wait_for("capture")
+        counted = gateway.wait_for("load_capture_summary")
         gateway.process.wait(standins.TIMEOUT_S)
     finally:
         gateway.stop()
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -15,6 +15,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "meadowpulley"
 LOG_METHODS = ("info", "warning", "error")
+EVENT_CONSTANTS = ("EVENT_NAME", "_EVENT")
 ON_CALL = (ROOT / "docs" / "on-call.md").read_text()
 DESIGN = (ROOT / "docs" / "design.md").read_text()
 
@@ -35,7 +36,7 @@
     yield from (kind.event_name for kind in LOG_EVENT_TYPES)
     for path in [*PACKAGE.glob("net/*.py"), *PACKAGE.glob("ledger/*.py"), PACKAGE / "__main__.py"]:
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.Assign) and getattr(node.targets[0], "id", "") == "EVENT_NAME":
+            if isinstance(node, ast.Assign) and getattr(node.targets[0], "id", "").endswith(EVENT_CONSTANTS):
                 yield ast.literal_eval(node.value)
             elif isinstance(node, ast.Call) and _is_log_call(node):
                 yield ast.literal_eval(node.args[0])
--- a/tests/test_placement_gateway.py
+++ b/tests/test_placement_gateway.py
@@ -18,6 +18,7 @@
 from meadowpulley.ledger.disk import DiskStore
 from meadowpulley.loopback.gateway_fleet import GatewayProcess, HttpResponse, build_layouts, send_request
 from meadowpulley.net import protocol
+from meadowpulley.net.log import UNEXPECTED_EXCEPTION_EVENT
 from meadowpulley.placement import (
     Assignment,
     Experiment,
@@ -151,7 +152,7 @@
     assert sum(a.served for a in whole) == REQUEST_COUNT
     assert all(a.requests > OPEN for a in whole)
     assert sum(a.still_open + a.lost + a.disconnected + a.failed + a.rejected for a in whole) == 0
-    assert not [line for gateway in gateways for line in gateway.events("fault")]
+    assert not [line for gateway in gateways for line in gateway.events(UNEXPECTED_EXCEPTION_EVENT)]
 
     more = [world.send(gateways[2], f"{0xEE:04x}{n:012x}", n + 1) for n in range(KEYS)]
     assert [response_status(answer) for answer in more] == [200] * KEYS
