--- a/meadowpulley/net/gossip.py
+++ b/meadowpulley/net/gossip.py
@@ -10,6 +10,7 @@
 from meadowpulley.interface import GossipReceived, SendGossip
 from meadowpulley.net.config import Address
 from meadowpulley.net.gateway_context import GatewayContext
+from meadowpulley.net.reactor_interface import DatagramPort
 
 
 class GossipTransport(DatagramProtocol):
@@ -18,9 +19,10 @@
     noisy = False
 
     def __init__(self, gateway: GatewayContext) -> None:
+        """Begin without a socket."""
         self.gateway = gateway
         self.gateway_ids = {address: index for index, address in enumerate(gateway.config.peers)}
-        self.port: Any = None
+        self.port: DatagramPort | None = None
 
     def start(self) -> None:
         """Listen for datagrams, if the configuration names an address and the settings allow gossip."""
@@ -33,7 +35,8 @@
 
     def stop(self) -> None:
         """Stop to listen."""
-        port, self.port = self.port, None
+        port = self.port
+        self.port = None
         if port is not None:
             port.stopListening()
 
--- a/meadowpulley/net/write_permission.py
+++ b/meadowpulley/net/write_permission.py
@@ -18,7 +18,7 @@
 
     REQUEST_FINISHED = "request_finished"
     DEADLINE_PASSED = "deadline_passed"
-    ENDPOINT_EXPIRED = "endpoint_expired"
+    ENDPOINT_EXPIRED = "endpoint_expired"  # the policy's `write_by` has passed, whatever set it
     ENDPOINT_REPLACED = "endpoint_replaced"
     CONNECTION_CLOSED = "connection_closed"
     MAY_HAVE_EXECUTED = "may_have_executed"
@@ -30,7 +30,10 @@
 
     @property
     def result(self) -> Result:
-        """The result of the attempt: whether the instance, or what is known of it, is to blame."""
+        """The result of the attempt: whether the instance, or what is known of it, is to blame.
+
+        The policy takes CONNECT_FAILED for a failure of the server, and looks for another one.
+        """
         instance_refused = self in (
             WriteRefusal.ENDPOINT_EXPIRED,
             WriteRefusal.ENDPOINT_REPLACED,
