--- a/meadowpulley/model_checking/shared_state_model/configurations.py
+++ b/meadowpulley/model_checking/shared_state_model/configurations.py
@@ -18,7 +18,10 @@
 from meadowpulley.lending import Quota, QuotaPlan
 from meadowpulley.takeover.settings import JournalScope, TakeoverSettings
 
-SAFE, UNSAFE, IDEMPOTENT_WITH_KEY = 0, 1, 2
+# Indices into CLASSES.
+SAFE = 0
+UNSAFE = 1
+IDEMPOTENT_WITH_KEY = 2
 BUILD = 41
 LEASE_TERM_MS = 400.0  # of a lease
 CLASSES = (
--- a/meadowpulley/model_checking/shared_state_model/enabled_steps.py
+++ b/meadowpulley/model_checking/shared_state_model/enabled_steps.py
@@ -111,9 +111,11 @@
     def _retry_steps(self, after_loss: bool) -> Iterator[Step]:
         """Clients that retry with the same id: those whose gateway was lost, and any others."""
         for index in sorted({n for n, _ in self.client_sends}):
-            gateways_tried = [g for m, g in self.client_sends if m == index]
-            gateway_lost = not self.gateways[gateways_tried[-1]].running  # perhaps the answer was on its way
-            if len(gateways_tried) >= self.configuration.max_sends or after_loss != gateway_lost:
+            attempted_gateways = [gateway for request, gateway in self.client_sends if request == index]
+            gateway_lost = not self.gateways[
+                attempted_gateways[-1]
+            ].running  # perhaps the answer was on its way
+            if len(attempted_gateways) >= self.configuration.max_sends or after_loss != gateway_lost:
                 continue
             for gateway in self.gateways:
                 if gateway.running and not gateway.stopped and gateway.killed_at == math.inf:
@@ -135,7 +137,8 @@
                 yield from (Step(do, (index,)) for do in ("reset", "full", "late") if do in allowed)
 
     def _process_fault_steps(self, gateway: SimulatedGateway) -> Iterator[Step]:
-        gateway_index, allowed = gateway.number, self.configuration.faults
+        gateway_index = gateway.number
+        allowed = self.configuration.faults
         if "kill" in allowed:
             yield Step("kill", (gateway_index,))
         if gateway.stopped:
--- a/meadowpulley/model_checking/shared_state_model/gateway.py
+++ b/meadowpulley/model_checking/shared_state_model/gateway.py
@@ -8,8 +8,9 @@
 from __future__ import annotations
 
 import math
+from itertools import chain
 from random import Random
-from typing import Any, cast
+from typing import cast
 
 from meadowpulley.interface import (
     Cancel,
@@ -34,6 +35,7 @@
     RenewLease,
     Scan,
     ScanCompleted,
+    Stage,
     TransactionOutcome,
 )
 from meadowpulley.ledger.lease_manager import LEASE_OWNER as KEEPER, LeaseManager
@@ -45,6 +47,7 @@
     PLAN,
     SAFE,
     TAKEOVER,
+    TENANTS,
 )
 from meadowpulley.model_checking.shared_state_model.gateway_state import (
     RANDOM,
@@ -66,6 +69,8 @@
     ResponseReady,
 )
 
+INITIAL_RETRY_BUDGET = 3.0  # attempts
+
 
 class SimulatedGateway(GatewayState):
     """One gateway: its real stages, one event at a time, and what is on its way to and from it."""
@@ -77,11 +82,10 @@
         self.incarnation = environment.store.register(f"g{self.number}", LEASES.term_ms)
         self.policy = RolloutPolicy(settings, 0)
         self.policy.rng = cast(Random, RANDOM)
-        inner_stage: Any = self.policy
+        inner_stage: Stage = self.policy
         if self.configuration.lends:
-            inner_stage = self.quota_stage = LendingStage(
-                inner_stage, settings, PLAN, self.incarnation, self.number + 1
-            )
+            self.quota_stage = LendingStage(inner_stage, settings, PLAN, self.incarnation, self.number + 1)
+            inner_stage = self.quota_stage
         self.lease_manager = LeaseManager(self.incarnation, LEASES, inner_stage)
         if self.configuration.takes_over:
             self.lease_manager.inner = TakeoverStage(
@@ -90,13 +94,13 @@
         entries = tuple(ServerEntry(n, 0, 0, ServerState.READY, BUILD, 1.0, 0, 1.0) for n in (1, 2))
         self.dispatch(environment, EndpointUpdate(EndpointUpdateKind.FULL, 1, entries))  # it never changes
         self.dispatch(environment, RELEASED_BUILD)
-        self.policy.retry_budget = 3.0
+        self.policy.retry_budget = INITIAL_RETRY_BUDGET
         for action in self.lease_manager.start(environment.now):
             self._carry_out(environment, action)
 
     # Events in, actions out
 
-    def dispatch(self, environment: Environment, event: Any) -> None:
+    def dispatch(self, environment: Environment, event: object) -> None:
         """Give an event to the stages and carry their actions out."""
         self._events.append(event)
         if len(self._events) > 1:
@@ -105,7 +109,9 @@
             event = self._events[0]
             try:
                 actions = self.lease_manager.handle(environment.now, event)
-            except Exception as error:
+            except (
+                Exception
+            ) as error:  # any that leaves the stages is a find: it would end the gateway's work
                 self._report_violation(environment, "fault", f"{type(error).__name__}: {error}")
                 self._events.clear()
                 return
@@ -113,15 +119,13 @@
                 self._carry_out(environment, action)
             self._events.popleft()
         if self.quota_stage is not None and self.quota_stage.watched_prefixes() != self.watched_prefixes:
-            self.watched_prefixes, self.ledger_version = (
-                self.quota_stage.watched_prefixes(),
-                0,
-            )  # the ledger is read anew
+            self.watched_prefixes = self.quota_stage.watched_prefixes()
+            self.ledger_version = 0  # the ledger is read anew
 
     def _report_violation(self, environment: Environment, property_name: str, text: str) -> None:
         environment.monitor.report(property_name, environment.now, self.number, text)
 
-    def _carry_out(self, environment: Environment, action: Any) -> None:
+    def _carry_out(self, environment: Environment, action: object) -> None:
         if isinstance(action, Commit | Scan):
             self.ledger_outbox.append(action)
             if self.is_renewal(action):
@@ -151,7 +155,8 @@
         """Tell whether a command renews the lease and does nothing else."""
         if isinstance(command, Scan) or command.owner != KEEPER:
             return False
-        return all(isinstance(w, RenewLease) for step in command.transactions for w in step.writes)
+        writes = chain.from_iterable(transaction.writes for transaction in command.transactions)
+        return all(isinstance(write, RenewLease) for write in writes)
 
     @property
     def hears_renewal(self) -> bool:
@@ -166,10 +171,9 @@
     ) -> None:
         """Receive a request from a client, perhaps once more."""
         self.last_request += 1
-        request_id, deadline_ms = (
-            f"r{request_index}",
-            environment.now + self.configuration.settings(self.number).classes[request_class].deadline_ms,
-        )
+        request_id = f"r{request_index}"
+        settings = self.configuration.settings(self.number)
+        deadline_ms = environment.now + settings.classes[request_class].deadline_ms
         self.pending_requests[self.last_request] = PendingRequest(
             request_id, request_index, request_class, deadline_ms, True
         )
@@ -177,17 +181,20 @@
         request = Request(
             self.last_request,
             request_class,
-            request_index % 2,
+            request_index % len(TENANTS),
             request_index + 1,
             deadline_ms,
             client_retry=is_retry,
         )
-        event: Any = request
         if self.knows_it_is_fenced and request_class == SAFE:
             environment.monitor.unjournaled.add(request_id)
         if self.configuration.takes_over:
-            event = ClientRequest(request, request_id, "POST", PATHS[request_class], (), request_id.encode())
-        self.dispatch(environment, event)
+            path = PATHS[request_class]
+            self.dispatch(
+                environment, ClientRequest(request, request_id, "POST", path, (), request_id.encode())
+            )
+        else:
+            self.dispatch(environment, request)
 
     def _adopt(self, environment: Environment, action: AdoptRequest) -> None:
         self.last_request += 1
@@ -331,26 +338,27 @@
         due_times = [self.killed_at, *(at for at, _ in self.timers[:1])]
         slack_ms = self.configuration.settings(self.number).rules.response_slack_ms
         for pending in self.pending_requests.values():
-            due_times += [pending.deadline_ms] if pending.outstanding_attempts else []
-            due_times += [] if pending.answered else [pending.deadline_ms + slack_ms]
+            if pending.outstanding_attempts:
+                due_times.append(pending.deadline_ms)
+            if not pending.answered:
+                due_times.append(pending.deadline_ms + slack_ms)
         return min(due_times, default=math.inf)
 
     def run_due(self, environment: Environment) -> None:
         """Do what is due: attempts end at their deadline, then timers, then overdue answers."""
         slack_ms = self.configuration.settings(self.number).rules.response_slack_ms
         for request, pending in list(self.pending_requests.items()):
-            for attempt in (
-                list(pending.outstanding_attempts) if pending.deadline_ms <= environment.now else ()
-            ):
+            if pending.deadline_ms > environment.now:
+                continue
+            for attempt in list(pending.outstanding_attempts):
                 self.finish_attempt(environment, request, attempt, Result.TIMEOUT)
         while self.timers and self.timers[0][0] <= environment.now:
             _, token = self.timers.pop(0)
             self.dispatch(environment, Timer(token))
         for request, pending in list(self.pending_requests.items()):
-            if not pending.answered and pending.deadline_ms + slack_ms <= environment.now:
-                stalled = (
-                    environment.now > pending.deadline_ms + slack_ms
-                )  # a process that was stopped responds as it resumes
+            overdue_at = pending.deadline_ms + slack_ms
+            if not pending.answered and overdue_at <= environment.now:
+                stalled = environment.now > overdue_at  # a process that was stopped responds as it resumes
                 if not stalled and self.configuration.takes_over:
                     self._report_violation(
                         environment,
@@ -360,33 +368,21 @@
                 self._answer_client(environment, request, "failed")
                 self.dispatch(environment, ClientDisconnected(request))
 
-    # Capacity
-
-    def admission_rate(self, now: float) -> float:
-        """Units a second that its lending goes by: what its floor and its grant allow now."""
-        if not self.running or self.quota_stage is None:
-            return 0.0
-        enforcer = self.quota_stage.enforcer
-        granted = enforcer.grant.total if enforcer.grant is not None and now < enforcer.grant_until else 0.0
-        return float(granted + (enforcer.floor if now < enforcer.floor_until else 0.0))
-
     # Ends
 
     def stop_process(self) -> None:
         """The process is gone; what it had handed to the ledger may yet be carried out."""
-        assert self.incarnation is not None
-        self.delayed_commits.extend(
-            (self.incarnation, c) for c in list(self.ledger_outbox)[:1] if isinstance(c, Commit)
-        )
-        surviving = (
-            self.number,
-            self.configuration,
-            self.incarnation,
-            self.delayed_commits,
-            self.last_request,
-        )
+        incarnation = self.own_incarnation()
+        delayed_commits = self.delayed_commits
+        last_request = self.last_request
+        if self.ledger_outbox:
+            first_command = self.ledger_outbox[0]
+            if isinstance(first_command, Commit):
+                delayed_commits.append((incarnation, first_command))
         self.__dict__.update(SimulatedGateway(self.number, self.configuration).__dict__)
-        self.number, self.configuration, self.incarnation, self.delayed_commits, self.last_request = surviving
+        self.incarnation = incarnation
+        self.delayed_commits = delayed_commits
+        self.last_request = last_request
 
     def release_lease(self, environment: Environment) -> None:
         """A planned stop, once nothing is in hand: the lease is given up."""
--- a/meadowpulley/model_checking/shared_state_model/gateway_state.py
+++ b/meadowpulley/model_checking/shared_state_model/gateway_state.py
@@ -23,6 +23,7 @@
 from meadowpulley.ledger.lease_manager import LeaseManager
 from meadowpulley.lending import LendingStage
 from meadowpulley.model_checking.choices import ScriptedRandom
+from meadowpulley.model_checking.errors import ModelCheckingError
 from meadowpulley.model_checking.graph import Copier, FormRules, FormWriter, fingerprint_of
 from meadowpulley.model_checking.policy_model.canonical_form import UNCHANGING_POLICY_FIELDS
 from meadowpulley.model_checking.shared_state_model.configurations import (
@@ -65,7 +66,8 @@
     """One attempt that the stages sent: its bytes wait, are out, or its outcome was received."""
 
     def __init__(self, server: int, sent_at: float) -> None:
-        self.server, self.sent_at = server, sent_at
+        self.server = server
+        self.sent_at = sent_at
 
 
 class PendingRequest:
@@ -79,10 +81,14 @@
         deadline_ms: float,
         client_waiting: bool,
     ) -> None:
-        self.request_id, self.request_index, self.request_class = request_id, request_index, request_class
-        self.deadline_ms, self.client_waiting = deadline_ms, client_waiting
+        self.request_id = request_id
+        self.request_index = request_index
+        self.request_class = request_class
+        self.deadline_ms = deadline_ms
+        self.client_waiting = client_waiting
         self.answered = False
-        self.requested_at, self.response_at = math.inf, math.inf  # by its client, by an instance
+        self.requested_at = math.inf  # by its client
+        self.response_at = math.inf  # by an instance
         self.attempt_count = 0
         self.outstanding_attempts: dict[int, OutstandingAttempt] = {}
 
@@ -94,8 +100,10 @@
     lease_manager: LeaseManager  # since the start
 
     def __init__(self, number: int, configuration: Configuration) -> None:
-        self.number, self.configuration = number, configuration
-        self.running, self.stopped = False, False
+        self.number = number
+        self.configuration = configuration
+        self.running = False
+        self.stopped = False
         self.killed_at = math.inf  # after a planned stop
         self.lease_released = False
         self.incarnation: Incarnation | None = None
@@ -116,7 +124,7 @@
         self.lease_ends_at = -math.inf  # end of its own lease, as it knows it
         self.renewals_sent_at: dict[int, float] = {}
         self.fingerprint_cache: list[int] = []
-        self._events: deque[Any] = deque()
+        self._events: deque[object] = deque()
 
     @property
     def name(self) -> str:
@@ -140,6 +148,24 @@
             or self.unheard_outcomes
         )
 
+    def own_incarnation(self) -> Incarnation:
+        """Return the incarnation.
+
+        Raises:
+            ModelCheckingError: The gateway was never started, so that the step at hand is not enabled.
+        """
+        if self.incarnation is None:
+            raise ModelCheckingError(f"{self.name} has no incarnation; start it first")
+        return self.incarnation
+
+    def admission_rate(self, now: float) -> float:
+        """Units a second that its lending goes by: what its floor and its grant allow now."""
+        if not self.running or self.quota_stage is None:
+            return 0.0
+        enforcer = self.quota_stage.enforcer
+        granted = enforcer.grant.total if enforcer.grant is not None and now < enforcer.grant_until else 0.0
+        return float(granted + (enforcer.floor if now < enforcer.floor_until else 0.0))
+
     # Copies and forms
 
     def copy(self) -> Self:
@@ -149,14 +175,18 @@
         for name, value in self.__dict__.items():
             if name == "fingerprint_cache":
                 duplicate.fingerprint_cache = []
+            elif name in UNCOPIED_FIELDS:
+                duplicate.__dict__[name] = value
             else:
-                duplicate.__dict__[name] = value if name in UNCOPIED_FIELDS else COPIER.copy(value, memo)
+                duplicate.__dict__[name] = COPIER.copy(value, memo)
         return duplicate
 
-    def form(self) -> Any:
+    def form(self) -> object:
         """Return the state in canonical form."""
         writer = FormWriter(FORM_RULES)
-        return tuple(writer.write(v) for k, v in self.__dict__.items() if k not in UNCOPIED_FIELDS)
+        return tuple(
+            writer.write(value) for name, value in self.__dict__.items() if name not in UNCOPIED_FIELDS
+        )
 
     def fingerprint(self) -> int:
         """Return 64 bits of the form, worked out once per state."""
--- a/meadowpulley/model_checking/shared_state_model/invariant_monitor.py
+++ b/meadowpulley/model_checking/shared_state_model/invariant_monitor.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 
 from meadowpulley.ledger import (
     Commit,
@@ -15,7 +15,7 @@
     TransactionResult,
 )
 from meadowpulley.model_checking.properties import Violation
-from meadowpulley.model_checking.shared_state_model.configurations import CLASSES, UNSAFE
+from meadowpulley.model_checking.shared_state_model.configurations import CLASSES, SAFE, UNSAFE
 from meadowpulley.takeover.records import RECORD_PREFIX, RequestRecord, RequestState, decode_request_record
 
 
@@ -27,20 +27,18 @@
         self.possible_executions: dict[str, int] = {}  # attempts whose bytes went out, and that may run yet
         self.answers: dict[str, tuple[str, ...]] = {}  # the answers that clients got, each once
         self.rejected: set[str] = set()  # whose client got a rejection
-        self.unjournaled: set[str] = (
-            set()
-        )  # idempotent ones asked of a fenced incarnation: served without a record
+        # Idempotent ones asked of a fenced incarnation: served without a record.
+        self.unjournaled: set[str] = set()
         self.violations: list[Violation] = []
 
     def copy(self) -> InvariantMonitor:
         """Return an independent copy."""
         duplicate = InvariantMonitor()
-        duplicate.executions, duplicate.possible_executions, duplicate.answers = (
-            dict(self.executions),
-            dict(self.possible_executions),
-            dict(self.answers),
-        )
-        duplicate.rejected, duplicate.unjournaled = set(self.rejected), set(self.unjournaled)
+        duplicate.executions = dict(self.executions)
+        duplicate.possible_executions = dict(self.possible_executions)
+        duplicate.answers = dict(self.answers)
+        duplicate.rejected = set(self.rejected)
+        duplicate.unjournaled = set(self.unjournaled)
         return duplicate
 
     def form(self) -> tuple[object, ...]:
@@ -72,7 +70,7 @@
         self.executions[request_id] = self.executions.get(request_id, 0) + 1
         if request_class == UNSAFE and self.executions[request_id] > 1:
             self.report("executed", now, -1, f"request {request_id} ran {self.executions[request_id]} times")
-        if request_id in self.rejected and request_class != 0:
+        if request_id in self.rejected and request_class != SAFE:
             self.report("effects", now, -1, f"request {request_id} was refused, and ran after that")
 
     # Answers
@@ -82,9 +80,8 @@
     ) -> None:
         """Check an answer that a client gets: `refused`, `failed`, or the body that it is served."""
         if text == "refused":
-            if request_class != 0 and (
-                self.executions.get(request_id, 0) or self.possible_executions.get(request_id, 0)
-            ):
+            may_have_run = self.executions.get(request_id, 0) or self.possible_executions.get(request_id, 0)
+            if request_class != SAFE and may_have_run:
                 self.report("effects", now, gateway, f"request {request_id} may have run, and is refused")
             self.rejected.add(request_id)
             return
@@ -108,18 +105,15 @@
         """Carry a commit out, and check what it did."""
         member = store.members_by_name.get(author.name)
         fenced = member is None or member.incarnation != author or member.fenced
-        records_before, version = dict(store.records), store.version
+        records_before = dict(store.records)
+        version_before = store.version
         members = dict(store.members_by_name)
         results = store.commit(author, commit.transactions)
-        for step, result in zip(commit.transactions, results, strict=True):
-            for write in step.writes if result.outcome is TransactionOutcome.COMMITTED else ():
-                if isinstance(write, Fence) and members[write.incarnation.name].renewal != write.renewal:
-                    self.report(
-                        "sealed", now, gateway, f"incarnation {write.incarnation} had renewed, and is fenced"
-                    )
-        if fenced and (
-            store.version != version or any(d.outcome is TransactionOutcome.COMMITTED for d in results)
-        ):
+        for transaction, result in zip(commit.transactions, results, strict=True):
+            if result.outcome is TransactionOutcome.COMMITTED:
+                self._check_fences(now, gateway, members, transaction.writes)
+        any_committed = any(result.outcome is TransactionOutcome.COMMITTED for result in results)
+        if fenced and (store.version != version_before or any_committed):
             self.report(
                 "sealed", now, gateway, f"incarnation {author} was fenced, and its commit changed the ledger"
             )
@@ -128,6 +122,15 @@
                 self._check_work(now, gateway, members, records_before.get(key), record)
         return results
 
+    def _check_fences(
+        self, now: float, gateway: int, members: Mapping[str, Member], writes: Iterable[object]
+    ) -> None:
+        """Check that only an incarnation that has not renewed meanwhile is fenced."""
+        for write in writes:
+            if isinstance(write, Fence) and members[write.incarnation.name].renewal != write.renewal:
+                text = f"incarnation {write.incarnation} had renewed, and is fenced"
+                self.report("sealed", now, gateway, text)
+
     def _check_work(
         self,
         now: float,
@@ -139,7 +142,8 @@
         """Check that work is taken over by one at a time, and that a recorded end stays what it was."""
         if old_record is None:
             return
-        old_work, new_work = decode_request_record(old_record.value), decode_request_record(new_record.value)
+        old_work = decode_request_record(old_record.value)
+        new_work = decode_request_record(new_record.value)
         if old_work.state is RequestState.REJECTED and not old_work.grants and new_work.owner_count == 1:
             return  # it never ran, and is asked anew
         name = f"work {new_record.key[len(RECORD_PREFIX) :]}"
@@ -164,8 +168,10 @@
         new_record: Record,
     ) -> None:
         """Check that only work of an incarnation that is over is adopted, and that each adoption counts."""
-        old_work, new_work = decode_request_record(old_record.value), decode_request_record(new_record.value)
-        name, owner = f"work {new_record.key[len(RECORD_PREFIX) :]}", old_record.writer
+        old_work = decode_request_record(old_record.value)
+        new_work = decode_request_record(new_record.value)
+        name = f"work {new_record.key[len(RECORD_PREFIX) :]}"
+        owner = old_record.writer
         member = members.get(owner.name)
         alive = member is not None and member.incarnation == owner and not member.fenced
         if alive and old_work.state is RequestState.OPEN:
@@ -178,11 +184,6 @@
     @staticmethod
     def _binding(old_work: RequestRecord, new_work: RequestRecord) -> int:
         """Return how many grants must stay: an incarnation takes back only its own, by their outcomes."""
-        request_class = next((c for c in CLASSES if c.name == new_work.class_name), None)
-        return (
-            len(old_work.grants)
-            if request_class is not None
-            and old_work.owner_count < new_work.owner_count
-            and not new_work.is_final
-            else 0
-        )
+        class_known = any(request_class.name == new_work.class_name for request_class in CLASSES)
+        adopted = old_work.owner_count < new_work.owner_count
+        return len(old_work.grants) if class_known and adopted and not new_work.is_final else 0
--- a/meadowpulley/model_checking/shared_state_model/state.py
+++ b/meadowpulley/model_checking/shared_state_model/state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple, Self
+from typing import NamedTuple, Self
 
 from meadowpulley.ledger import Incarnation, MemoryStore
 from meadowpulley.model_checking.errors import UnknownNameError
@@ -36,11 +36,13 @@
     def __init__(self, settings: ModelSettings) -> None:
         if settings.configuration not in CONFIGURATIONS:
             raise UnknownNameError("scene", settings.configuration, CONFIGURATIONS)
-        self.settings, self.configuration = settings, CONFIGURATIONS[settings.configuration]
+        self.settings = settings
+        self.configuration = CONFIGURATIONS[settings.configuration]
         self.now = START_MS
         self.requests_left = tuple(range(settings.requests))  # requests still to come
         self.client_sends: tuple[tuple[int, int], ...] = ()  # request and gateway, of every ask
-        self.faults, self.time_advances = settings.faults, settings.time_advances
+        self.faults = settings.faults
+        self.time_advances = settings.time_advances
         self.finished = False
         self.messages: list[tuple[str, str, str]] = []
         self.own_gateways = {0, 1}  # gateways that no other copy of this model shares
@@ -80,12 +82,15 @@
         """Return a copy that shares gateways until one of them steps."""
         duplicate = type(self).__new__(type(self))
         duplicate.__dict__.update(self.__dict__)
-        duplicate.gateways, duplicate.messages, duplicate.own_gateways = list(self.gateways), [], set()
-        duplicate.monitor, duplicate.store = self.monitor.copy(), self.store.copy()
+        duplicate.gateways = list(self.gateways)
+        duplicate.messages = []
+        duplicate.own_gateways = set()
+        duplicate.monitor = self.monitor.copy()
+        duplicate.store = self.store.copy()
         duplicate.violations = duplicate.monitor.violations
         return duplicate
 
-    def _environment_form(self) -> tuple[Any, ...]:
+    def _environment_form(self) -> tuple[object, ...]:
         writer = FormWriter(FORM_RULES)
         return (
             self.now,
@@ -99,10 +104,12 @@
             self.monitor.form(),
         )
 
-    def form(self) -> Any:
+    def form(self) -> object:
         """Return the complete state in canonical form."""
-        return self._environment_form(), tuple(n.form() for n in self.gateways)
+        return self._environment_form(), tuple(gateway.form() for gateway in self.gateways)
 
     def fingerprint(self) -> int:
         """Return 64 bits of the canonical form."""
-        return fingerprint_of((self._environment_form(), tuple(n.fingerprint() for n in self.gateways)))
+        return fingerprint_of(
+            (self._environment_form(), tuple(gateway.fingerprint() for gateway in self.gateways))
+        )
--- a/meadowpulley/model_checking/shared_state_model/step_handlers.py
+++ b/meadowpulley/model_checking/shared_state_model/step_handlers.py
@@ -42,11 +42,10 @@
         pending = gateway.pending_requests.get(request)
         if pending is None or attempt not in pending.outstanding_attempts:
             return  # given up before its bytes went out
-        assert gateway.incarnation is not None
         server = pending.outstanding_attempts[attempt].server
         arrived = Attempt(
             gateway_index,
-            gateway.incarnation,
+            gateway.own_incarnation(),
             request,
             attempt,
             pending.request_id,
@@ -72,14 +71,15 @@
     def _carry_out(
         self, gateway: SimulatedGateway, commit: Commit, author: Incarnation | None = None
     ) -> tuple[TransactionResult, ...]:
-        incarnation = author or gateway.incarnation
-        assert incarnation is not None
+        incarnation = author or gateway.own_incarnation()
         results = tuple(self.monitor.commit(self.now, gateway.number, self.store, incarnation, commit))
         self.record_message(
-            gateway.name, "ledger", f"{commit.owner}: {', '.join(d.outcome.value for d in results)}"
+            gateway.name, "ledger", f"{commit.owner}: {', '.join(result.outcome.value for result in results)}"
         )
-        for step, result in zip(commit.transactions, results, strict=True):
-            for write in step.writes if result.outcome is TransactionOutcome.COMMITTED else ():
+        for transaction, result in zip(commit.transactions, results, strict=True):
+            if result.outcome is not TransactionOutcome.COMMITTED:
+                continue
+            for write in transaction.writes:
                 if isinstance(write, Fence):
                     self._check_fenced(write.incarnation)
         return results
@@ -115,7 +115,8 @@
 
     def _receive_ledger_view(self, gateway_index: int) -> None:
         gateway = self._stepping_gateway(gateway_index)
-        event, gateway.pending_view = gateway.pending_view or gateway.read_ledger(self), None
+        event = gateway.pending_view or gateway.read_ledger(self)
+        gateway.pending_view = None
         gateway.receive_ledger_view(self, event)
 
     def _take_attempt(self, index: int) -> Attempt:
@@ -159,12 +160,12 @@
 
     def _restart_gateway(self, gateway_index: int) -> None:
         gateway = self._stepping_gateway(gateway_index)
-        assert gateway.incarnation is not None
-        self.store.dead_incarnations.add(gateway.incarnation)
-        delayed_commits, last_request = gateway.delayed_commits, gateway.last_request
-        gateway = self.gateways[gateway_index] = SimulatedGateway(gateway_index, self.configuration)
-        gateway.delayed_commits, gateway.last_request = delayed_commits, last_request
-        gateway.start(self)
+        self.store.dead_incarnations.add(gateway.own_incarnation())
+        successor = SimulatedGateway(gateway_index, self.configuration)
+        successor.delayed_commits = gateway.delayed_commits
+        successor.last_request = gateway.last_request
+        self.gateways[gateway_index] = successor
+        successor.start(self)
 
     def _block_channel(self, gateway_index: int, channel: str) -> None:
         self._stepping_gateway(gateway_index).blocked_channels.add(channel)
@@ -181,8 +182,7 @@
         if moment == "after":
             self._carry_out(gateway, commit)
         elif moment == "late":
-            assert gateway.incarnation is not None
-            gateway.delayed_commits.append((gateway.incarnation, commit))
+            gateway.delayed_commits.append((gateway.own_incarnation(), commit))
         unknown = (TransactionResult(TransactionOutcome.UNKNOWN),) * len(commit.transactions)
         gateway.ledger_replies.append(CommitCompleted(commit.ticket, unknown, commit.owner))
 
--- a/meadowpulley/model_checking/shared_state_model/transitions.py
+++ b/meadowpulley/model_checking/shared_state_model/transitions.py
@@ -20,6 +20,9 @@
 
 RUN_OUT_MS = max(c.deadline_ms for c in CLASSES) + 4 * LEASE_TERM_MS  # by when everything has met its end
 REQUEST_STEPS = frozenset({"out", "run", "result"})  # the way of a request that lending let through
+RATE_ROUNDING = 1e-9  # as a fraction of the capacity: rates are sums of fractions
+LAPSE_MARGIN_MS = 1.0  # past the end of a lease
+MAX_QUIET_LEASE_TERMS = 3  # for how many lease terms time goes on where nothing but renewals happens
 MAX_SETTLE_STEPS = 20_000  # within one step: more is a circle
 
 
@@ -36,7 +39,8 @@
     def apply(self, step: Step) -> tuple[Sequence[int], Sequence[int]]:
         """Make a step happen and check all properties; nothing is drawn in this model."""
         RANDOM.begin(())
-        self.messages, self.own_gateways = [], set()
+        self.messages = []
+        self.own_gateways = set()
         if self._costs_fault(step):
             self.faults -= 1
         self._perform(step)
@@ -49,9 +53,9 @@
     def _check_invariants(self) -> None:
         """What must hold in every state, whoever has just stepped."""
         if self.configuration.lends:
-            rates = [node.admission_rate(self.now) for node in self.gateways]
-            if sum(rates) > PLAN.capacity_per_s * (1 + 1e-9) and not self.violations:
-                text = f"{' and '.join(f'{r:.2f}' for r in rates)} a second, of {PLAN.capacity_per_s:g}"
+            rates = [gateway.admission_rate(self.now) for gateway in self.gateways]
+            if sum(rates) > PLAN.capacity_per_s * (1 + RATE_ROUNDING) and not self.violations:
+                text = f"{' and '.join(f'{rate:.2f}' for rate in rates)} a second, of {PLAN.capacity_per_s:g}"
                 self.monitor.report("lent", self.now, -1, text)
 
     def _costs_fault(self, step: Step) -> bool:
@@ -98,22 +102,30 @@
         """On until something but renewals happens; or past the leases of those that stand or are held. What
         is lent is asked for and granted all the time: there by a turn of it, or by the term of a grant."""
         self.time_advances -= 1
-        until, routine_too = self.now + 3 * LEASE_TERM_MS, False
-        if destination == "turn" or (self.configuration.lends and destination == "lapse"):
-            until, routine_too = self.now + (PLAN.round_ms if destination == "turn" else PLAN.term_ms), True
-        elif destination == "lapse":
-            lease_ends = [
-                n.lease_ends_at for n in self.gateways if n.running and (n.stopped or n.blocked_channels)
-            ]
-            until = max(min(lease_ends, default=self.now), self.now) + 1.0
+        until, routine_too = self._time_goal(destination)
         while self._advance_to_next(until):
             self._settle(routine=not routine_too)
             if next(self._progress_steps(), None) is not None:
                 return
 
+    def _time_goal(self, destination: str) -> tuple[float, bool]:
+        """Return until when time goes on, and whether renewals count as something that happens."""
+        if destination == "turn":
+            return self.now + PLAN.round_ms, True
+        if destination != "lapse":
+            return self.now + MAX_QUIET_LEASE_TERMS * LEASE_TERM_MS, False
+        if self.configuration.lends:
+            return self.now + PLAN.term_ms, True
+        lease_ends = [
+            gateway.lease_ends_at
+            for gateway in self.gateways
+            if gateway.running and (gateway.stopped or gateway.blocked_channels)
+        ]
+        return max(min(lease_ends, default=self.now), self.now) + LAPSE_MARGIN_MS, False
+
     def _advance_to_next(self, until: float) -> bool:
         """Advance to the next moment at which something is due and poll all gateways; False if none."""
-        due_at = min(node.next_due() for node in self.gateways)
+        due_at = min(gateway.next_due() for gateway in self.gateways)
         if due_at > until or due_at == math.inf:
             self.now = max(until, self.now) if until < math.inf else self.now
             return False
@@ -129,16 +141,21 @@
     def _settle(self, allowed_actions: frozenset[str] = frozenset(), routine: bool = False) -> None:
         """What is under way goes on to its end: all, moves of some kinds only, or renewals and looks."""
         for _ in range(MAX_SETTLE_STEPS):
-            candidates = (
-                s for s in self._progress_steps() if (not allowed_actions or s.action in allowed_actions)
-            )
-            step = next((s for s in candidates if not routine or self._is_routine(s)), None)
+            step = self._next_progress_step(allowed_actions, routine)
             if step is None:
                 return
             self._perform(step)
             self._check_invariants()
         self.monitor.report("timers", self.now, -1, "what is under way never ends")
 
+    def _next_progress_step(self, allowed_actions: frozenset[str], routine: bool) -> Step | None:
+        for step in self._progress_steps():
+            if allowed_actions and step.action not in allowed_actions:
+                continue
+            if not routine or self._is_routine(step):
+                return step
+        return None
+
     def _is_routine(self, step: Step) -> bool:
         if step.action == "look":
             return True
