--- a/meadowpulley/model_checking/checkpoint.py
+++ b/meadowpulley/model_checking/checkpoint.py
@@ -10,13 +10,14 @@
 import msgspec
 import xxhash
 
+from meadowpulley.model_checking.errors import ModelCheckingError
 from meadowpulley.model_checking.model import ModelSettings
 
 CHECKPOINT_VERSION = 1
 DIGEST_BYTES = 16
 
 
-class CheckpointError(ValueError):
+class CheckpointError(ModelCheckingError, ValueError):
     """A checkpoint that can't be resumed; the text is one line with the reason."""
 
 
--- a/meadowpulley/model_checking/choices.py
+++ b/meadowpulley/model_checking/choices.py
@@ -14,12 +14,14 @@
 from itertools import permutations
 from typing import Any, TypeVar
 
+from meadowpulley.model_checking.errors import ModelCheckingError
+
 T = TypeVar("T")
 UNIT_INTERVAL_ENDS = (0.0, 0.999999)
 TIE_BREAKERS = (0.0, 10.0)
 
 
-class ChoiceScriptError(Exception):
+class ChoiceScriptError(ModelCheckingError):
     """A script that does not fit what the code draws."""
 
 
@@ -35,7 +37,10 @@
 
     def begin(self, script: Sequence[int]) -> None:
         """Start a run that follows the script."""
-        self.script, self.chosen, self.option_counts, self._second_tie_breaker = script, [], [], None
+        self.script = script
+        self.chosen = []
+        self.option_counts = []
+        self._second_tie_breaker = None
 
     def choose(self, option_count: int) -> int:
         """One of so many; with one there is nothing to choose."""
@@ -73,7 +78,8 @@
             position = self.choose(2)
             self._second_tie_breaker = TIE_BREAKERS[1 - position]
             return TIE_BREAKERS[position]
-        value, self._second_tie_breaker = self._second_tie_breaker, None
+        value = self._second_tie_breaker
+        self._second_tie_breaker = None
         return value
 
     def __getattr__(self, name: str) -> Any:
--- a/meadowpulley/model_checking/connection_model/invariants.py
+++ b/meadowpulley/model_checking/connection_model/invariants.py
@@ -143,21 +143,24 @@
 
     def _check_forwarding(self) -> None:
         """Check that requests completed at an instance by this step may be sent there, and at all."""
-        clients_by_request = {request_id: c for c in self.clients for request_id in c.request_ids}
         for connection in self.instance_connections:
             requests, _ = parse_messages(connection.transport.received_by_peer, True)
             sent_at = connection.transport.last_sent_at
             for request in requests[connection.seen_requests :]:
                 request_id = request.headers.get(protocol.REQUEST_ID_HEADER, "")
-                client = clients_by_request.get(request_id)
-                closed_at = client.closed_at if client is not None else math.inf
-                if request_id in self.undispatched_requests and sent_at > closed_at + DISCONNECT_GRACE_MS:
-                    late_ms = sent_at - closed_at
-                    text = f"request {request_id} was sent on {late_ms:.0f} ms after its client had gone"
-                    self._report_violation("gone", text)
+                self._check_client_present(request_id, sent_at)
                 self._check_drain_grace(request_id, connection.transport.address, sent_at)
             connection.seen_requests = len(requests)
 
+    def _check_client_present(self, request_id: str, sent_at: float) -> None:
+        """Check that no request gets its first attempt long after its client has gone."""
+        client = next((client for client in self.clients if request_id in client.request_ids), None)
+        closed_at = client.closed_at if client is not None else math.inf
+        if request_id in self.undispatched_requests and sent_at > closed_at + DISCONNECT_GRACE_MS:
+            late_ms = sent_at - closed_at
+            text = f"request {request_id} was sent on {late_ms:.0f} ms after its client had gone"
+            self._report_violation("gone", text)
+
     def _check_drain_grace(self, request_id: str, address: tuple[str, int] | None, sent_at: float) -> None:
         """Check that an instance gets no request once it has been out of service for the grace."""
         notified_at = self.notified_at.get(address or ("", 0), math.inf)
@@ -189,8 +192,8 @@
                 continue
             messages, _ = parse_messages(client.transport.received_by_peer, False)
             responses = _final_responses(messages)
-            kept_alive = all(response.keep_alive for response in responses)
-            if len(responses) < client.owed_responses and kept_alive:
+            keep_alive = all(response.keep_alive for response in responses)
+            if len(responses) < client.owed_responses and keep_alive:
                 text = f"client {client.number} wrote {client.owed_responses} whole requests "
                 text += f"and got {len(responses)} answers"
                 self._report_violation("answers", text)
@@ -199,11 +202,11 @@
         self._check_counters()
         self._check_leftovers()
         stopped = self.gateway.phase is GatewayPhase.STOPPED and self.reactor.stopped
-        told_to_stop = self.stop_requested or self.gateway.phase in (
+        must_stop = self.stop_requested or self.gateway.phase in (
             GatewayPhase.DRAINING,
             GatewayPhase.STOPPED,
         )
-        if told_to_stop and not stopped:
+        if must_stop and not stopped:
             self._report_violation("ends", "told to end, all connections over, and it did not end")
 
     def _check_counters(self) -> None:
--- a/meadowpulley/model_checking/counterexample.py
+++ b/meadowpulley/model_checking/counterexample.py
@@ -12,16 +12,21 @@
 from msgspec.structs import replace
 
 from meadowpulley.model_checking.choices import ChoiceScriptError
+from meadowpulley.model_checking.errors import ModelCheckingError
 from meadowpulley.model_checking.model import Model, ModelSettings, Step, make_model
 from meadowpulley.model_checking.properties import PROPERTIES
 from meadowpulley.model_checking.search import ViolatingPath
 
 FORMAT_VERSION = 1
-ROW_HEIGHT, HEADER_HEIGHT, LANE_WIDTH, MARGIN = 22, 60, 150, 20  # pixels of the diagram
+# Pixels of the diagram.
+ROW_HEIGHT = 22
+HEADER_HEIGHT = 60
+LANE_WIDTH = 150
+MARGIN = 20
 Messages = Sequence[tuple[str, str, str]]
 
 
-class CounterexampleError(ValueError):
+class CounterexampleError(ModelCheckingError, ValueError):
     """A file that is no counterexample; the text says what, where and what to do."""
 
 
@@ -143,7 +148,8 @@
                 counterexample.property_name,
             )
             if shorter_steps is not None:
-                steps, changed = shorter_steps, True
+                steps = shorter_steps
+                changed = True
                 break
     for position, step in enumerate(steps):
         if any(step.draws):
--- a/meadowpulley/model_checking/fuzz/runner.py
+++ b/meadowpulley/model_checking/fuzz/runner.py
@@ -8,8 +8,10 @@
 
 from hypothesis import HealthCheck, given, seed, settings, strategies as st
 
+from meadowpulley.model_checking.errors import ModelCheckingError
 
-class FuzzError(AssertionError):
+
+class FuzzError(ModelCheckingError, AssertionError):
     """A parser failed its check; the text has the reason."""
 
 
@@ -51,7 +53,8 @@
         try:
             target.check(data)
         except FuzzError as error:
-            result.failing_input, result.reason = data, f"corpus {name}: {error}"
+            result.failing_input = data
+            result.reason = f"corpus {name}: {error}"
             return result
     last_input: list[bytes] = [b""]
 
--- a/meadowpulley/model_checking/mutation.py
+++ b/meadowpulley/model_checking/mutation.py
@@ -16,6 +16,8 @@
 from types import ModuleType
 from typing import Any
 
+from meadowpulley.model_checking.errors import ModelCheckingError
+
 PACKAGES_UNDER_TEST = (
     "meadowpulley.policy",
     "meadowpulley.state",
@@ -31,7 +33,7 @@
 _planted: _MutantFinder | None = None
 
 
-class MutantError(ValueError):
+class MutantError(ModelCheckingError, ValueError):
     """A mutant that can't be planted; the text is one line with the reason."""
 
 
--- a/meadowpulley/model_checking/mutation_testing.py
+++ b/meadowpulley/model_checking/mutation_testing.py
@@ -15,7 +15,8 @@
 from meadowpulley.model_checking.mutation import Mutant
 from meadowpulley.model_checking.search import Search
 
-WALK_STEPS, WALK_COUNT = 60, 2000
+WALK_STEPS = 60
+WALK_COUNT = 2000
 
 
 class MutationResult(Struct, frozen=True):
--- a/meadowpulley/model_checking/policy_model/enabled_steps.py
+++ b/meadowpulley/model_checking/policy_model/enabled_steps.py
@@ -122,7 +122,7 @@
                     possible = not attempt_out.response_sent or result == "reset"
                     if possible and self._fault_allowed(result):
                         yield Step("outcome", (gateway_index, request, attempt, result))
-                key = self.configuration.kinds[pending.kind % len(self.configuration.kinds)][1]
+                _, key = self.configuration.kinds[pending.kind % len(self.configuration.kinds)]
                 if key and not attempt_out.response_sent and self._binds_key(attempt_out.build):
                     yield Step("answered", (gateway_index, request, attempt))
             if not pending.answered and self._fault_allowed("leave"):
--- a/meadowpulley/model_checking/policy_model/state.py
+++ b/meadowpulley/model_checking/policy_model/state.py
@@ -139,22 +139,25 @@
             sorted(self.configuration.kinds[n % len(self.configuration.kinds)] for n in self.requests_left)
         )
         environment_may_step = not self.settings.ordered_gateways or self.last_to_step < 0
-        rollout = tuple((n.build, n.stage, int(n.phase), n.cap) for n in self.rollout_history)
+        rollout = tuple(
+            (update.build, update.stage, int(update.phase), update.cap) for update in self.rollout_history
+        )
         return self.now, environment_may_step, kinds, self.faults, self.time_advances, server_lists, rollout
 
     def _canonical_server_numbers(self) -> dict[int, int]:
         """Servers by what is known and recorded of them, not by their numbers."""
-        server_ids = [e.server for e in self.server_lists[0]]
-        gateway_fingerprints = [h.server_fingerprints(server_ids) for h in self.gateways]
+        server_ids = [entry.server for entry in self.server_lists[0]]
+        by_gateway = [gateway.server_fingerprints(server_ids) for gateway in self.gateways]
         orderings = []
         for position, server_id in enumerate(server_ids):
-            known = [
-                (int(e.state), e.build, e.started_ms)
-                for entries in self.server_lists
-                for e in entries
-                if e.server == server_id
-            ]
-            listed = [any(e.server == server_id for e in entries) for entries in self.server_lists]
-            orderings.append((known, listed, sorted(p[position] for p in gateway_fingerprints), server_id))
+            known, listed = self._history_of(server_id)
+            fingerprints = sorted(one_gateway[position] for one_gateway in by_gateway)
+            orderings.append((known, listed, fingerprints, server_id))
         orderings.sort()
         return {number: place for place, (*_, number) in enumerate(orderings)}
+
+    def _history_of(self, server: int) -> tuple[list[tuple[int, int, float]], list[bool]]:
+        """Return the entries of a server in all lists, and in which lists it stands."""
+        entries = [self.entry_at(version, server) for version in range(len(self.server_lists))]
+        known = [(int(entry.state), entry.build, entry.started_ms) for entry in entries if entry is not None]
+        return known, [entry is not None for entry in entries]
--- a/meadowpulley/model_checking/search.py
+++ b/meadowpulley/model_checking/search.py
@@ -22,26 +22,35 @@
 from meadowpulley.model_checking import mutation
 from meadowpulley.model_checking.checkpoint import Checkpoint, read_checkpoint, write_checkpoint
 from meadowpulley.model_checking.choices import alternatives
+from meadowpulley.model_checking.errors import ModelCheckingError
 from meadowpulley.model_checking.model import Model, ModelSettings, Step, make_model
 from meadowpulley.model_checking.properties import Violation
 
 CHUNK_SIZE = 48  # nodes handed to a worker at a time
+INDEX_BYTES = 2  # of a step's place among the enabled ones, in a path
+NO_DEPTH_LIMIT = 10_000  # steps: more than any search gets to
+NO_BUDGET_S = 1e9
+WALK_SEED_STRIDE = 1_000_003  # a prime above any number of walks, so that no two seeds share a walk
+WALKS_PER_WORKER = 4  # in a batch
+MIN_WALK_BATCH = 8
 
 
 def pack_step(index: int, draws: Sequence[int]) -> bytes:
     """A step as a node's path holds it: its place among the enabled ones, then what was drawn."""
-    return bytes((index >> 8, index & 255, len(draws), *draws))
+    return bytes((*index.to_bytes(INDEX_BYTES, "big"), len(draws), *draws))
 
 
 def unpack_path(path: bytes) -> list[tuple[int, tuple[int, ...]]]:
     """Return the steps of a path, each by its index and what was drawn."""
-    steps, offset = [], 0
+    steps = []
+    offset = 0
     while offset < len(path):
-        draw_count = path[offset + 2]
-        steps.append(
-            (path[offset] << 8 | path[offset + 1], tuple(path[offset + 3 : offset + 3 + draw_count]))
-        )
-        offset += 3 + draw_count
+        index_end = offset + INDEX_BYTES
+        draws_start = index_end + 1  # behind the number of draws
+        draws_end = draws_start + path[index_end]
+        index = int.from_bytes(path[offset:index_end], "big")
+        steps.append((index, tuple(path[draws_start:draws_end])))
+        offset = draws_end
     return steps
 
 
@@ -151,13 +160,19 @@
     _expander = Expander(settings)
 
 
+def _worker_expander() -> Expander:
+    if _expander is None:
+        raise ModelCheckingError("search: this process is no worker; start it by a WorkerPool")
+    return _expander
+
+
 def _expand_paths(paths: Sequence[bytes]) -> tuple[int, list[tuple[Any, int, bytes, Violation | None]]]:
     """All that follows some nodes, each state once, with the place of the node it follows."""
-    assert _expander is not None
+    expander = _worker_expander()
     successors: dict[Any, tuple[Any, int, bytes, Violation | None]] = {}
     transitions = 0
     for position, path in enumerate(paths):
-        for state_key, step, violation in _expander.expand(path):
+        for state_key, step, violation in expander.expand(path):
             transitions += 1
             if violation is not None:
                 successors[state_key, position, step] = (state_key, position, step, violation)
@@ -169,9 +184,8 @@
 def _random_walk(task: tuple[int, int]) -> tuple[int, ViolatingPath | None]:
     """One seeded walk of so many steps, every step and draw by chance."""
     seed, walk_length = task
-    assert _expander is not None
     rng = random.Random(seed)
-    model = make_model(_expander.settings)
+    model = make_model(_worker_expander().settings)
     path: list[Step] = []
     for step_number in range(walk_length):
         steps = model.enabled_steps()
@@ -238,7 +252,10 @@
         progress: Callable[[Coverage], None] = lambda _: None,
         checkpoint: Path | None = None,
     ) -> None:
-        self.settings, self.mutant, self.progress, self.checkpoint = settings, mutant, progress, checkpoint
+        self.settings = settings
+        self.mutant = mutant
+        self.progress = progress
+        self.checkpoint = checkpoint
         self.rng = random.Random(seed)
         self.seed = seed
         self.coverage = Coverage(settings)
@@ -253,9 +270,10 @@
         """Stop the workers."""
         self.pool.close()
 
-    def run(self, max_depth: int = 10_000, budget_s: float = 1e9) -> Coverage:
+    def run(self, max_depth: int = NO_DEPTH_LIMIT, budget_s: float = NO_BUDGET_S) -> Coverage:
         """Searches until all is seen, a property breaks, or a bound is met."""
-        started_at, coverage = time.monotonic() - self.elapsed_s, self.coverage
+        started_at = time.monotonic() - self.elapsed_s
+        coverage = self.coverage
         while self.frontier and coverage.counterexample is None:
             if coverage.depth >= max_depth:
                 coverage.stop_reason = f"the depth of {max_depth} steps"
@@ -264,7 +282,8 @@
                 coverage.stop_reason = f"the budget of {budget_s:g} s"
                 break
             level_complete = self._search_level(started_at, budget_s)
-            coverage.elapsed_s = self.elapsed_s = time.monotonic() - started_at
+            self.elapsed_s = time.monotonic() - started_at
+            coverage.elapsed_s = self.elapsed_s
             if not level_complete:
                 coverage.stop_reason = f"the budget of {budget_s:g} s, within level {coverage.depth + 1}"
                 break
@@ -314,11 +333,12 @@
             )
         return True
 
-    def walk(self, walk_count: int, walk_length: int, budget_s: float = 1e9) -> Coverage:
+    def walk(self, walk_count: int, walk_length: int, budget_s: float = NO_BUDGET_S) -> Coverage:
         """So many seeded walks of so many steps. Same seed, same walks."""
-        started_at, coverage = time.monotonic(), self.coverage
-        tasks = [(self.seed * 1_000_003 + n, walk_length) for n in range(walk_count)]
-        batch = max(4 * self.pool.workers, 8)
+        started_at = time.monotonic()
+        coverage = self.coverage
+        tasks = [(self.seed * WALK_SEED_STRIDE + number, walk_length) for number in range(walk_count)]
+        batch = max(WALKS_PER_WORKER * self.pool.workers, MIN_WALK_BATCH)
         for start in range(0, walk_count, batch):
             for steps_taken, violating_path in self.pool.map(_random_walk, tasks[start : start + batch]):
                 coverage.walks += 1
@@ -348,6 +368,7 @@
 
     def _resume_checkpoint(self, path: Path) -> None:
         checkpoint = read_checkpoint(path, self.settings, self.mutant)
-        self.visited, self.frontier = checkpoint.visited_keys(), checkpoint.frontier
+        self.visited = checkpoint.visited_keys()
+        self.frontier = checkpoint.frontier
         self.elapsed_s = checkpoint.elapsed_s
         self.coverage.levels = [Level(*level) for level in checkpoint.levels]
