--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -282,7 +282,11 @@
     assert turns.request(turns.client()) == 200
 
 
-@pytest.mark.parametrize("request_", [b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", PIPELINED_REQUEST])
+@pytest.mark.parametrize(
+    "request_",
+    [b"GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n", PIPELINED_REQUEST],
+    ids=["answered at once", "waiting for an instance"],
+)
 def test_endless_flood_is_disconnected(turns: ReactorHarness, request_: bytes) -> None:
     client = turns.client()
     client.socket.setblocking(False)
@@ -342,7 +346,9 @@
     assert turns.read_to_end(client).endswith(bytes(150_000))
 
 
-@pytest.mark.parametrize("past_ms", [IDLE_TIMEOUT_MS, 4000.0 + SLOW_READER_GRACE_MS])
+@pytest.mark.parametrize(
+    "past_ms", [IDLE_TIMEOUT_MS, 4000.0 + SLOW_READER_GRACE_MS], ids=["short deadline", "long deadline"]
+)
 def test_client_that_reads_nothing_times_out(turns: ReactorHarness, past_ms: float) -> None:
     client = SlowReader(turns.port)
     client.send("GET", "/look", X_Remaining="4000m" if past_ms > IDLE_TIMEOUT_MS else "10m")
--- a/tests/test_net_config.py
+++ b/tests/test_net_config.py
@@ -40,8 +40,10 @@
 ]
 
 
-@pytest.mark.parametrize("read", [read_config, reload_config])
-@pytest.mark.parametrize(("path", "value", "message"), INVALID_VALUES)
+@pytest.mark.parametrize("read", [read_config, reload_config], ids=["start", "reload"])
+@pytest.mark.parametrize(
+    ("path", "value", "message"), INVALID_VALUES, ids=[message for _, _, message in INVALID_VALUES]
+)
 def test_an_invalid_value_is_rejected_in_one_line_with_its_location(
     tmp_path: Path, path: tuple[Any, ...], value: Any, message: str, read: Callable[..., Config]
 ) -> None:
