--- a/meadowpulley/ledger/commit_batches.py
+++ b/meadowpulley/ledger/commit_batches.py
@@ -83,6 +83,7 @@
         self.queued_bytes = 0
 
     def __len__(self) -> int:
+        """Return how many commits wait."""
         return len(self._queue)
 
     def add(self, commit: Commit) -> None:
--- a/meadowpulley/ledger/records.py
+++ b/meadowpulley/ledger/records.py
@@ -25,6 +25,7 @@
     epoch: int
 
     def __str__(self) -> str:
+        """Return name and epoch, as the log and counters have them."""
         return f"{self.name}.{self.epoch}"
 
 
--- a/meadowpulley/rules/violations.py
+++ b/meadowpulley/rules/violations.py
@@ -33,5 +33,6 @@
     text: str
 
     def __str__(self) -> str:
+        """Return the violation in one line."""
         origin = f" gateway {self.gateway}" if self.gateway >= 0 else ""
         return f"{self.at / MS_PER_SECOND:.3f} s{origin}: {self.rule}: {self.text}"
--- a/meadowpulley/simulator_adapter/codec.py
+++ b/meadowpulley/simulator_adapter/codec.py
@@ -216,7 +216,7 @@
     return gateway, LedgerUpdate(update_kind, ledger, version)
 
 
-def _read_request(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
+def _read_request(batch: EventBatch, offset: int, _where: str) -> tuple[int, Record]:
     gateway, request_id, request_class, tenant, key, deadline_ms, work_hint, flags = _REQUEST.unpack_from(
         batch.records, offset
     )
@@ -228,19 +228,19 @@
     )
 
 
-def _read_incorrect_response(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
+def _read_incorrect_response(batch: EventBatch, offset: int, _where: str) -> tuple[int, Record]:
     gateway, server, request_class, age_ms = _INCORRECT_RESPONSE.unpack_from(batch.records, offset)
     return gateway, IncorrectResponse(server, request_class, age_ms)
 
 
-def _read_build_statistics(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
+def _read_build_statistics(batch: EventBatch, offset: int, _where: str) -> tuple[int, Record]:
     gateway, build, request_class, attempts, failed, mean_latency, age_ms = _BUILD_STATISTICS.unpack_from(
         batch.records, offset
     )
     return gateway, BuildStatistics(build, request_class, attempts, failed, mean_latency, age_ms)
 
 
-def _read_stop(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
+def _read_stop(batch: EventBatch, offset: int, _where: str) -> tuple[int, Record]:
     return _GATEWAY.unpack_from(batch.records, offset)[0], StopGateway()
 
 
@@ -253,7 +253,7 @@
     return gateway, RolloutUpdate(build, stage, phase, exposure_cap, age_ms, result, reason_code == 1)
 
 
-def _read_timer(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
+def _read_timer(batch: EventBatch, offset: int, _where: str) -> tuple[int, Record]:
     gateway, token = _GATEWAY_AND_ID.unpack_from(batch.records, offset)
     return gateway, Timer(token)
 
@@ -274,7 +274,7 @@
     )
 
 
-def _read_client_disconnect(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
+def _read_client_disconnect(batch: EventBatch, offset: int, _where: str) -> tuple[int, Record]:
     gateway, request_id = _GATEWAY_AND_ID.unpack_from(batch.records, offset)
     return gateway, ClientDisconnected(request_id)
 
@@ -284,7 +284,7 @@
     return gateway, GossipReceived(sender, _tail_slice(batch, tail_offset, size, where))
 
 
-def _read_response_started(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
+def _read_response_started(batch: EventBatch, offset: int, _where: str) -> tuple[int, Record]:
     gateway, request_id, attempt, server, elapsed_ms = _RESPONSE_STARTED.unpack_from(batch.records, offset)
     return gateway, ResponseStarted(request_id, attempt, server, elapsed_ms)
 
