--- a/meadowpulley/model_checking/fuzz/runner.py
+++ b/meadowpulley/model_checking/fuzz/runner.py
@@ -76,5 +76,6 @@
     try:
         play()
     except FuzzError as error:
-        result.failing_input, result.reason = last_input[0], str(error)
+        result.failing_input = last_input[0]
+        result.reason = str(error)
     return result
--- a/meadowpulley/model_checking/mutation_testing.py
+++ b/meadowpulley/model_checking/mutation_testing.py
@@ -7,6 +7,7 @@
 import time
 from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor, as_completed
+from itertools import product
 
 from msgspec import Struct, field
 
@@ -92,9 +93,9 @@
     results: list[MutationResult] = []
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(workers or os.cpu_count() or 1, context, max_tasks_per_child=1) as pool:
-        tasks = [pool.submit(run_mutant, name, seed, budget_s) for name in names for seed in seeds]
+        tasks = [pool.submit(run_mutant, name, seed, budget_s) for name, seed in product(names, seeds)]
         for task in as_completed(tasks):
             results.append(task.result())
             report_result(results[-1])
-    order = {(name, seed): (n, m) for n, name in enumerate(names) for m, seed in enumerate(seeds)}
-    return sorted(results, key=lambda result: order[result.mutant, result.seed])
+    places = {name_and_seed: place for place, name_and_seed in enumerate(product(names, seeds))}
+    return sorted(results, key=lambda result: places[result.mutant, result.seed])
--- a/meadowpulley/model_checking/scripted_reactor.py
+++ b/meadowpulley/model_checking/scripted_reactor.py
@@ -1,5 +1,8 @@
 """A reactor, ports and transports without sockets or time, on which the gateway's classes run in a model."""
 
+# Methods that Twisted's interfaces name keep those names.
+# ruff: noqa: N802
+
 from __future__ import annotations
 
 import heapq
@@ -11,13 +14,16 @@
 from twisted.python.failure import Failure
 
 MAX_READ_BYTES = 64 * 1024  # what the reactor delivers in one piece
+MAX_CALLS_IN_A_MOMENT = 10_000  # more is a call that is set again and again
 
 
 class DelayedCall:
     """A call that the reactor owes, as `callLater` gives it back."""
 
     def __init__(self, reactor: ScriptedReactor, due_at: float, function: Callable[[], None]) -> None:
-        self.reactor, self.due_at, self.function = reactor, due_at, function
+        self.reactor = reactor
+        self.due_at = due_at
+        self.function = function
         self.done = False
 
     def reset(self, seconds: float) -> None:
@@ -29,7 +35,9 @@
     """A connection in the making."""
 
     def __init__(self, reactor: ScriptedReactor, address: tuple[str, int], factory: Any) -> None:
-        self.reactor, self.address, self.factory = reactor, address, factory
+        self.reactor = reactor
+        self.address = address
+        self.factory = factory
         self.done = False
 
     def disconnect(self) -> None:
@@ -41,7 +49,7 @@
         if not self.done:
             self.done = True
             self.reactor.pending_connections.remove(self)
-            self.factory.clientConnectionFailed(self, Failure(ConnectionRefusedError()))  # type: ignore[no-untyped-call]
+            self.factory.clientConnectionFailed(self, Failure(ConnectionRefusedError()))  # type: ignore[no-untyped-call]  # Twisted's Failure has no types
 
     def accept(self) -> ScriptedTransport:
         """Accept the connection, as the other end; return its transport."""
@@ -59,18 +67,18 @@
         self.numberAccepts = 1
         self.is_reading = self.is_open = True
 
-    def stopReading(self) -> None:  # noqa: N802
+    def stopReading(self) -> None:
         """Accept no connections."""
         self.is_reading = False
 
-    def startReading(self) -> None:  # noqa: N802
+    def startReading(self) -> None:
         """Accept connections."""
         self.is_reading = True
 
-    def doRead(self) -> None:  # noqa: N802
+    def doRead(self) -> None:
         """Do nothing: models accept connections at once."""
 
-    def connectionLost(self, reason: Failure) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure) -> None:
         """Close the port."""
         self.is_open = False
 
@@ -94,7 +102,9 @@
     """The transport of one link, and the other end's view: `sent` is what came there."""
 
     def __init__(self, reactor: ScriptedReactor, protocol: Any, address: tuple[str, int] | None) -> None:
-        self.reactor, self.protocol, self.address = reactor, protocol, address
+        self.reactor = reactor
+        self.protocol = protocol
+        self.address = address
         self.received_by_peer = b""
         self.last_sent_at = 0.0  # when its last bytes went
         self.unread = b""  # in the kernel, not read yet
@@ -109,10 +119,10 @@
 
     # What a protocol calls
 
-    def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802
+    def setTcpNoDelay(self, on: bool) -> None:
         """Do nothing."""
 
-    def writeSomeData(self, data: bytes) -> int:  # noqa: N802
+    def writeSomeData(self, data: bytes) -> int:
         """Write at once what the kernel takes; return how many bytes."""
         if not self.connected or self.closing or self.write_blocked:
             return 0
@@ -128,17 +138,18 @@
                 self._transmit(data)
 
     def _transmit(self, data: bytes) -> None:
-        self.received_by_peer, self.last_sent_at = self.received_by_peer + data, self.reactor.now
+        self.received_by_peer += data
+        self.last_sent_at = self.reactor.now
         if self.peer_closed:
             self.reactor.callLater(0, self.disconnect)
 
-    def registerProducer(self, producer: Any, streaming: bool) -> None:  # noqa: N802
+    def registerProducer(self, producer: Any, streaming: bool) -> None:
         """Register a producer, which is polled for all that the kernel accepts."""
         self.producer = producer
         if not self.write_blocked:
             self.resume_producer()
 
-    def unregisterProducer(self) -> None:  # noqa: N802
+    def unregisterProducer(self) -> None:
         """Unregister the producer."""
         self.producer = None
 
@@ -150,7 +161,8 @@
     def unblock_writes(self) -> None:
         """The kernel takes bytes again."""
         self.write_blocked = False
-        buffered, self.write_buffer = self.write_buffer, b""
+        buffered = self.write_buffer
+        self.write_buffer = b""
         self._transmit(buffered)
         self.resume_producer()
         if self.closing and self.connected and not self.end_of_input and self.closing_both_ways:
@@ -158,35 +170,35 @@
 
     closing_both_ways = False
 
-    def loseConnection(self) -> None:  # noqa: N802
+    def loseConnection(self) -> None:
         """Close the connection once all is written."""
         self.closing = self.closing_both_ways = True
         if not self.write_blocked:
             self.reactor.callLater(0, self.disconnect)
 
-    def loseWriteConnection(self) -> None:  # noqa: N802
+    def loseWriteConnection(self) -> None:
         """Write no more."""
         self.closing = True
 
-    def abortConnection(self) -> None:  # noqa: N802
+    def abortConnection(self) -> None:
         """Close the connection at once."""
         self.disconnect()
 
-    def stopReading(self) -> None:  # noqa: N802
+    def stopReading(self) -> None:
         """Leave bytes that come in the kernel."""
         self.is_reading = False
 
-    def startReading(self) -> None:  # noqa: N802
+    def startReading(self) -> None:
         """Read again, what waits in the kernel first."""
         self.is_reading = True
         if self.unread or self.end_of_input:
             self.reactor.callLater(0, self.deliver)
 
-    def getHandle(self) -> _SocketHandle:  # noqa: N802
+    def getHandle(self) -> _SocketHandle:
         """Return what stands for the socket."""
         return _SocketHandle(self)
 
-    def connectionLost(self, reason: Failure) -> None:  # noqa: N802
+    def connectionLost(self, reason: Failure) -> None:
         """Close the connection at once."""
         self.closing = True
         self.disconnect()
@@ -198,7 +210,7 @@
         if self.connected:
             self.connected = False
             self.reactor.transports.remove(self)
-            self.protocol.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
+            self.protocol.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]  # Twisted's Failure has no types
 
     def receive(self, data: bytes) -> None:
         """Bytes come and are read at once, unless nobody reads."""
@@ -210,7 +222,8 @@
     def deliver(self) -> None:
         """Deliver unread bytes, then the end of the other end's sending."""
         while self.connected and self.is_reading and self.unread:
-            data, self.unread = self.unread[:MAX_READ_BYTES], self.unread[MAX_READ_BYTES:]
+            data = self.unread[:MAX_READ_BYTES]
+            self.unread = self.unread[MAX_READ_BYTES:]
             self.protocol.dataReceived(data)
         if self.connected and self.is_reading and self.end_of_input:
             half_close: Any = IHalfCloseableProtocol(self.protocol, None)
@@ -233,7 +246,7 @@
         self.ports: list[Any] = []
         self.stopped = False
 
-    def callLater(self, seconds: float, function: Callable[..., None], *args: Any) -> DelayedCall:  # noqa: N802
+    def callLater(self, seconds: float, function: Callable[..., None], *args: Any) -> DelayedCall:
         """Call a function in so many seconds."""
         delayed_call = DelayedCall(
             self, self.now + seconds * 1000.0, (lambda: function(*args)) if args else function
@@ -241,17 +254,17 @@
         self.delayed_calls.append(delayed_call)
         return delayed_call
 
-    def callFromThread(self, function: Callable[..., None], *args: Any) -> None:  # noqa: N802
+    def callFromThread(self, function: Callable[..., None], *args: Any) -> None:
         """Call a function as soon as the current call has ended."""
         self.callLater(0, function, *args)
 
-    def connectTCP(self, host: str, port: int, factory: Any, timeout: Any = None) -> PendingConnection:  # noqa: N802
+    def connectTCP(self, host: str, port: int, factory: Any, timeout: Any = None) -> PendingConnection:
         """Begin a connection, which the model accepts or refuses."""
         connector = PendingConnection(self, (host, port), factory)
         self.pending_connections.append(connector)
         return connector
 
-    def listenTCP(self, port: int, factory: Any, backlog: int = 0, interface: str = "") -> ScriptedPort:  # noqa: N802
+    def listenTCP(self, port: int, factory: Any, backlog: int = 0, interface: str = "") -> ScriptedPort:
         """Open a port."""
         port_object = self.make_port(factory)
         self.ports.append(port_object)
@@ -274,7 +287,7 @@
 
     def run_due(self) -> None:
         """Runs what is due now, and what that sets for now."""
-        for _ in range(10_000):
+        for _ in range(MAX_CALLS_IN_A_MOMENT):
             due = [
                 (c.due_at, n, c)
                 for n, c in enumerate(self.delayed_calls)
