--- a/meadowpulley/emulator/emulation.py
+++ b/meadowpulley/emulator/emulation.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import replace
 from functools import partial
-from typing import Any
+from typing import NamedTuple
 
 from meadowpulley.emulator.clients import ClientRequest, GatewayEndpoint, SimulatedClients
 from meadowpulley.emulator.clock import RandomStreams, VirtualClock, uniform
+from meadowpulley.emulator.errors import NoTakeoverStageError
 from meadowpulley.emulator.failpoints import Failpoints
 from meadowpulley.emulator.faults import FaultInjector
 from meadowpulley.emulator.gateway import SimulatedGateway
@@ -34,7 +35,8 @@
     Settings,
     Vote,
 )
-from meadowpulley.ledger import Incarnation, Transaction
+from meadowpulley.ledger import Incarnation, Stage, Transaction
+from meadowpulley.ledger.stage import StageAction
 from meadowpulley.load.arrivals import Arrival
 from meadowpulley.policy import RolloutPolicy
 from meadowpulley.rules import KeyAnswered, Record, RuleParameters, TraceChecker
@@ -44,6 +46,13 @@
 FAILURE_DETECTION_MS = 1000.0  # until the front end stops sending clients to a crashed gateway
 
 
+class AttemptTag(NamedTuple):
+    """What a job at a server belongs to."""
+
+    gateway: SimulatedGateway
+    attempt: Attempt
+
+
 class Emulation(ServerFleet):
     """A described fleet under a load. `run` plays it to its end, `run_until` in parts.
 
@@ -57,7 +66,7 @@
         load: Iterable[Arrival],
         seed: int,
         scenario: Scenario | None = None,
-        build_policy: Callable[[Settings, int], Any] = RolloutPolicy,
+        build_policy: Callable[[Settings, int], Stage] = RolloutPolicy,
         on_record: Callable[[Record], None] | None = None,
         from_ms: float = 0.0,
         shared_state: SharedState | None = None,
@@ -125,7 +134,7 @@
         """Return the tenant index of a key; 0 without shared state."""
         return self.shared_state.tenant_of(key) if self.shared_state is not None else 0
 
-    def build_stages(self, gateway: SimulatedGateway, seed: int) -> tuple[Any, list[Any]]:
+    def build_stages(self, gateway: SimulatedGateway, seed: int) -> tuple[Stage, Sequence[StageAction]]:
         """Return the outermost stage of a gateway's new incarnation and its first actions."""
         policy = self.build_policy(gateway.settings, seed)
         if self.shared_state is None or self.ledger is None or gateway.incarnation is None:
@@ -145,12 +154,13 @@
         return chain.lease_manager, chain.lease_manager.start(self.clock.now)
 
     def takeover_of(self, gateway: SimulatedGateway) -> TakeoverStage:
-        """Return the takeover stage of a gateway."""
+        """Return the takeover stage of a gateway. Raises `NoTakeoverStageError` where it has none."""
         takeover = self.chains[gateway.number].takeover
-        assert takeover is not None
+        if takeover is None:
+            raise NoTakeoverStageError(gateway.number)
         return takeover
 
-    def release_lease(self, gateway: SimulatedGateway) -> list[Any]:
+    def release_lease(self, gateway: SimulatedGateway) -> list[StageAction]:
         """Return the actions of a gateway's graceful shutdown."""
         return self.chains[gateway.number].release(self.clock.now)
 
@@ -226,7 +236,7 @@
     ) -> None:
         if attempt.ended and new_connection:
             return
-        tag = (gateway, attempt)
+        tag = AttemptTag(gateway, attempt)
         if not server.up:
             if not server.unreachable:
                 self.reply(tag, server, AttemptResult.CONNECT_FAILED)
@@ -237,19 +247,18 @@
             tag, server, call.class_index, arrival.key, arrival.work_ms, attempt.deadline, new_connection
         )
 
-    def key_answered(self, tag: Any, server: SimulatedServer, key: int) -> None:
+    def key_answered(self, tag: AttemptTag, server: SimulatedServer, key: int) -> None:
         """Record that a server answered a key."""
-        self.record(KeyAnswered(self.clock.now, tag[0].number, key, server.entry.build))
+        self.record(KeyAnswered(self.clock.now, tag.gateway.number, key, server.entry.build))
 
-    def reply(self, tag: Any, server: SimulatedServer, result: AttemptResult) -> None:
+    def reply(self, tag: AttemptTag, server: SimulatedServer, result: AttemptResult) -> None:
         """Send a server's result back to the gateway."""
-        gateway, attempt = tag
         source = server.entry.zone
-        destination = gateway.site
+        destination = tag.gateway.site
         if self.network.reachable(source, destination):
             self.clock.call_later(
                 self.network.one_way(source, destination),
-                partial(gateway.attempts.response_arrived, attempt, result),
+                partial(tag.gateway.attempts.response_arrived, tag.attempt, result),
             )
 
     def abandon(self, attempt: Attempt) -> None:
--- a/meadowpulley/emulator/failpoints.py
+++ b/meadowpulley/emulator/failpoints.py
@@ -48,6 +48,7 @@
     skip: int
 
     def matches(self, gateway: int, step: Step) -> bool:
+        """Return whether it is set at this step of this gateway."""
         return self.step is step and self.gateway in (None, gateway)
 
 
--- a/meadowpulley/emulator/faults.py
+++ b/meadowpulley/emulator/faults.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Callable, Iterable
 from functools import partial
-from typing import TYPE_CHECKING, TypeAlias
+from typing import TYPE_CHECKING, TypeAlias, TypeVar
 
 from meadowpulley.emulator.clock import uniform
+from meadowpulley.emulator.errors import MissingFaultSiteError
 from meadowpulley.emulator.scenario import Fault, FaultKind
 
 if TYPE_CHECKING:
@@ -16,6 +17,7 @@
 
 BURST_LENGTH_MS = (200.0, 800.0)  # bounds of the alternating busy and idle times of a noisy neighbour
 Clear: TypeAlias = Callable[[], None]  # ends a fault
+Target = TypeVar("Target")  # a server or a gateway
 
 
 class FaultInjector:
@@ -54,16 +56,24 @@
         clear()
         self._emulation.log_event(f"fault off: {fault.kind}")
 
+    def _draw(self, candidates: list[Target], count: int) -> list[Target]:
+        """Draw `count` of the candidates; they keep their order."""
+        chosen = self._rng.permutation(len(candidates))[:count]
+        return [candidates[index] for index in sorted(chosen.tolist())]
+
     # Servers
 
     def _affected_servers(self, fault: Fault) -> list[SimulatedServer]:
         """Draw a share of the servers that are up, at the fault's site where it names one; at least one."""
         sites = self._emulation.fleet.site_indexes()
         site = sites[fault.site] if fault.site is not None else None
-        servers = [s for s in self._emulation.servers.values() if s.up and site in (None, s.entry.zone)]
+        servers = [
+            server
+            for server in self._emulation.servers.values()
+            if server.up and site in (None, server.entry.zone)
+        ]
         count = max(round(fault.share * len(servers)), 1) if servers else 0
-        chosen = self._rng.permutation(len(servers))[:count]
-        return [servers[index] for index in sorted(int(c) for c in chosen)]
+        return self._draw(servers, count)
 
     def _on_servers(
         self,
@@ -115,7 +125,8 @@
     # Services
 
     def _partition_site(self, _: str, fault: Fault) -> Clear:
-        assert fault.site is not None
+        if fault.site is None:
+            raise MissingFaultSiteError(fault.kind)
         site = self._emulation.fleet.site_indexes()[fault.site]
         self._emulation.network.partitioned_sites.add(site)
         return partial(self._emulation.network.partitioned_sites.discard, site)
@@ -154,19 +165,20 @@
     def _affected_gateways(self, fault: Fault, gateways: list[SimulatedGateway]) -> list[SimulatedGateway]:
         """Draw a share of the gateways; at least one, where there is one."""
         count = min(max(round(fault.share * len(gateways)), 1), len(gateways))
-        chosen = self._rng.permutation(len(gateways))[:count]
-        return [gateways[index] for index in sorted(int(c) for c in chosen)]
+        return self._draw(gateways, count)
 
     def _stall_watches(self, _: str, fault: Fault) -> Clear:
         """Stall the watches of a share of the gateways; the gateways decide how long that lasts."""
-        live = [g for g in self._emulation.gateways if g.alive]
+        live = [gateway for gateway in self._emulation.gateways if gateway.alive]
         for gateway in self._affected_gateways(fault, live):
             self._emulation.discovery.stall_watch(gateway.number)
         return _do_nothing
 
     def _crash_gateways(self, _: str, fault: Fault) -> Clear:
         site = self._emulation.fleet.site_indexes().get(fault.site or "")
-        live = [g for g in self._emulation.gateways if g.alive and site in (None, g.site)]
+        live = [
+            gateway for gateway in self._emulation.gateways if gateway.alive and site in (None, gateway.site)
+        ]
         gateways = self._affected_gateways(fault, live)
         for gateway in gateways:
             gateway.kill()
--- a/meadowpulley/emulator/gateway.py
+++ b/meadowpulley/emulator/gateway.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Literal, TypeAlias
 
 from meadowpulley.emulator.attempts import AttemptHandler
 from meadowpulley.emulator.clients import ClientRequest
@@ -48,6 +48,7 @@
 if TYPE_CHECKING:
     from meadowpulley.emulator.emulation import Emulation
 
+ResponseKind: TypeAlias = Literal["served", "refused", "failed"]  # as in the trace and at the clients
 REQUEST_CPU_SHARE = 0.6  # share of a request's CPU spent on receiving it; the rest is spent on the response
 
 
@@ -70,7 +71,8 @@
         self.max_in_flight = 0
         self.cpu_ms = 0.0
         self.draining = False  # shutting down: the front end sends it no more clients
-        self.pipeline: Any = None  # the outermost stage, or the policy itself
+        # The outermost stage, or the policy itself; open, as tests and experiments read their own stages.
+        self.pipeline: Any = None
         self.incarnation: Incarnation | None = None  # registered in the ledger, where the fleet has one
         self.ledger_port: LedgerPort | None = None
         self.log_lines: list[tuple[float, str]] = []
@@ -179,7 +181,7 @@
 
     # Events and actions
 
-    def dispatch(self, event: Any) -> None:
+    def dispatch(self, event: object) -> None:
         """Hand an event to the pipeline and carry out the actions that it returns."""
         if self.defer_if_suspended(partial(self.dispatch, event)):
             return
@@ -188,7 +190,7 @@
             self._known_builds |= {entry.server: entry.build for entry in event.entries}
         self.run_actions(self.pipeline.handle(self.clock.now, event), self.execute)
 
-    def execute(self, action: Any) -> None:
+    def execute(self, action: object) -> None:
         """Carry out one action."""
         self._action_handlers[type(action)](action)
 
@@ -266,7 +268,11 @@
             return
         self.dispatch(self._request_event(request))
 
-    def _request_event(self, request: InFlightRequest) -> Any:
+    def _request_event(self, request: InFlightRequest) -> object:
+        """Return the event that tells the stages of a request."""
+        return self._policy_request(request)
+
+    def _policy_request(self, request: InFlightRequest) -> Request:
         call = request.client_request.call
         tenant = self.emulation.tenant_of(call.arrival.key)
         return Request(
@@ -322,11 +328,11 @@
         self._send_response(attempt.request, "served", 0.0)
 
     def _send_response(
-        self, request: InFlightRequest, response: str, retry_after_ms: float, content: str = ""
+        self, request: InFlightRequest, response: ResponseKind, retry_after_ms: float, content: str = ""
     ) -> None:
         self._finish(request)
         number = request.client_request.number
-        self.emulation.record(ResponseSent(self.clock.now, self.number, number, response, content))  # type: ignore[arg-type]
+        self.emulation.record(ResponseSent(self.clock.now, self.number, number, response, content))
         self.emulation.clients.respond(request.client_request, response, retry_after_ms)
         self.emulation.failpoints.reached(self, Step.AFTER_RESPONSE_SENT)
 
--- a/meadowpulley/emulator/ledger_observer.py
+++ b/meadowpulley/emulator/ledger_observer.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Literal
 
 from meadowpulley.ledger import Create, Fence, Incarnation, Replace, Transaction
 from meadowpulley.rules import (
@@ -15,7 +16,11 @@
 )
 from meadowpulley.takeover.records import RECORD_PREFIX, RecordError, RequestState, decode_request_record
 
-_OUTCOMES = {RequestState.SERVED: "served", RequestState.FAILED: "failed", RequestState.REJECTED: "refused"}
+_OUTCOMES: dict[RequestState, Literal["served", "refused", "failed"]] = {
+    RequestState.SERVED: "served",
+    RequestState.FAILED: "failed",
+    RequestState.REJECTED: "refused",
+}
 
 
 @dataclass(slots=True)
@@ -67,5 +72,5 @@
         if work.state is RequestState.RELEASED:
             records.append(RequestReleased(now, gateway, request_id))
         elif work.state is not RequestState.OPEN:
-            records.append(RequestClosed(now, gateway, request_id, _OUTCOMES[work.state]))  # type: ignore[arg-type]
+            records.append(RequestClosed(now, gateway, request_id, _OUTCOMES[work.state]))
         return records
--- a/meadowpulley/emulator/machine.py
+++ b/meadowpulley/emulator/machine.py
@@ -28,8 +28,9 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request at a server. `work_ms` is milliseconds of a standard core; after `deadline` its sender no
-    longer waits.
+    """A request at a server.
+
+    `work_ms` is milliseconds of a standard core; after `deadline` its sender no longer waits.
     """
 
     number: int
--- a/meadowpulley/emulator/platform.py
+++ b/meadowpulley/emulator/platform.py
@@ -18,7 +18,7 @@
 VOTING_PHASES = (Phase.TRIAL, Phase.RELEASED)
 COUNTED_WHILE_UNAVAILABLE = 0.5  # share of the votes that count although their replies are lost
 VOTE_RATE_WINDOW_MS = 1000.0  # `votes_per_s` limits the calls within it
-HELD_STAGE_RETRY_MS = 500.0  # interval of checks whether enough gateways still hold an overdue stage
+HOLD_CHECK_INTERVAL_MS = 500.0  # interval of checks whether enough votes still hold an overdue stage
 MAX_STATE_AGE_MS = 3_600_000.0  # the age of the first state, which has no start, is reported as this
 
 
@@ -54,6 +54,7 @@
     expires_at: float
 
     def supports(self, verdict: Verdict, state: RolloutState, now: float) -> bool:
+        """Return whether it counts for a verdict on the current build, and stage where that matters."""
         vote = self.vote
         if vote.verdict is not verdict or vote.build != state.build or self.expires_at < now:
             return False
@@ -211,7 +212,7 @@
         if self._clock.now < self.state.since + model.stage_time_ms:
             return
         if model.hold_votes and self._valid_votes(Verdict.HOLD) >= model.hold_votes:
-            self._clock.call_later(HELD_STAGE_RETRY_MS, self.evaluate)
+            self._clock.call_later(HOLD_CHECK_INTERVAL_MS, self.evaluate)
         else:
             self._advance()
 
--- a/meadowpulley/emulator/process.py
+++ b/meadowpulley/emulator/process.py
@@ -5,10 +5,12 @@
 import math
 from collections.abc import Callable, Sequence
 from functools import partial
-from typing import Any
+from typing import TypeVar
 
 from meadowpulley.emulator.clock import Timeline
 
+ActionT = TypeVar("ActionT")
+
 
 class SimulatedProcess:
     """Incarnations of one process. While paused, as by SIGSTOP, all work queues."""
@@ -54,7 +56,7 @@
             self._deferred.append(callback)
         return self.paused or not self.alive
 
-    def run_actions(self, actions: Sequence[Any], execute: Callable[[Any], None]) -> None:
+    def run_actions(self, actions: Sequence[ActionT], execute: Callable[[ActionT], None]) -> None:
         """Carry actions out in order; a pause defers the rest and a crash drops it."""
         incarnation = self.incarnation_count
         for index, action in enumerate(actions):
--- a/meadowpulley/emulator/results.py
+++ b/meadowpulley/emulator/results.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections import Counter
+from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
@@ -49,8 +49,9 @@
         return self.weight_served / self.weight_offered if self.weight_offered else 1.0
 
     def latency_ms(self, percentile: float) -> float:
-        """Return a percentile of the latency of served calls, from the first request; 0 where none was
-        served.
+        """Return a percentile of the latency of served calls, in milliseconds from the first request.
+
+        It is 0 where no call was served.
         """
         if not self.latency.get_total_count():
             return 0.0
@@ -234,13 +235,13 @@
 
     def utilisation_by(self, dimension: str) -> dict[str, float]:
         """Return the mean utilisation by `site` or `kind`, weighted by core time."""
-        available: Counter[str] = Counter()
-        used: Counter[str] = Counter()
+        available: defaultdict[str, float] = defaultdict(float)
+        used: defaultdict[str, float] = defaultdict(float)
         for server in self.servers:
             name = getattr(server, dimension)
             cores = self.fleet.kind(server.kind).cores
-            available[name] += server.up_ms * cores  # type: ignore[assignment]
-            used[name] += server.up_ms * cores * server.utilisation  # type: ignore[assignment]
+            available[name] += server.up_ms * cores
+            used[name] += server.up_ms * cores * server.utilisation
         return {name: used[name] / available[name] if available[name] else 0.0 for name in sorted(available)}
 
     def table(self) -> dict[str, Any]:
--- a/meadowpulley/emulator/scenario.py
+++ b/meadowpulley/emulator/scenario.py
@@ -38,11 +38,10 @@
 
 
 class Fault(Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault from `at_ms` on for `duration_ms`. `share` of the servers (or gateways) is affected, at
-    `site` where one is named.
+    """A fault from `at_ms` on for `duration_ms`.
 
-    `amount` is a share of responses for errors and losses, a factor for slowness, and milliseconds for
-    delays.
+    `share` of the servers (or gateways) is affected, at `site` where one is named. `amount` is a share of
+    responses for errors and losses, a factor for slowness, and milliseconds for delays.
     """
 
     kind: FaultKind
@@ -71,8 +70,11 @@
 
 def check_scenario(scenario: Scenario, file_name: str, fleet: Fleet) -> None:
     """Check a scenario against its fleet. Raises `FleetError`."""
-    sites = [s.name for s in fleet.sites]
-    classes = [c.name for c in fleet.classes]
+    _check_releases(scenario, file_name, [each.name for each in fleet.classes])
+    _check_faults(scenario, file_name, [site.name for site in fleet.sites])
+
+
+def _check_releases(scenario: Scenario, file_name: str, classes: list[str]) -> None:
     last_build = scenario.first_build
     last_at = -1.0
     for index, release in enumerate(scenario.releases):
@@ -93,6 +95,9 @@
             )
         last_build = release.build.number
         last_at = release.at_ms
+
+
+def _check_faults(scenario: Scenario, file_name: str, sites: list[str]) -> None:
     for index, fault in enumerate(scenario.faults):
         path = f"{file_name}: faults[{index}]"
         if fault.site is not None and fault.site not in sites:
--- a/meadowpulley/emulator/server_fleet.py
+++ b/meadowpulley/emulator/server_fleet.py
@@ -1,7 +1,7 @@
-"""Servers of a fleet with discovery and the rollout platform, shared by the emulator and the loopback test
-bed.
+"""Servers of a fleet with discovery and the rollout platform.
 
-How requests and replies travel is up to the subclass: it calls `offer`, and `reply` is called back.
+The emulator and the loopback test bed share them. How requests and replies travel is up to the subclass: it
+calls `offer`, and `reply` is called back.
 """
 
 from __future__ import annotations
--- a/meadowpulley/emulator/snapshot.py
+++ b/meadowpulley/emulator/snapshot.py
@@ -15,8 +15,9 @@
 
 
 class ServerSnapshot(Struct, frozen=True):
-    """One server. `slot_use` and `slow_start_fraction` are from 0 to 1; `state` is `down` once it no longer
-    runs.
+    """One server.
+
+    `slot_use` and `slow_start_fraction` are from 0 to 1; `state` is `down` once it no longer runs.
     """
 
     number: int
--- a/meadowpulley/emulator/takeover_gateway.py
+++ b/meadowpulley/emulator/takeover_gateway.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -20,6 +20,9 @@
 from meadowpulley.rules import AdoptionStarted, ClientDetached, RequestAbandoned
 from meadowpulley.takeover import messages
 
+if TYPE_CHECKING:
+    from meadowpulley.emulator.emulation import Emulation
+
 TARGET = "/"
 RELEASE_BEFORE_END_MS = 60.0  # a gateway that shuts down releases its lease this long before its end
 DRAIN_POLL_MS = 50.0  # interval of checks whether all requests ended, during shutdown
@@ -29,7 +32,7 @@
 class TakeoverGateway(SimulatedGateway):
     """A gateway whose pipeline contains the takeover stage."""
 
-    def __init__(self, emulation: Any, number: int) -> None:
+    def __init__(self, emulation: Emulation, number: int) -> None:
         super().__init__(emulation, number)
         self._action_handlers |= {
             messages.Deliver: self._deliver,
@@ -37,11 +40,11 @@
             messages.AdoptRequest: self._adopt,
         }
 
-    def _request_event(self, request: InFlightRequest) -> Any:
+    def _request_event(self, request: InFlightRequest) -> object:
         call = request.client_request.call
         body = msgspec.json.encode(call.arrival)
         return messages.ClientRequest(
-            super()._request_event(request), request.client_request.request_id, "POST", TARGET, (), body
+            self._policy_request(request), request.client_request.request_id, "POST", TARGET, (), body
         )
 
     # Responses
