--- a/meadowpulley/emulator/takeover_gateway.py
+++ b/meadowpulley/emulator/takeover_gateway.py
@@ -118,7 +118,6 @@
 
     def stop(self, grace_ms: float) -> None:
         """Shut down gracefully: release requests that cannot end in time, then the lease."""
-        self.leaving = True
         self.dispatch(messages.ShutdownNotice(grace_ms))
         self._drain_until(self.clock.now + grace_ms, self.incarnation)
 
--- a/meadowpulley/model_checking/checkpoint.py
+++ b/meadowpulley/model_checking/checkpoint.py
@@ -17,6 +17,9 @@
 DIGEST_BYTES = 16
 
 
+PACKAGES_OF_DIGEST = ("gossip", "interface", "net", "rules", "settings", "state")
+
+
 class CheckpointError(ModelCheckingError, ValueError):
     """A checkpoint that can't be resumed; the text is one line with the reason."""
 
@@ -85,11 +88,10 @@
     folder = Path(__file__).resolve().parent.parent
     files = [
         *folder.glob("*.py"),
-        *(folder / "state").glob("*.py"),
-        *(folder / "net").glob("*.py"),
         *(folder / "model_checking").rglob("*.py"),
-        folder / "rules" / "checker.py",
     ]
+    for package in PACKAGES_OF_DIGEST:
+        files += (folder / package).glob("*.py")
     hasher = xxhash.xxh3_128()
     for file in sorted(files):
         hasher.update(file.read_bytes())
--- a/meadowpulley/model_checking/counterexample.py
+++ b/meadowpulley/model_checking/counterexample.py
@@ -23,7 +23,6 @@
 HEADER_HEIGHT = 60
 LANE_WIDTH = 150
 MARGIN = 20
-Messages = Sequence[tuple[str, str, str]]
 
 
 class CounterexampleError(ModelCheckingError, ValueError):
--- a/meadowpulley/net/__init__.py
+++ b/meadowpulley/net/__init__.py
@@ -1,9 +1,9 @@
-"""The gateway on real sockets: it translates between protocols and `meadowpulley.interface`, and decides
-nothing.
+"""The gateway on real sockets: it translates protocols to `meadowpulley.interface`, and decides nothing.
 
 Modules in reading order, lowest first; imports go one way:
 
 - `errors`, `protocol`, `json_fields`, `config`: the platform's names, and the configuration.
+- `reactor_interface`, `reactor`: what of a reactor is used, and the gateway's own.
 - `deadlines`, `ring`, `slots`, `http1`, `connection`: what every connection uses.
 - `extension`, `gateway_context`: what components may use of the gateway.
 - `request_table`, `request_parsing`, `request_admission`: requests.
--- a/meadowpulley/net/counters.py
+++ b/meadowpulley/net/counters.py
@@ -16,6 +16,7 @@
         self._counts[name] += amount
 
     def __getitem__(self, name: str) -> int:
+        """Return the count under a name; 0 where nothing was counted."""
         return self._counts[name]
 
     def snapshot(self) -> dict[str, int]:
