--- a/meadowpulley/emulator/attempts.py
+++ b/meadowpulley/emulator/attempts.py
@@ -67,7 +67,7 @@
             gateway.max_open_connections = max(gateway.max_open_connections, connections.open)
         attempt.connected = True
         gateway.emulation.transmit(gateway, attempt, server, new_connection)
-        gateway.emulation.failpoints.reached(gateway, Step.AFTER_ATTEMPT_SENT)
+        gateway.step_reached(Step.AFTER_ATTEMPT_SENT)
         return True
 
     def cancel(self, action: Cancel) -> None:
--- a/meadowpulley/emulator/clients.py
+++ b/meadowpulley/emulator/clients.py
@@ -3,54 +3,19 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
-from typing import Protocol
 
 import numpy as np
 
+from meadowpulley.emulator.client_calls import ClientCall, ClientRequest, GatewayEndpoint
 from meadowpulley.emulator.clock import Timeline
 from meadowpulley.emulator.network import SimulatedNetwork
 from meadowpulley.emulator.results import EmulationResult
 from meadowpulley.fleet import Fleet
 from meadowpulley.load.arrivals import Arrival
 
-MIN_JITTER = 0.5  # a backoff is multiplied by between this and 1 more
-
-
-class GatewayEndpoint(Protocol):
-    """The part of a gateway that clients use."""
-
-    number: int
-    alive: bool
-
-    def accept(self, request: ClientRequest) -> None:
-        """Receive a complete request."""
-
+__all__ = ["ClientCall", "ClientRequest", "GatewayEndpoint", "SimulatedClients"]
 
-@dataclass(slots=True, eq=False)
-class ClientCall:
-    """One arrival of the load, with all requests that the client sends for it."""
-
-    arrival: Arrival
-    class_index: int
-    site: int
-    first_sent_at: float
-    requests_sent: int = 0
-    finished: bool = False
-    request_id: str = ""  # client's id, the same for all requests of the call; empty without shared state
-
-
-@dataclass(slots=True, eq=False)
-class ClientRequest:
-    """One request of a call; its number is unique within a run."""
-
-    number: int
-    call: ClientCall
-    sent_at: float
-    deadline: float
-    request_id: str = ""
-    gateway: GatewayEndpoint | None = None
-    answered: bool = False
+MIN_JITTER = 0.5  # a backoff is multiplied by between this and 1 more
 
 
 class SimulatedClients:
--- a/meadowpulley/emulator/emulation.py
+++ b/meadowpulley/emulator/emulation.py
@@ -7,7 +7,8 @@
 from functools import partial
 from typing import NamedTuple
 
-from meadowpulley.emulator.clients import ClientRequest, GatewayEndpoint, SimulatedClients
+from meadowpulley.emulator.client_calls import ClientRequest, GatewayEndpoint
+from meadowpulley.emulator.clients import SimulatedClients
 from meadowpulley.emulator.clock import RandomStreams, VirtualClock, uniform
 from meadowpulley.emulator.errors import NoTakeoverStageError
 from meadowpulley.emulator.failpoints import Failpoints
@@ -74,7 +75,7 @@
         self.build_policy = build_policy
         self._on_record = on_record
         self.shared_state = shared_state
-        self.failpoints = Failpoints()
+        self.failpoints: Failpoints[SimulatedGateway] = Failpoints()
         clock = VirtualClock()
         self.virtual_clock = clock
         self.gateways: list[SimulatedGateway] = []
--- a/meadowpulley/emulator/failpoints.py
+++ b/meadowpulley/emulator/failpoints.py
@@ -5,10 +5,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Generic, Protocol, TypeVar
 
-if TYPE_CHECKING:
-    from meadowpulley.emulator.gateway import SimulatedGateway
+
+class NumberedProcess(Protocol):
+    """A process that is told from others by its number."""
+
+    number: int
+
+
+ProcessT = TypeVar("ProcessT", bound=NumberedProcess)
 
 
 class Step(Enum):
@@ -39,11 +45,11 @@
 
 
 @dataclass(slots=True)
-class _Failpoint:
+class _Failpoint(Generic[ProcessT]):
     """One action, run at a step after `skip` matching steps."""
 
     step: Step
-    action: Callable[[SimulatedGateway], None]
+    action: Callable[[ProcessT], None]
     gateway: int | None
     skip: int
 
@@ -52,23 +58,23 @@
         return self.step is step and self.gateway in (None, gateway)
 
 
-class Failpoints:
+class Failpoints(Generic[ProcessT]):
     """A set of failpoints; each runs its action once, at the first matching step after `skip` others."""
 
     def __init__(self) -> None:
-        self._failpoints: list[_Failpoint] = []
+        self._failpoints: list[_Failpoint[ProcessT]] = []
 
     def add(
         self,
         step: Step,
-        action: Callable[[SimulatedGateway], None],
+        action: Callable[[ProcessT], None],
         gateway: int | None = None,
         skip: int = 0,
     ) -> None:
         """Set an action at a step, on one gateway or on whichever reaches it first."""
         self._failpoints.append(_Failpoint(step, action, gateway, skip))
 
-    def reached(self, gateway: SimulatedGateway, step: Step) -> None:
+    def reached(self, gateway: ProcessT, step: Step) -> None:
         """Run the actions that are set at this step of this gateway."""
         if not self._failpoints:  # hot path: most runs set none
             return
--- a/meadowpulley/emulator/gateway.py
+++ b/meadowpulley/emulator/gateway.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any, Literal, TypeAlias
 
 from meadowpulley.emulator.attempts import AttemptHandler
-from meadowpulley.emulator.clients import ClientRequest
+from meadowpulley.emulator.client_calls import ClientRequest
 from meadowpulley.emulator.connection_pool import ConnectionPool
 from meadowpulley.emulator.failpoints import Step
 from meadowpulley.emulator.gateway_services import service_handlers
@@ -299,9 +299,13 @@
             self._finish(request)
             self.dispatch(ClientDisconnected(request.client_request.number))
 
+    def step_reached(self, step: Step) -> None:
+        """Run the failpoints that are set at a step of this gateway."""
+        self.emulation.failpoints.reached(self, step)
+
     def interrupted_at(self, step: Step, callback: Callable[[], None]) -> bool:
         """Return whether a fault set at this step stops it; after a pause the callback runs later."""
-        self.emulation.failpoints.reached(self, step)
+        self.step_reached(step)
         if self.alive and self.paused:
             self._unfinished.append(callback)
         return self.paused or not self.alive
@@ -334,7 +338,7 @@
         number = request.client_request.number
         self.emulation.record(ResponseSent(self.clock.now, self.number, number, response, content))
         self.emulation.clients.respond(request.client_request, response, retry_after_ms)
-        self.emulation.failpoints.reached(self, Step.AFTER_RESPONSE_SENT)
+        self.step_reached(Step.AFTER_RESPONSE_SENT)
 
     def _reject(self, action: Reject) -> None:
         request = self.in_flight.get(action.request)
--- a/meadowpulley/emulator/ledger.py
+++ b/meadowpulley/emulator/ledger.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Literal
+from typing import Literal, Protocol
 
 import numpy as np
 
@@ -36,9 +36,6 @@
     TransactionOutcome,
 )
 
-if TYPE_CHECKING:
-    from meadowpulley.emulator.gateway import SimulatedGateway
-
 LedgerFault = Literal["full", "read-only", "gone", "slow", "cut", "unheard"]
 _FAULT_MESSAGES = {
     "full": "ledger: no space left: free some",
@@ -157,13 +154,33 @@
     results: list[CommitCompleted] = field(default_factory=list)
 
 
+class LedgerUser(Protocol):
+    """What a port needs of the gateway that it belongs to."""
+
+    number: int
+    alive: bool
+    incarnation: Incarnation | None
+
+    def dispatch(self, event: object) -> None:
+        """Hand an event to the gateway's stages."""
+
+    def in_this_incarnation(self, callback: Callable[[], None]) -> Callable[[], None]:
+        """Wrap a callback so that it runs only in this incarnation, and not while paused."""
+
+    def interrupted_at(self, step: Step, callback: Callable[[], None]) -> bool:
+        """Return whether a fault set at this step stops it; after a pause the callback runs later."""
+
+    def step_reached(self, step: Step) -> None:
+        """Run the failpoints that are set at a step of this gateway."""
+
+
 class LedgerPort:
     """One incarnation's access to the ledger. Results reach it only while it runs and is not paused."""
 
     def __init__(
         self,
         ledger: SharedLedger,
-        gateway: SimulatedGateway,
+        gateway: LedgerUser,
         incarnation: Incarnation,
         watched_prefixes: Callable[[], tuple[str, ...]],
     ) -> None:
@@ -218,7 +235,7 @@
             respond = self._gateway.in_this_incarnation(lambda: self._response_received(commit, fault))
             ledger.clock.call_later(ledger.delay(gateway_number), respond)
         if self._gateway.alive and self._gateway.incarnation == self.incarnation:
-            self._gateway.emulation.failpoints.reached(self._gateway, Step.AFTER_COMMIT_APPLIED)
+            self._gateway.step_reached(Step.AFTER_COMMIT_APPLIED)
 
     def _response_received(self, commit: _OutstandingCommit, fault: str) -> None:
         if commit.finished or self._gateway.interrupted_at(
--- a/meadowpulley/emulator/requests.py
+++ b/meadowpulley/emulator/requests.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from meadowpulley.emulator.clients import ClientRequest
+from meadowpulley.emulator.client_calls import ClientRequest
 from meadowpulley.emulator.machine import Job
 from meadowpulley.interface import EndpointUpdate, EndpointUpdateKind, Result
 from meadowpulley.rules import STATE_NAMES, EndpointListed
--- a/meadowpulley/emulator/results.py
+++ b/meadowpulley/emulator/results.py
@@ -4,16 +4,14 @@
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from hdrh.histogram import HdrHistogram
 from msgspec import Struct, field as json_field, to_builtins
 
+from meadowpulley.emulator.client_calls import ClientCall
 from meadowpulley.fleet import Fleet
 
-if TYPE_CHECKING:
-    from meadowpulley.emulator.clients import ClientCall
-
 MAX_LATENCY_US = 600_000_000
 
 
--- a/meadowpulley/emulator/takeover_gateway.py
+++ b/meadowpulley/emulator/takeover_gateway.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from meadowpulley.emulator.clients import ClientCall, ClientRequest
+from meadowpulley.emulator.client_calls import ClientCall, ClientRequest
 from meadowpulley.emulator.failpoints import Step
 from meadowpulley.emulator.gateway import SimulatedGateway
 from meadowpulley.emulator.requests import Attempt, InFlightRequest
