--- a/meadowpulley/ledger/background_jobs.py
+++ b/meadowpulley/ledger/background_jobs.py
@@ -99,7 +99,7 @@
             self._run_into(result, store, incarnation)
         except LedgerError as error:
             result.error = str(error)
-        except Exception as error:  # noqa: BLE001 (it would end the worker thread, the gateway would wait in vain)
+        except Exception as error:  # noqa: BLE001  # it would end the worker thread, the gateway would wait in vain
             result.error = f"ledger: {folder}: {type(error).__name__}: {error}"
         result.skipped_frames = store.take_skipped_frames()
         return result
--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -300,7 +300,7 @@
         """Start an attempt. An exception is logged as `fault_name` and ends only the attempt."""
         try:
             attempt.start(pool)
-        except Exception:  # noqa: BLE001 (a connect that raises at once, for want of ports, say, must not stop the gateway)
+        except Exception:  # noqa: BLE001  # a connect that raises at once, for want of ports, say, must not stop the gateway
             self.gateway.log_fault(fault_name)
             attempt.connection_lost()
 
--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -135,7 +135,7 @@
             self._admit_requests(max_requests)
         except BadMessageError as error:
             self.reject_input(error)
-        except Exception:  # noqa: BLE001 (a fault costs one client its connection, and neither the others nor the process)
+        except Exception:  # noqa: BLE001  # a fault costs one client its connection, and neither the others nor the process
             self._handle_admission_fault()
         finally:
             self._processing_input = False
--- a/meadowpulley/net/deadlines.py
+++ b/meadowpulley/net/deadlines.py
@@ -129,7 +129,7 @@
             return
         try:
             callback()
-        except Exception:  # noqa: BLE001 (one broken callback must not stop the others, nor the process)
+        except Exception:  # noqa: BLE001  # one broken callback must not stop the others, nor the process
             self._report_failure("deadline")
 
     def _arm(self) -> None:
--- a/meadowpulley/net/endpoint_watch.py
+++ b/meadowpulley/net/endpoint_watch.py
@@ -98,7 +98,7 @@
             self._client.discard_malformed()
             self.call_failed(CallFailure(str(error), EndpointUpdateKind.BROKEN, report))
             return
-        except Exception:  # noqa: BLE001 (a fault of ours: the list was not applied, and nobody else would request it again)
+        except Exception:  # noqa: BLE001  # a fault of ours: the list was not applied, and nobody else would request it again
             self._gateway.log_fault("discovery")
             if self._call is None:
                 self.call_failed(CallFailure("a fault of this gateway", EndpointUpdateKind.BROKEN, report))
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -196,7 +196,7 @@
         if self.extension is not None:
             try:
                 self.extension.on_draining()
-            except Exception:  # noqa: BLE001 (a broken extension must not keep the gateway from draining)
+            except Exception:  # noqa: BLE001  # a broken extension must not keep the gateway from draining
                 self.log_fault("extension")
         self.clients.drain()
         self.deadlines.after(DRAIN_ACCEPT_MS, self._stop_accepting)
@@ -310,14 +310,14 @@
     def _handle(self, event: object) -> None:
         try:
             actions = self.pipeline.handle(self.deadlines.now(), event)
-        except Exception:  # noqa: BLE001 (a fault of a decision costs one request, and neither the others nor the process)
+        except Exception:  # noqa: BLE001  # a fault of a decision costs one request, and neither the others nor the process
             self.log_fault("policy")
             self._recover_from_failed_decision(event)
             return
         for action in actions:
             try:
                 self._actions[type(action)](action)
-            except Exception:  # noqa: BLE001 (the actions after this one belong to other requests)
+            except Exception:  # noqa: BLE001  # the actions after this one belong to other requests
                 self.log_fault("action")
 
     def _recover_from_failed_decision(self, event: object) -> None:
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -220,14 +220,14 @@
     def _pass_to_extension(self, extension: Extension, deferred: DeferredResponse) -> None:
         try:
             extension.on_response(deferred.request.handle, deferred.response, deferred.release)
-        except Exception:  # noqa: BLE001 (a broken extension must not cost the client its response)
+        except Exception:  # noqa: BLE001  # a broken extension must not cost the client its response
             self.gateway.log_fault("extension")
             deferred.release(deferred.response)
 
     def _continues_without_client(self, extension: Extension, request: AcceptedRequest) -> bool:
         try:
             return extension.on_client_disconnected(request.handle)
-        except Exception:  # noqa: BLE001 (else the request would keep its slot, though nobody awaits its response)
+        except Exception:  # noqa: BLE001  # else the request would keep its slot, though nobody awaits its response
             self.gateway.log_fault("extension")
             return False
 
--- a/meadowpulley/simulator_adapter/gateway_host.py
+++ b/meadowpulley/simulator_adapter/gateway_host.py
@@ -64,7 +64,7 @@
             raise FrameError(f"{where}: no instance {gateway}")
         try:
             actions = policy.handle(now, event)
-        except Exception as error:  # noqa: BLE001 (a fault of one decision is reported, and the others go on)
+        except Exception as error:  # noqa: BLE001  # a fault of one decision is reported, and the others go on
             reply.add_fault(gateway, _describe_fault(error, event))
             return
         for action in actions:
