--- a/meadowpulley/net/deadlines.py
+++ b/meadowpulley/net/deadlines.py
@@ -150,6 +150,14 @@
     def _fire(self) -> None:
         self._reactor_call = None
         self.run_due()
+        self._arm_if_unarmed()
+
+    def _arm_if_unarmed(self) -> None:
+        """Arm the reactor, unless the deadlines that ran have done so.
+
+        A function of its own: mypyc takes an attribute that was set to None for None until the function ends,
+        whatever is called meanwhile, and a call that was armed would raise a TypeError.
+        """
         if self._reactor_call is None:
             self._arm()
 
