--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: requests on their way to an instance, each with exactly one outcome; and health-check probes."""
+"""Attempts to send a request to an instance, each with exactly one outcome, and health probes."""
 
 from __future__ import annotations
 
@@ -22,42 +22,42 @@
 from meadowpulley.net.write_permission import WriteConditions, write_refusal
 
 _NOT_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
-_MIN_PROBE_TIMEOUT_MS = 1.0
+_MIN_PROBE_TIMEOUT_MS = 1.0  # lower bound, which also applies if the connect timeout is 0 (disabled)
 _MICROSECONDS_PER_MS = 1000
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request, or a probe where `request` is None.
+    """One attempt of a request, or a health probe if `request` is None.
 
-    It is the exchange that an instance connection carries. Times are milliseconds on the gateway's clock.
+    Implements the `Exchange` protocol of instance connections. Times are milliseconds on the gateway's clock.
     """
 
     runner: AttemptRunner
     server: int
     request: AcceptedRequest | None
-    number: int  # among the attempts of the request, from 0
+    number: int  # index among the request's attempts, starting at 0
     sent_at: float
     deadline: float
-    write_by: float = math.inf  # until when the policy allows the write
+    write_by: float = math.inf  # the policy allows writing the request only before this time
     connection: InstanceConnection | None = None
     connecting: Deferred[InstanceConnection] | None = None
-    written: bool = False  # the kernel has the last byte of the request
+    written: bool = False  # whether the kernel has accepted the last byte of the request
     finished: bool = False
     timeout: Deadline | None = None
     connect_timeout: Deadline | None = None
     write_timeout: Deadline | None = None
 
     def schedule_timeout(self) -> None:
-        """End the attempt at its deadline."""
+        """Schedule the end of the attempt at its deadline."""
         self.timeout = self.runner.gateway.deadlines.at(self.deadline, self.time_out)
 
     def schedule_write_timeout(self) -> None:
-        """End the attempt if it is not written by the time that the policy gave."""
+        """Schedule the end of the attempt for `write_by`, if the request is not written until then."""
         self.write_timeout = self.runner.gateway.deadlines.at(self.write_by, self._write_timed_out)
 
     def start(self, pool: ConnectionPool) -> None:
-        """Send the request on a pooled connection, or on a new one."""
+        """Send the request on a pooled connection if one is available, otherwise on a new one."""
         connection = pool.acquire()
         if connection is not None:
             self._use_pooled(connection)
@@ -82,11 +82,11 @@
         timeout_ms = runner.limits.connect_timeout_ms
         if timeout_ms > 0:
             self.connect_timeout = runner.gateway.deadlines.after(timeout_ms, self._connect_timed_out)
-        self.connecting = connecting  # set before the callbacks, which clear it and may run at once
+        self.connecting = connecting  # set before adding the callbacks: they clear it and may run immediately
         connecting.addCallbacks(self._connected, self._connect_failed).addErrback(self._connect_raised)
 
     def _connection_reusable(self, connection: InstanceConnection) -> None:
-        """Use the connection that was reserved for this attempt, if nothing was received on it meanwhile."""
+        """Write to the connection reserved for this attempt, unless input arrived on it during the delay."""
         if self.finished:
             if connection.is_open:
                 connection.pool.release(connection)
@@ -97,7 +97,7 @@
             self.runner.start(self, connection.pool, "send")
 
     def _write(self, connection: InstanceConnection) -> None:
-        """Write the request to the connection, or end the attempt if it may not be written any more."""
+        """Write the request to the connection, or end the attempt if writing is no longer permitted."""
         gateway = self.runner.gateway
         refusal = write_refusal(self._write_conditions(), connection, gateway.deadlines.now())
         if refusal is None:
@@ -138,7 +138,7 @@
 
     def _connected(self, connection: InstanceConnection) -> None:
         self.connecting = None
-        self.runner.gateway.deadlines.run_due()  # due deadlines run before a new connection, as before input
+        self.runner.gateway.deadlines.run_due()  # run due deadlines first, as before input
         self.runner.gateway.deadlines.cancel(self.connect_timeout)
         if self.finished:
             connection.abort()
@@ -164,24 +164,25 @@
         self.finish(Result.TIMEOUT if self.written else Result.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        """End the attempt because the policy no longer needs it."""
+        """End the attempt because the policy cancelled it."""
         self.runner.gateway.counters.add("up.cancelled")
         self.finish(Result.CANCELLED)
 
     def connection_lost(self) -> None:
-        """End the attempt whose connection broke: a request that was written may have been executed."""
+        """End the attempt after its connection broke; a request that was written may have executed."""
         self.finish(Result.RESET if self.written else Result.CONNECT_FAILED)
 
     def malformed_response(self) -> None:
-        """End the attempt whose response can't be parsed; nothing tells whether the instance is to blame."""
+        """End the attempt as after a lost connection: the instance may not be at fault."""
         self.runner.gateway.counters.add("up.malformed")
         self.connection_lost()
 
     def response_received(self, response: Message) -> None:
-        """End the attempt with the instance's response, which also answers the client if it is good."""
+        """End the attempt with the instance's response; if the result is OK, forward it to the client."""
         result = classify_response(response)
         if not self.written and result is not Result.REJECTED:
-            # An instance starts with the last byte, which it can't have: this responds to an earlier request.
+            # An instance starts a request only after its last byte, which was not written yet. The response
+            # therefore belongs to an earlier request.
             self.runner.gateway.counters.add("up.unsolicited")
             self.connection_lost()
             return
@@ -198,7 +199,7 @@
         self.runner.requests.respond(request, response.status, headers, response.body)
 
     def finish(self, result: Result, load_report: tuple[float, ...] = ()) -> None:
-        """Report the one outcome of the attempt and close what is left of it on the network."""
+        """Release the resources of the attempt and report its outcome. Further calls have no effect."""
         if self.finished:
             return
         self.finished = True
@@ -232,7 +233,7 @@
         )
 
     def _release_resources(self) -> None:
-        """Cancel the timers, and close the connection or abandon the connection attempt."""
+        """Cancel the timers, and reset the connection or cancel its establishment."""
         deadlines = self.runner.gateway.deadlines
         deadlines.cancel(self.timeout)
         deadlines.cancel(self.connect_timeout)
@@ -247,7 +248,7 @@
 
 
 class AttemptRunner:
-    """Carry out the policy's actions on attempts and probes."""
+    """Executes the policy's actions on attempts and health probes."""
 
     def __init__(self, gateway: GatewayContext, instances: InstancePools, requests: RequestTable) -> None:
         self.gateway = gateway
@@ -271,7 +272,7 @@
             attempt.finish(Result.CONNECT_FAILED)
         else:
             self.gateway.counters.add("up.attempts")
-            if attempt.deadline < request.deadline:  # at that of the request its table ends the attempt
+            if attempt.deadline < request.deadline:  # at the request's deadline the request table ends it
                 attempt.schedule_timeout()
             if attempt.write_by < attempt.deadline:
                 attempt.schedule_write_timeout()
@@ -297,15 +298,15 @@
         return attempt
 
     def start(self, attempt: Attempt, pool: ConnectionPool, fault_name: str) -> None:
-        """Start an attempt. An exception is logged as `fault_name` and ends only the attempt."""
+        """Start an attempt. If it raises, log the exception as `fault_name` and end only this attempt."""
         try:
             attempt.start(pool)
-        except Exception:  # noqa: BLE001  # a connect that raises at once, for want of ports, say, must not stop the gateway
+        except Exception:  # noqa: BLE001  # without free ports connecting raises; the gateway must continue
             self.gateway.log_fault(fault_name)
             attempt.connection_lost()
 
     def probe(self, action: Probe) -> None:
-        """Start a health check of a server."""
+        """Start a health probe of a server."""
         now = self.gateway.deadlines.now()
         deadline = now + max(self.limits.connect_timeout_ms, _MIN_PROBE_TIMEOUT_MS)
         pool = self.instances.pools.get(action.server)
--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its requests one after another, its time-outs and its end."""
+"""Client connections: processing of consecutive requests, timeouts, and closing."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 from meadowpulley.net.request_admission import RequestAdmission
 from meadowpulley.net.request_table import NO_HANDLE, AcceptedRequest, RequestTable
 
-FIRST_REQUEST_TIMEOUT_MS = 2_000.0  # from the connection until a client's first request is complete
-PARTIAL_REQUEST_TIMEOUT_MS = 2_000.0  # a later request, from its first byte to its last
-IDLE_TIMEOUT_MS = 2_100.0  # a client may be silent between requests, or leave a response unread
-RECHECK_INTERVAL_MS = 20.0  # until a time-out or a lack of slots is looked at again
-SLOW_READER_GRACE_MS = 500.0  # past its deadline for a response that its client is still reading
-LINGER_TIMEOUT_MS = 1_000.0  # after the last response, so that it is read before the connection breaks
-MAX_DISCARDED_BYTES = 256 * 1024  # of input behind the last request; the kernel holds up the rest
-MAX_REQUESTS_PER_TURN = 4  # of one connection: usual clients send one, and would wait behind a flood
+FIRST_REQUEST_TIMEOUT_MS = 2_000.0  # from accepting a connection until its first request is complete
+PARTIAL_REQUEST_TIMEOUT_MS = 2_000.0  # from the first byte of a later request to its last byte
+IDLE_TIMEOUT_MS = 2_100.0  # maximum time between requests; a client has at least as long to read a response
+RECHECK_INTERVAL_MS = 20.0  # delay until a postponed timeout or a shortage of slots is checked again
+SLOW_READER_GRACE_MS = 500.0  # time after the request's deadline for a client to finish reading a response
+LINGER_TIMEOUT_MS = 1_000.0  # time after the last response for the client to read it and close
+MAX_DISCARDED_BYTES = 256 * 1024  # limit on discarded input after the last request; then reading stops
+# Requests of one connection per reactor turn. Typical clients send one request at a time and would have to
+# wait while a flood on another connection is processed.
+MAX_REQUESTS_PER_TURN = 4
 
 
 class ClientConnectionOwner(Protocol):
-    """What a connection uses of the table that holds it."""
+    """The part of `ClientListener` that a client connection uses."""
 
     gateway: GatewayContext
     admission: RequestAdmission
@@ -37,33 +39,33 @@
 
     @property
     def half_full(self) -> bool:
-        """Whether more than half of the slots for connections are used."""
+        """Whether more than half of the connection slots are in use."""
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Handle that a connection was accepted."""
+        """Store an accepted connection."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Handle that a connection has ended."""
+        """Remove a connection that has ended."""
 
 
 class ClientConnectionState(Enum):
-    """What a connection is waiting for.
+    """State of a client connection, named after what it waits for.
 
     | from | on | to |
     | --- | --- | --- |
     | WAITING | a complete request | PROCESSING |
-    | WAITING | input that is no request | RESPONDING |
+    | WAITING | input that is not a valid request | RESPONDING |
     | WAITING | idle too long, evicted or draining | LINGERING |
-    | PROCESSING | the response | RESPONDING |
-    | RESPONDING | the kernel has the whole response | WAITING, or LINGERING after the last one |
+    | PROCESSING | the final response | RESPONDING |
+    | RESPONDING | the kernel has accepted the whole response | WAITING, or LINGERING after the last one |
 
-    The connection may break in any state.
+    The connection may be lost in any state.
     """
 
-    WAITING = "waiting"  # for a request, or the rest of one
+    WAITING = "waiting"  # for a request or the rest of a partial request
     PROCESSING = "processing"  # for the response to an accepted request
-    RESPONDING = "responding"  # until the kernel has the whole response
-    LINGERING = "lingering"  # for its end: the last response is written, further input is discarded
+    RESPONDING = "responding"  # until the kernel has accepted the whole response
+    LINGERING = "lingering"  # for the client to close: the last response is written, input is discarded
 
 
 class ClientConnection(Connection):
@@ -76,29 +78,29 @@
         self.state = ClientConnectionState.WAITING
         self.handle = NO_HANDLE
         self.request: AcceptedRequest | None = None
-        self.closing = False  # the next response is the last one
-        self.unused = True  # nothing was received yet
+        self.closing = False  # whether the connection ends after the next response
+        self.unused = True  # whether no input has been received yet
         self._processing_input = False
         self._reading_paused = False
         self._continuation_scheduled = False
         self._deadline_extended = False
-        self._partial_timeout_set = True  # until the first request is complete one time-out covers all of it
+        self._partial_timeout_set = True  # the first request has a single timeout, set in `opened`
         self._discarded_bytes = 0
 
     def opened(self) -> None:
-        """Report the connection and wait for its first request."""
+        """Register the connection and start the timeout for its first request."""
         self.owner.connection_opened(self)
         self.timeout.set(FIRST_REQUEST_TIMEOUT_MS, self._idle_timed_out)
 
     def received(self) -> None:
-        """Process requests, and discard input that nobody will answer."""
+        """Process requests, and discard input that will get no response."""
         self.unused = False
         if self.state is ClientConnectionState.WAITING:
             self._process_input()
         if self.is_open and self._is_input_nearly_full:
-            # No client that waits for responses writes so far ahead. Reading continues, since nothing else
-            # reports that a client is gone: the next response ends the connection, and further input is
-            # discarded.
+            # A client that waits for responses never sends this much input ahead. End the connection after
+            # the next response and discard further input. Keep reading: only a read detects that the client
+            # has disconnected.
             self.closing = True
             if self.state is ClientConnectionState.WAITING:
                 self._process_input(max_requests=1)
@@ -127,7 +129,7 @@
             self._process_input()
 
     def _process_input(self, max_requests: int = MAX_REQUESTS_PER_TURN) -> None:
-        """Admit the requests in the input buffer, until one has to wait for its response."""
+        """Admit requests from the input buffer until one of them has to wait for its response."""
         if self._processing_input:
             return
         self._processing_input = True
@@ -135,7 +137,7 @@
             self._admit_requests(max_requests)
         except BadMessageError as error:
             self.reject_input(error)
-        except Exception:  # noqa: BLE001  # a fault costs one client its connection, and neither the others nor the process
+        except Exception:  # noqa: BLE001  # a fault ends only this connection
             self._handle_admission_fault()
         finally:
             self._processing_input = False
@@ -161,7 +163,7 @@
             self.owner.admission.accept(self, message)
 
     def _handle_admission_fault(self) -> None:
-        """Fail the request on which an exception was raised; the gateway continues."""
+        """Respond with 502 to the request that raised an exception, and end the connection."""
         self.owner.gateway.log_fault("admission")
         self.closing = True
         if self.request is not None:
@@ -178,7 +180,7 @@
             self.timeout.set(PARTIAL_REQUEST_TIMEOUT_MS, self._request_timed_out)
 
     def reject_input(self, error: BadMessageError) -> None:
-        """Answer input that is not a valid request, and end the connection."""
+        """Respond with an error to input that is not a valid request, and end the connection."""
         self.owner.gateway.counters.add(f"in.bad.{error.status}")
         self.closing = True
         self.respond(error.status, {}, f"{error}\n".encode())
@@ -188,11 +190,12 @@
         request = self.request
         self.request = None
         self.state = ClientConnectionState.RESPONDING
-        # Clients may open a limited number of connections: with half of the slots used a response ends its
-        # connection, or clients that send one request and stay connected leave no slot for the next one.
+        # The number of client connections is limited. While more than half of the slots are in use, close the
+        # connection after the response: clients that send one request and stay connected would otherwise
+        # occupy all slots.
         self.closing = self.closing or self.owner.draining or self.owner.half_full
-        # A client that does not read its response is bounded too; one that reads slowly has its whole
-        # deadline.
+        # Limit the time of a client that doesn't read its response. A slow client may read it until the
+        # request's deadline plus the grace time.
         remaining_ms = 0.0
         if request is not None:
             remaining_ms = request.deadline - self.deadlines.now() + SLOW_READER_GRACE_MS
@@ -200,7 +203,7 @@
         self.send(response_bytes(status, headers, body, self.closing))
 
     def flushed(self) -> None:
-        """Continue with the next request after a response, or end the connection."""
+        """After a response is written, continue with the next request or end the connection."""
         if self.state is not ClientConnectionState.RESPONDING or not self.is_open:
             return
         if self.closing:
@@ -209,25 +212,25 @@
         self.state = ClientConnectionState.WAITING
         self.timeout.set(IDLE_TIMEOUT_MS, self._idle_timed_out)
         self._process_input()
-        if self.owner.draining:  # draining began between the first byte of the response and the last
+        if self.owner.draining:  # draining started while the response was being written
             self.close_if_idle()
 
     def linger(self) -> None:
-        """Close this side of the connection, and all of it once the client has closed its own."""
+        """Shut down the sending side, and wait until the client closes the connection or a timeout."""
         self.state = ClientConnectionState.LINGERING
         self.input_buffer.clear()
         self.timeout.set(LINGER_TIMEOUT_MS, self.release_slot)
         self.transport.loseWriteConnection()
 
     def close_between_requests(self) -> None:
-        """Close an idle connection. A client whose next request crosses this, unread, sends it elsewhere."""
+        """Close an idle connection. A client whose next request arrives too late sends it elsewhere."""
         self.state = ClientConnectionState.LINGERING
         self.close()
 
     def release_slot(self) -> None:
-        """Free the slot of a lingering connection; what the kernel has of its last response is still sent.
+        """Free the slot of the connection. The kernel still sends the rest of the last response.
 
-        The descriptor is closed in the next turn: in this one there may be an unhandled event for it.
+        The descriptor is closed in the next reactor turn, since this turn may still have an event for it.
         """
         if self.is_open:
             self.is_open = False
@@ -237,7 +240,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the connection waits for a request of which nothing was received."""
+        """Whether the connection waits for a request and has received no part of it."""
         return (
             self.is_open
             and self.state is ClientConnectionState.WAITING
@@ -253,14 +256,14 @@
         if self.parser.has_partial_message:
             self._request_timed_out()
             return
-        if self.has_unread_input():  # this gateway is delayed, not the client
+        if self.has_unread_input():  # the client sent a request, but the gateway is late reading it
             self.timeout.set(RECHECK_INTERVAL_MS, self._idle_timed_out)
             return
         self.owner.gateway.counters.add("in.idle_timeouts")
         self.close_between_requests()
 
     def _request_timed_out(self) -> None:
-        # This gateway may be delayed. Extend only once, since some clients trickle without an end.
+        # The gateway may be late reading. Extend only once: some clients send single bytes without end.
         if self.has_unread_input() and not self._deadline_extended:
             self._deadline_extended = True
             self.timeout.set(RECHECK_INTERVAL_MS, self._request_timed_out)
@@ -268,11 +271,11 @@
         self.reject_input(BadMessageError(408, "the request did not come whole"))
 
     def closed(self) -> None:
-        """Report the end of the connection."""
+        """Report the end of the connection to the owner."""
         self.owner.connection_closed(self)
 
     def abort(self) -> None:
-        """Reset the connection and report its end at once."""
+        """Reset the connection and report its end immediately."""
         was_open = self.is_open
         super().abort()
         if was_open:
--- a/meadowpulley/net/client_listener.py
+++ b/meadowpulley/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket for clients, the table of their connections, and the eviction of idle ones."""
+"""Listening socket and connection table for clients, with eviction of idle connections."""
 
 from __future__ import annotations
 
@@ -19,21 +19,24 @@
 from meadowpulley.net.request_table import NO_HANDLE, RequestTable
 from meadowpulley.net.slots import SlotTable
 
-# A connection idle for so long may be evicted while others wait to be accepted.
+# A connection that has been idle for this time may be evicted while others wait to be accepted.
 EVICTABLE_IDLE_MS = 1_000.0
-# Likewise one that never carried input: clients send as soon as they are connected.
+# The same for a connection that has never received input. It is shorter, since clients send their first
+# request as soon as they are connected.
 EVICTABLE_UNUSED_MS = 20.0
-# Connections in the backlog count as accepted: a client notices a failed connect, not a request in a queue.
+# Length of the kernel's queue of connections to accept. Clients count a failed connect as a failure, but
+# can't tell that a connection waits in this queue.
 LISTEN_BACKLOG = 256
-ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the reactor
-SPARE_SLOTS = 24  # kept free by eviction: a turn accepts half as many before the shortage is seen
-SPARE_SLOTS_DIVISOR = 3  # in a small table no more than a third of the slots is kept free
+ACCEPTS_PER_TURN = 16  # maximum number of connections accepted in one reactor turn
+# Slots that eviction keeps free. One turn accepts at most half as many, before a shortage is noticed.
+SPARE_SLOTS = 24
+SPARE_SLOTS_DIVISOR = 3  # a small table keeps at most 1/3 of its slots free
 
 
 class ClientListener:
-    """Accept client connections into a table of `size` slots.
+    """Accepts client connections into a table of `size` slots.
 
-    While fewer than `spare_slots` are free, idle connections are evicted and accepting pauses.
+    While fewer than `spare_slots` slots are free, it evicts idle connections and pauses accepting.
     """
 
     def __init__(
@@ -49,7 +52,7 @@
         self.port: ListeningPort | None = None
         self._accepting_paused = False
         self._stopping = False
-        self._accept_pending: Callable[[], None] = lambda: None  # the port's own `doRead`
+        self._accept_pending: Callable[[], None] = lambda: None  # the original `doRead` of the port
 
     def listen(self) -> None:
         """Open the listening socket."""
@@ -59,18 +62,18 @@
         self.port = listening_port
         self._accept_pending = listening_port.doRead
         accept = partial(self._accept, listening_port)
-        listening_port.doRead = accept  # type: ignore[method-assign]  # Twisted's port has no hook for this
+        listening_port.doRead = accept  # type: ignore[method-assign]  # Twisted has no other hook
 
     def _accept(self, port: ListeningPort) -> None:
         """Accept a limited number of connections, so that the table has slots for them.
 
-        By itself the port accepts twenty more in a turn after one in which it accepted all that it might.
+        Twisted would raise the limit by 20 connections after each turn that reaches it.
         """
         port.numberAccepts = self.accepts_per_turn
         self._accept_pending()
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Store an accepted connection, and make room or pause accepting where slots become few."""
+        """Store an accepted connection. If few slots are free, evict idle connections or pause accepting."""
         self.gateway.counters.add("in.connections")
         if self.connections.full:
             self.gateway.counters.add("in.rejected_connections")
@@ -85,7 +88,7 @@
 
     @property
     def half_full(self) -> bool:
-        """Whether more than half of the slots are used."""
+        """Whether more than half of the slots are in use."""
         return 2 * len(self.connections) > self.connections.size
 
     @property
@@ -109,7 +112,7 @@
                 self.port.startReading()
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Free the slot of a connection, and disconnect the client from its request."""
+        """Free the slot of a connection, and report the client of its request as disconnected."""
         if connection.handle != NO_HANDLE:
             self.connections.free(connection.handle)
             connection.handle = NO_HANDLE
@@ -121,7 +124,7 @@
         self.gateway.stop_if_drained()
 
     def _evict_idle(self) -> None:
-        """Make room for connections that wait to be accepted, which may have sent a request by now."""
+        """Free slots for connections that wait to be accepted and may already have sent a request."""
         max_used_slots = self.connections.size - self.spare_slots - self.accepts_per_turn
         for connection in self._eviction_candidates():
             if len(self.connections) <= max_used_slots:
@@ -132,10 +135,11 @@
                 connection.release_slot()
 
     def _eviction_candidates(self) -> Iterator[ClientConnection]:
-        """Yield the connections that may be evicted, in the order in which they are.
+        """Yield the connections that may be evicted, in order of eviction.
 
-        First lingering connections, then unused ones, then those that have long been idle, the longest first.
-        Recently used ones stay: a request may be on its way.
+        Lingering connections come first, then unused connections, then connections that have been idle for a
+        long time; within each group the longest waiting ones come first. Recently used connections are
+        excluded, since their next request may be in flight.
         """
         now = self.gateway.deadlines.now()
         idle = [connection for connection in self.connections if connection.is_idle]
@@ -153,7 +157,7 @@
         yield from self._longest_waiting(long_idle)
 
     def _longest_waiting(self, connections: Iterable[ClientConnection]) -> list[ClientConnection]:
-        """Return those whose time-out is next, at most two turns' worth of accepted connections."""
+        """Return the connections with the earliest timeouts, at most as many as two turns accept."""
         by_timeout = sorted(connections, key=lambda connection: connection.timeout.at)
         return by_timeout[: 2 * self.accepts_per_turn]
 
@@ -163,10 +167,10 @@
             self.gateway.deadlines.after(RECHECK_INTERVAL_MS, self._keep_evicting)
 
     def drain(self) -> None:
-        """Close every connection once nothing is owed on it.
+        """Close idle connections now, and the others after their current response.
 
-        Unused ones stay: one that is closed without a response is a request refused, while one that has had a
-        response is not.
+        Unused connections stay open: a client counts a connection that was closed without any response as a
+        refused request.
         """
         self.draining = True
         self._close_idle(include_unused=False)
@@ -177,18 +181,19 @@
                 connection.close_if_idle()
 
     def stop_listening(self) -> None:
-        """Close the listening socket after accepting its whole backlog, as soon as there are slots for it.
+        """Accept the whole backlog, as slots become free, and then close the listening socket.
 
-        Connections that the kernel has completed count as accepted, with the requests that came on them.
+        Clients see connections in the backlog as established and may have sent requests on them, which
+        closing the socket would reset.
         """
         self._stopping = True
         while self.port is not None and not self._accepting_paused:
             self._accept(self.port)
-            if self.port.numberAccepts <= self.accepts_per_turn:  # else more may wait in the backlog
+            if self.port.numberAccepts <= self.accepts_per_turn:  # otherwise more may be queued
                 self._close_port(self.port)
 
     def _close_port(self, port: ListeningPort) -> None:
-        """Close the listening socket in this turn; `stopListening` would close it in the next one."""
+        """Close the listening socket in this reactor turn, not in the next one as `stopListening` does."""
         self.port = None
         port.connectionLost(CLOSED_CLEANLY)
         self._close_idle(include_unused=False)
--- a/meadowpulley/net/connection.py
+++ b/meadowpulley/net/connection.py
@@ -1,4 +1,4 @@
-"""The base class of the gateway's TCP connections: a transport with bounded input and output buffers."""
+"""Base class of the gateway's TCP connections, with bounded input and output buffers."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from meadowpulley.net.reactor_interface import ClientReactor, Connector
 from meadowpulley.net.ring import RingBuffer, RingBufferFullError
 
-WRITE_CHUNK_BYTES = 64 * 1024  # handed to the transport at a time
-CLOSED_CLEANLY = Failure(ConnectionDone())  # type: ignore[no-untyped-call]  # Twisted's has no types
+WRITE_CHUNK_BYTES = 64 * 1024  # maximum size of one write to the transport
+CLOSED_CLEANLY = Failure(ConnectionDone())  # type: ignore[no-untyped-call]  # Failure() is not annotated
 
-# Methods that Twisted calls have its names.
+# Methods that Twisted calls keep the names that it requires.
 # ruff: noqa: N802
 
 ConnectionT = TypeVar("ConnectionT", bound="Connection")
 
 
 class ConnectionFactory(Factory):
-    """Create the protocol of each connection that a listening port accepts."""
+    """Creates the protocol object of each connection that a listening port accepts."""
 
     noisy = False
 
@@ -35,14 +35,14 @@
         self.create = create
 
     def buildProtocol(self, addr: IAddress | None) -> Connection:
-        """Return the protocol of an accepted connection."""
+        """Return the protocol object for an accepted connection."""
         return self.create()
 
 
 class PendingConnection(ClientFactory, Generic[ConnectionT]):
-    """One outgoing connection that is being established.
+    """An outgoing connection that is being established.
 
-    `established` yields the connection or fails; cancelling it abandons the connection attempt.
+    `established` fires with the connection or fails. Cancelling it aborts the connection attempt.
     """
 
     noisy = False
@@ -57,7 +57,7 @@
             self.connector.disconnect()
 
     def buildProtocol(self, addr: IAddress | None) -> ConnectionT:
-        """Return the protocol of the connection, which reports to `established` once it is set up."""
+        """Return the protocol object for the connection, which fires `established` when connected."""
         connection = self.create()
         connection.pending = self
         return connection
@@ -71,17 +71,17 @@
 def connect(
     reactor: ClientReactor, address: Address, create: Callable[[], ConnectionT]
 ) -> Deferred[ConnectionT]:
-    """Open a connection whose protocol `create` returns. It has no time limit: the caller sets one."""
+    """Open a connection with the protocol object that `create` returns. The caller sets a timeout."""
     pending = PendingConnection(create)
     pending.connector = reactor.connectTCP(*address, pending, timeout=None)
     return pending.established
 
 
 class Connection(Protocol):
-    """A TCP connection with bounded buffers. Subclasses override the callbacks at the end of this class.
+    """A TCP connection with bounded buffers. Subclasses override the callbacks at the end of the class.
 
-    Output that the kernel does not take at once goes through the output buffer, with this object as the
-    transport's pull producer; `flushed` is called when the kernel has all of it.
+    Output that the kernel doesn't accept immediately is stored in the output buffer, from which this object
+    feeds the transport as a pull producer. `flushed` is called when the kernel has accepted all output.
     """
 
     def __init__(self, deadlines: Deadlines, max_input_bytes: int, max_output_bytes: int) -> None:
@@ -89,15 +89,15 @@
         self.input_buffer = RingBuffer(max_input_bytes)
         self.output_buffer = RingBuffer(max_output_bytes)
         self.timeout = ConnectionTimeout(deadlines)
-        self.pending: PendingConnection[Any] | None = None  # Any: it yields this object, a subclass's
-        self.transport: Any = None  # Any: Twisted's interface lacks half of what TCP transports have
+        self.pending: PendingConnection[Any] | None = None  # Any: this object's own subclass
+        self.transport: Any = None  # Any: Twisted's interface type lacks many methods of TCP transports
         self.is_open = False
-        self.was_reset = False  # the connection broke rather than being closed by the peer
+        self.was_reset = False  # whether the connection broke instead of being closed by the peer
         self._producing = False
         self._handling_input = False
 
     def connectionMade(self) -> None:
-        """Set the connection up and report it to whoever opened it."""
+        """Initialize the connection, call `opened`, and fire the `established` Deferred of the caller."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.opened()
@@ -107,10 +107,9 @@
             pending.established.callback(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Buffer input and hand it to `received`, after all deadlines that are due."""
-        # A due deadline may ask whether this connection has unread input. The kernel no longer holds the data
-        # that is being handled here: without this flag a connection was closed with a request that had been
-        # read.
+        """Run all due deadlines, then buffer the input and call `received`."""
+        # The callback of a due deadline may check this connection for unread input, but `data` is no longer
+        # in the kernel. Without this flag, a connection was closed although its request had just been read.
         self._handling_input = True
         self.deadlines.run_due()
         self._handling_input = False
@@ -124,7 +123,7 @@
         self.received()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Call `closed` and release the buffers."""
+        """Call `closed` and empty the buffers."""
         self.is_open = False
         if reason is not None and not isinstance(reason.value, ConnectionDone):
             self.was_reset = True
@@ -134,12 +133,12 @@
         self.output_buffer.clear()
 
     def send(self, data: bytes) -> None:
-        """Write data, which must fit into the output buffer where the kernel does not take it at once."""
+        """Write data. What the kernel doesn't accept immediately must fit into the output buffer."""
         if not self.is_open:
             return
         if not self._producing:
-            # Write to the kernel directly: through the reactor's next turn each write costs two changes of
-            # the set that it polls. The rest takes the long way.
+            # Write to the kernel directly, since each write through the reactor changes its poll set twice.
+            # Only the data that the kernel doesn't accept goes through the reactor.
             sent = self.transport.writeSomeData(data)
             if sent == len(data):
                 self.flushed()
@@ -151,7 +150,7 @@
             self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """Write the next chunk of the output buffer."""
+        """Write the next chunk of the output buffer to the transport."""
         data = self.output_buffer.take(WRITE_CHUNK_BYTES)
         if data:
             self.transport.write(data)
@@ -161,50 +160,50 @@
             self.flushed()
 
     def stopProducing(self) -> None:
-        """Stop writing: the connection is lost."""
+        """Stop writing because the connection is lost."""
         self._producing = False
 
     def has_unread_input(self) -> bool:
-        """Return whether the kernel holds bytes, or the end of the connection, that were not read yet."""
+        """Return whether input, or the end of the connection, has arrived but was not processed yet."""
         if self._handling_input:
             return True
         try:
             self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
-        except (OSError, AttributeError):  # AttributeError: the transport has lost its socket
-            self.was_reset = True  # the kernel reports it once: the next read would see an orderly end
+        except (OSError, AttributeError):  # AttributeError: the transport has no socket any more
+            self.was_reset = True  # the kernel reports a reset once; the next read looks like a clean end
             return True
         return True
 
     def close(self) -> None:
-        """Close the connection in this turn; what the kernel holds of a response is still sent.
+        """Close the connection in this reactor turn. The kernel still sends the rest of a response.
 
-        The transport's own `loseConnection` closes in the next turn, and input that came in between would be
-        read and lost.
+        The transport's `loseConnection` closes in the next turn; input that arrives before would be read and
+        lost.
         """
         self.transport.connectionLost(CLOSED_CLEANLY)
 
     def abort(self) -> None:
-        """Reset the connection at once, whatever is in flight on it."""
+        """Reset the connection immediately and discard unsent output."""
         if self.is_open:
             self.is_open = False
             self.transport.abortConnection()
 
-    # Callbacks of subclasses. By default they do nothing, and a full input buffer aborts the connection.
+    # Callbacks for subclasses. The defaults do nothing, except that `overflowed` aborts the connection.
 
     def opened(self) -> None:
-        """Handle that the connection was established."""
+        """Handle the establishment of the connection."""
 
     def received(self) -> None:
         """Handle new bytes in the input buffer."""
 
     def flushed(self) -> None:
-        """Handle that the kernel has all output."""
+        """Handle that the kernel has accepted all output."""
 
     def closed(self) -> None:
-        """Handle the end of the connection. The input buffer still holds what was not consumed."""
+        """Handle the end of the connection. The input buffer still holds unprocessed input."""
 
     def overflowed(self) -> None:
-        """Handle input that does not fit into the input buffer."""
+        """Handle input that doesn't fit into the input buffer."""
         self.abort()
--- a/meadowpulley/net/counters.py
+++ b/meadowpulley/net/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the gateway receives, forwards and answers."""
+"""Event counters of the gateway."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class Counters:
-    """Counts by name. A name appears once something was counted under it."""
+    """Counters by name. A counter exists once it has been incremented."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, amount: int = 1) -> None:
-        """Add `amount` to the count of a name."""
+        """Add `amount` to the counter `name`."""
         self._counts[name] += amount
 
     def __getitem__(self, name: str) -> int:
-        """Return the count under a name; 0 where nothing was counted."""
+        """Return the value of the counter `name`, or 0 if it doesn't exist."""
         return self._counts[name]
 
     def snapshot(self) -> dict[str, int]:
-        """Return a copy of all counts, sorted by name."""
+        """Return a copy of all counters, sorted by name."""
         return dict(sorted(self._counts.items()))
--- a/meadowpulley/net/http1.py
+++ b/meadowpulley/net/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages: a strict incremental parser that reads from a ring buffer, and a serializer. No I/O.
+"""HTTP/1.1 messages: a strict incremental parser for ring buffers, and a serializer, without I/O.
 
-The grammar is that of RFC 9112; what it leaves open (obsolete line folding, several lengths, other transfer
-codings) is rejected.
+The grammar is that of RFC 9112. Where the RFC lets a recipient choose (obsolete line folding, several content
+lengths, other transfer codings), the parser rejects the message.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MAX_CHUNK_LINE_BYTES = 1024  # a chunk's size line or a trailer's line
+MAX_CHUNK_LINE_BYTES = 1024  # maximum length of a chunk-size line or a trailer line
 MAX_HEADER_FIELDS = 100
-MAX_READ_BYTES = 64 * 1024  # what the reactor may hand over at once
+MAX_READ_BYTES = 64 * 1024  # maximum size of one read by the reactor
 MAX_BUFFERED_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_READ_BYTES
 
 _LINE_END: Final = b"\r\n"
 _LINE_END_BYTES: Final = 2
 _HEAD_END: Final = b"\r\n\r\n"
 _HEAD_END_BYTES: Final = 4
-_FIRST_FINAL_STATUS: Final = 200  # lower ones are interim responses, which have no body
+_FIRST_FINAL_STATUS: Final = 200  # lower statuses are interim responses, which have no body
 _STATUSES_WITHOUT_BODY: Final = (204, 304)
 
 _TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
@@ -56,7 +56,7 @@
 
 
 class BadMessageError(NetError):
-    """The input is not a valid message; `status` is the response that a client gets for it."""
+    """The input is not a valid message; `status` is the status of the error response to a client."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -67,8 +67,8 @@
 class Message:
     """A complete request or response.
 
-    Header names are in lower case; the values of a repeated header are joined by commas. `method` and
-    `target` are empty in responses, `status` is 0 in requests, `minor_version` is that of HTTP/1.x.
+    Header names are in lower case, and the values of a repeated header are joined by commas. `method` and
+    `target` are empty in responses, and `status` is 0 in requests. `minor_version` is the x of HTTP/1.x.
     """
 
     method: str = ""
@@ -80,26 +80,27 @@
     keep_alive: bool = True
 
 
-_NO_MESSAGE = Message()  # in place of a message until a head was parsed
+_NO_MESSAGE = Message()  # the parser's current message until a head has been parsed
 
 
 def _is_persistent(message: Message) -> bool:
-    """Return whether the connection persists after a message (RFC 9112, 9.3)."""
+    """Return whether the connection stays open after this message (RFC 9112, 9.3)."""
     connection = message.headers.get("connection", "").lower()
     options = {option.strip() for option in connection.split(",")} if connection else ()
     return "close" not in options and (message.minor_version == 1 or "keep-alive" in options)
 
 
 def _has_no_body(status: int) -> bool:
-    """Return whether a response of this status never has a body (RFC 9112, 6.3)."""
+    """Return whether responses with this status never have a body (RFC 9112, 6.3)."""
     return status in _STATUSES_WITHOUT_BODY or status < _FIRST_FINAL_STATUS
 
 
 class _ParserState(Enum):
-    """What the parser reads next.
+    """The part of a message that the parser reads next.
 
-    HEAD leads to FIXED_LENGTH, CHUNK_SIZE or UNTIL_CLOSE, by how the body is framed. CHUNK_SIZE and
-    CHUNK_DATA alternate; the last chunk leads to TRAILER. The end of a message leads back to HEAD.
+    HEAD is followed by FIXED_LENGTH, CHUNK_SIZE or UNTIL_CLOSE, depending on the framing of the body.
+    CHUNK_SIZE and CHUNK_DATA alternate; the last chunk is followed by TRAILER. After a complete message the
+    state is HEAD again.
     """
 
     HEAD = "head"
@@ -111,7 +112,7 @@
 
 
 class Parser:
-    """Parse messages of one kind, requests or responses, from a buffer, one at a time."""
+    """Parses either requests or responses from a buffer, one message at a time."""
 
     def __init__(
         self, buffer: RingBuffer, expect_requests: bool, max_body_bytes: int = MAX_BODY_BYTES
@@ -125,13 +126,13 @@
         self._state = _ParserState.HEAD
         self._message = _NO_MESSAGE
         self._body = bytearray()
-        self._remaining = 0  # bytes of the body, or of the current chunk
-        self._scanned = 0  # bytes of the head that were searched for its end
+        self._remaining = 0  # length in bytes of the fixed-length body or the current chunk
+        self._scanned = 0  # number of bytes already searched for the end of the head
         self.expects_continue = False  # the client waits for '100 Continue' before it sends the body
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a part of a message has arrived."""
+        """Whether a part of the next message has been received."""
         return self._state is not _ParserState.HEAD or len(self._buffer) > 0
 
     def next_message(self) -> Message | None:
@@ -164,13 +165,13 @@
                 return None
 
     def end_of_stream(self) -> Message | None:
-        """Return the response that the end of the connection completes; None if it was framed otherwise."""
+        """Return the response that the end of the connection completes, or None if there is none."""
         if self._state is _ParserState.UNTIL_CLOSE:
             return self._complete_message(bytes(self._body))
         return None
 
     def _take_body_until_close(self) -> None:
-        """Add all input to a body that ends with the connection."""
+        """Append all input to a body that is delimited by the end of the connection."""
         self._body += self._buffer.take(len(self._buffer))
         if len(self._body) > self._max_body_bytes:
             raise BadMessageError(413, "body too large")
@@ -185,7 +186,7 @@
         if not len(self._buffer):
             return False
         data = self._peek_head()
-        # The end may begin within the last bytes that were searched before.
+        # The end marker may start within the last 3 bytes of the previous search.
         end = data.find(_HEAD_END, max(self._scanned - 3, 0))
         if end < 0:
             self._check_partial_head(data)
@@ -203,23 +204,23 @@
         return True
 
     def _peek_head(self) -> bytes:
-        """Return the input that may belong to a head. Raises BadMessageError where it can't begin one."""
+        """Return the input for a head. Raises BadMessageError if no message can start with it."""
         data = self._buffer.peek(MAX_HEAD_BYTES + _HEAD_END_BYTES)
         if self._expect_requests and self._scanned == 0 and (empty_lines := _EMPTY_LINES.match(data)):
             self._buffer.take(empty_lines.end())  # RFC 9112, 2.2: empty lines before a request are ignored
             data = data[empty_lines.end() :]
         if not self._expect_requests and not data.startswith(_VERSION_PREFIX[: len(data)]):
-            raise BadMessageError(502, "no status line")  # noise may never end: its first bytes tell it
+            raise BadMessageError(502, "no status line")  # reject at the first bytes: garbage may have no end
         if data and not _FIRST_BYTES.match(data):
             raise BadMessageError(400, "no start line")
         return data
 
     def _check_partial_head(self, data: bytes) -> None:
-        """Reject an incomplete head that can't become valid: its end may never come."""
+        """Reject an incomplete head that can't become valid, since its end may never arrive."""
         buffered_bytes = len(self._buffer)
         if buffered_bytes >= MAX_HEAD_BYTES:
             raise BadMessageError(431, "head too large")
-        # Check the start line only once, when its end arrives: a head may come byte by byte.
+        # Check the start line only once, when its end arrives, since a head may arrive byte by byte.
         line_end = data.find(_LINE_END)
         if line_end > 0 and line_end + _LINE_END_BYTES > self._scanned:
             self._parse_start_line(data[:line_end].decode("latin-1"))
@@ -253,7 +254,7 @@
         return Message(status=int(status), minor_version=int(minor_version))
 
     def _choose_framing(self, lengths: list[str]) -> None:
-        """Set the state that reads the body (RFC 9112, 6.3), and what the head says about the connection."""
+        """Set the state for the framing of the body (RFC 9112, 6.3), `keep_alive` and `expects_continue`."""
         message = self._message
         message.keep_alive = _is_persistent(message)
         transfer_coding = message.headers.get("transfer-encoding")
@@ -285,7 +286,7 @@
         self._state = _ParserState.FIXED_LENGTH
 
     def _awaits_continue(self, message: Message) -> bool:
-        """Return whether the client waits for an interim response (RFC 9110, 10.1.1: none for HTTP/1.0)."""
+        """Return whether the client waits for 100 Continue (not in HTTP/1.0; RFC 9110, 10.1.1)."""
         body_present = self._state is _ParserState.FIXED_LENGTH and len(self._buffer) >= self._remaining
         expectation = message.headers["expect"].lower()
         return expectation == "100-continue" and not body_present and message.minor_version == 1
@@ -323,8 +324,8 @@
 def forwarded_headers(headers: dict[str, str], host: str = "") -> dict[str, str]:
     """Return the end-to-end headers of a message.
 
-    `host` is added where there is none: an HTTP/1.0 request may lack it, an HTTP/1.1 request may not (RFC
-    9112, 3.2).
+    `host` is added if the message has no host header, which is optional in HTTP/1.0 and required in HTTP/1.1
+    (RFC 9112, 3.2).
     """
     excluded = _NOT_FORWARDED
     if "connection" in headers:
@@ -343,13 +344,13 @@
 
 
 def request_bytes(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """Serialize a request; its content-length is added."""
+    """Serialize a request, with a content-length unless it is a GET without a body."""
     with_length = bool(body) or method != "GET"
     return _serialize(f"{method} {target} HTTP/1.1", headers, body, with_length)
 
 
 def response_bytes(status: int, headers: dict[str, str], body: bytes = b"", close: bool = False) -> bytes:
-    """Serialize a response with its content-length, and with `connection: close` where that is asked for."""
+    """Serialize a response; `close` adds `connection: close`. Interim responses have no content-length."""
     if close:
         headers = {**headers, "connection": "close"}
     status_line = f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}"
--- a/meadowpulley/net/instance_connection.py
+++ b/meadowpulley/net/instance_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an instance, and the pool of the connections to one address."""
+"""Connections to instances, and the connection pool of one instance address."""
 
 from __future__ import annotations
 
@@ -19,47 +19,48 @@
     Parser,
 )
 
-PARTIAL_RESPONSE_TIMEOUT_MS = 500.0  # for the rest of a response that has begun: instances write it at once
-# A duplicate response may follow some milliseconds later, and nothing in a response names its request. A
-# connection that has carried a response is therefore not reused for so long. The delay is stated as under 10
-# ms; the same again allows for the two taking different times through the network.
+# Time for the rest of a response after its first bytes. Instances write a whole response at once.
+PARTIAL_RESPONSE_TIMEOUT_MS = 500.0
+# Delay before a connection that has carried a response is reused. An instance may send a duplicate response
+# some milliseconds later, and nothing in a response identifies its request. The duplicate is specified to
+# follow in under 10 ms; another 10 ms allow for different network delays of the two responses.
 REUSE_DELAY_MS = 20.0
-FIRST_FINAL_STATUS = 200  # a response with a lower one is interim (RFC 9110, 15.2)
-# Of the time after which an instance may close an idle connection: this gateway closes it before.
+FIRST_FINAL_STATUS = 200  # responses with a lower status are interim (RFC 9110, 15.2)
+# The gateway closes an idle connection after this fraction of the time after which the instance may close it.
 IDLE_TIMEOUT_FRACTION = 0.75
 
 
 class Exchange(Protocol):
-    """A request on an instance connection; one of the callbacks reports its result."""
+    """A request sent on an instance connection; one of the callbacks reports its result."""
 
     connection: InstanceConnection | None
-    written: bool  # the kernel has the last byte of the request
+    written: bool  # whether the kernel has accepted the last byte of the request
 
     def response_received(self, response: Message) -> None:
         """Handle a complete response."""
 
     def connection_lost(self) -> None:
-        """Handle that the connection ended without a response."""
+        """Handle the end of the connection before a complete response."""
 
     def malformed_response(self) -> None:
         """Handle input that is not a valid response."""
 
 
 class PoolOwner(Protocol):
-    """What a pool and its connections use of the object that holds the pools."""
+    """The part of `InstancePools` that a pool and its connections use."""
 
     gateway: GatewayContext
     idle_timeout_ms: float
 
     def connection_opened(self) -> None:
-        """Handle that a connection was established."""
+        """Count an established connection."""
 
     def connection_closed(self) -> None:
-        """Handle that a connection has ended."""
+        """Release the socket of a connection that has ended."""
 
 
 class InstanceConnectionState(Enum):
-    """Whether a connection carries a request."""
+    """State of an instance connection; BUSY means that it carries a request."""
 
     IDLE = "idle"
     BUSY = "busy"
@@ -67,7 +68,7 @@
 
 
 class InstanceConnection(Connection):
-    """One connection to an instance; it carries one request at a time."""
+    """A connection to an instance, which carries one request at a time."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         max_output_bytes = MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_HEAD_BYTES
@@ -77,17 +78,17 @@
         self.state = InstanceConnectionState.IDLE
         self.exchange: Exchange | None = None
         self.handle = -1
-        self.reusable_at = -math.inf  # from when on it may carry a request
-        self.aborted = False  # this gateway ended it
+        self.reusable_at = -math.inf  # earliest time at which it may carry another request
+        self.aborted = False  # whether this gateway ended the connection
 
     def opened(self) -> None:
-        """Report the connection; close it if its pool was retired meanwhile."""
+        """Count the connection; reset it if its pool was retired while it was being established."""
         self.pool.owner.connection_opened()
-        if self.pool.retired:  # another build may run there by now, for which the request was not meant
+        if self.pool.retired:  # the address may now run another build
             self.abort()
 
     def send_request(self, exchange: Exchange, data: bytes) -> None:
-        """Write a request whose result goes to `exchange`."""
+        """Write a request; its result is reported to `exchange`."""
         self.timeout.clear()
         self.state = InstanceConnectionState.BUSY
         self.exchange = exchange
@@ -95,14 +96,14 @@
         self.send(data)
 
     def flushed(self) -> None:
-        """Note that the request is written."""
+        """Mark the request as written."""
         if self.exchange is not None:
             self.exchange.written = True
 
     def received(self) -> None:
-        """Parse the response, skipping interim ones."""
+        """Parse the response, skipping interim responses."""
         exchange = self.exchange
-        if exchange is None:  # unsolicited input: the connection can't be trusted
+        if exchange is None:  # unsolicited input makes the connection unusable
             self.pool.owner.gateway.counters.add("up.unsolicited")
             self.abort()
             return
@@ -116,13 +117,13 @@
         if response is not None:
             self._response_received(exchange, response)
         elif not self.parser.has_partial_message:
-            self.timeout.clear()  # an interim response had begun: the final one may take its time
+            self.timeout.clear()  # only an interim response was partial; the final one has no such limit
         elif self.timeout.at == math.inf:
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_incomplete)
 
     def _response_incomplete(self) -> None:
-        """Handle a response that began and did not end: the length in its head was wrong."""
-        if self.has_unread_input():  # this gateway is delayed, not the rest of the response
+        """Handle a response that was not completed in time, for example because its length is wrong."""
+        if self.has_unread_input():  # more input has arrived, but the gateway is late reading it
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_incomplete)
         elif self.exchange is not None:
             self.exchange.malformed_response()
@@ -140,7 +141,7 @@
         exchange.response_received(response)
 
     def closed(self) -> None:
-        """Report the end of the connection, which may complete a response."""
+        """Report the end of the connection, which completes a response without a length."""
         if self.state is InstanceConnectionState.CLOSED:
             return
         self.state = InstanceConnectionState.CLOSED
@@ -151,14 +152,14 @@
             if not self.aborted:
                 self.pool.ended_by_server()
             return
-        response = None if self.was_reset else self.parser.end_of_stream()  # a reset completes no response
+        response = None if self.was_reset else self.parser.end_of_stream()  # a reset doesn't complete one
         if response is not None and exchange.written:
             exchange.response_received(response)
         else:
             exchange.connection_lost()
 
     def abort(self) -> None:
-        """Reset the connection and report its end at once."""
+        """Reset the connection and report its end immediately."""
         was_open = self.is_open
         self.aborted = True
         super().abort()
@@ -174,7 +175,7 @@
 
 
 class ConnectionPool:
-    """The connections to one address of one incarnation of a server."""
+    """Connection pool for one incarnation of a server at one address."""
 
     def __init__(
         self, owner: PoolOwner, server: int, address: Address, incarnation: ServerIncarnation
@@ -187,15 +188,16 @@
         self.retired = False  # the server was removed, or restarted with another build
 
     def acquire(self) -> InstanceConnection | None:
-        """Remove an idle connection from the pool and return it; None if there is none.
+        """Remove an idle connection from the pool and return it, or None if there is no usable one.
 
-        The newest that may carry a request is preferred, else the one that may soonest: its `reusable_at` is
-        to be awaited, rather than another connection opened, of which an instance accepts few.
+        The newest connection that may be reused now is preferred, otherwise the one that may be reused first.
+        The caller then waits until its `reusable_at` instead of opening another connection, since an instance
+        accepts only a few connections.
         """
         now = self.owner.gateway.deadlines.now()
         while self.idle:
             connection = self.idle.pop(self._preferred_index(now))
-            if connection.timeout.at <= now:  # this gateway stalled: the instance may close it any moment
+            if connection.timeout.at <= now:  # the gateway stalled; the instance may soon close it
                 connection.abort()
                 continue
             if not connection.has_unread_input():
@@ -206,15 +208,15 @@
         return None
 
     def _preferred_index(self, now: float) -> int:
-        """Return which idle connection to use: the newest that may carry a request now, else the oldest."""
+        """Return the index of the newest idle connection that may be reused now, or else of the oldest."""
         for index in range(len(self.idle) - 1, -1, -1):
             if self.idle[index].reusable_at <= now:
                 return index
         return 0
 
     def release(self, connection: InstanceConnection) -> None:
-        """Return a connection to the pool."""
-        if self.retired:  # nobody would acquire or close it again
+        """Return a connection to the pool and start its idle timeout."""
+        if self.retired:  # a retired pool would never reuse or close it
             connection.abort()
             return
         self.idle.append(connection)
@@ -228,7 +230,7 @@
         self.owner.connection_closed()
 
     def ended_by_server(self) -> None:
-        """Count a connection on which nothing was outstanding and which the server has ended."""
+        """Count an idle connection that the server has closed."""
         self.owner.gateway.counters.add("up.idle_lost")
 
     def close_idle(self) -> None:
--- a/meadowpulley/net/instance_pools.py
+++ b/meadowpulley/net/instance_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all instances: their addresses, connections opened ahead, and the socket limit."""
+"""Connection pools of all instances, with preconnection at start and a limit on open sockets."""
 
 from __future__ import annotations
 
@@ -13,28 +13,30 @@
 from meadowpulley.net.gateway_context import GatewayContext
 from meadowpulley.net.instance_connection import ConnectionPool, InstanceConnection
 
-PRECONNECT_PER_INSTANCE = 4  # connections opened to each instance at start
-PRECONNECT_FLEET_TOTAL = 12  # by all gateways together: an instance accepts few, and each costs it work
-PRECONNECT_TIMEOUT_MS = 1000.0  # where the settings name no connect time-out
-PRECONNECT_SOCKET_FRACTION = 0.5  # of the sockets to instances: the other half is left for requests
+PRECONNECT_PER_INSTANCE = 4  # maximum number of connections opened to each instance at start
+# Limit per instance for all gateways of the fleet together. An instance accepts only a few connections, and
+# accepting each of them costs it work.
+PRECONNECT_FLEET_TOTAL = 12
+PRECONNECT_TIMEOUT_MS = 1000.0  # used if the settings have no connect timeout
+PRECONNECT_SOCKET_FRACTION = 0.5  # of the sockets to instances; the other half stays free for requests
 
 
 class InstancePools:
-    """One pool per server, and a limit on their sockets."""
+    """One connection pool per server, with a limit on the total number of sockets."""
 
     def __init__(self, gateway: GatewayContext, max_sockets: int) -> None:
         self.gateway = gateway
         self.max_sockets = max_sockets
         self.limits = gateway.config.settings.limits
         self.idle_timeout_ms = self.limits.idle_timeout_ms
-        self.open_sockets = 0  # open or opening
-        self.pools: dict[int, ConnectionPool] = {}  # by the number of the server
+        self.open_sockets = 0  # sockets that are connected or being connected
+        self.pools: dict[int, ConnectionPool] = {}  # by server number
 
     def register(self, server: int, address: Address, incarnation: ServerIncarnation) -> None:
         """Set the address and incarnation of a server.
 
-        A server that returns with another address or incarnation inherits no connection: old ones may lead
-        nowhere without ever reporting an error.
+        If either one has changed, the server gets a new pool without the old connections: those may be dead
+        without ever reporting an error.
         """
         pool = self.pools.get(server)
         if pool is None or (pool.address, pool.incarnation) != (address, incarnation):
@@ -42,17 +44,17 @@
             self.pools[server] = ConnectionPool(self, server, address, incarnation)
 
     def remove(self, server: int) -> None:
-        """Retire the pool of a server: idle connections close now, others after their response."""
+        """Retire the pool of a server. Idle connections close now, busy ones after their response."""
         pool = self.pools.pop(server, None)
         if pool is not None:
             pool.retired = True
             pool.close_idle()
 
     def close_idle(self, server: int) -> None:
-        """Replace the pool of a draining server by an empty one.
+        """Replace the pool of a draining server by an empty pool.
 
-        Idle connections close now, used ones after their response, and a connection that is being established
-        carries nothing. If the server is ready again it starts with the new pool.
+        Idle connections close now, busy connections after their response, and connections that are being
+        established carry no request. If the server becomes ready again, it uses the new pool.
         """
         pool = self.pools.get(server)
         if pool is not None:
@@ -60,20 +62,20 @@
             self.pools[server] = ConnectionPool(self, server, pool.address, pool.incarnation)
 
     def connection_opened(self) -> None:
-        """Count a connection."""
+        """Count an established connection."""
         self.gateway.counters.add("up.connections")
 
     def connection_closed(self) -> None:
-        """Free the socket of a connection."""
+        """Release the socket of a connection that has ended."""
         self.open_sockets -= 1
         self.gateway.stop_if_drained()
 
     def preconnect(self) -> None:
         """Open a few connections to each instance at start.
 
-        Clients come all at once, and a first request that waits for its connection delays those behind it.
-        Not in a large fleet: 200 gateways with few requests each opened as many connections ahead as they had
-        requests in a day.
+        All clients connect at the same time, and a first request that waits for its connection delays the
+        requests queued behind it. A large fleet opens none: 200 gateways with few requests each opened as
+        many connections in advance as they had requests in a day.
         """
         fleet_share = PRECONNECT_FLEET_TOTAL // max(self.gateway.config.settings.gateway_count, 1)
         max_preconnected = int(self.max_sockets * PRECONNECT_SOCKET_FRACTION)
@@ -104,7 +106,7 @@
         self.open_sockets -= 1
 
     def evict_idle(self) -> bool:
-        """Close the connection that has been idle longest if all sockets are in use.
+        """If all sockets are in use, close the connection that has been idle for the longest time.
 
         Returns whether another connection may be opened.
         """
--- a/meadowpulley/net/instance_response.py
+++ b/meadowpulley/net/instance_response.py
@@ -1,4 +1,4 @@
-"""What an instance's response says: the result of the attempt, and the load report. No I/O here."""
+"""Evaluation of an instance's response: the result of the attempt and the load report, without I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from meadowpulley.net.http1 import Message
 from meadowpulley.settings import LOAD_REPORT_COLUMNS
 
-# With the header that says so, these prove that the request was not executed.
+# Together with the rejection header, these statuses prove that the request was not executed.
 _REJECTION_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 
 
 def classify_response(response: Message) -> Result:
-    """Return the result that an instance's response stands for."""
+    """Return the result of an attempt from the status and headers of its response."""
     if response.status == HTTPStatus.OK:
         return Result.OK
     has_rejected_header = response.headers.get(protocol.REJECTED_HEADER) == protocol.REJECTED_VALUE
@@ -25,7 +25,7 @@
 
 
 def parse_load_report(text: str, columns: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the values of a load report in the order of `columns`; empty unless each column has a number."""
+    """Return a load report's values in the order of `columns`, or () unless each is a finite number."""
     values_by_column: dict[str, float] = {}
     for item in text.split(","):
         name, _, value = item.strip().partition("=")
--- a/meadowpulley/net/request_admission.py
+++ b/meadowpulley/net/request_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: validates a client's message and answers it at once or passes it to the policy."""
+"""Request admission: validate a client's message, then respond immediately or pass it to the policy."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 from meadowpulley.net.request_parsing import is_request_id, parse_key, parse_remaining, parse_work_estimate
 from meadowpulley.net.request_table import AcceptedRequest, RequestTable, ResponseSink
 
-DEADLINE_TOLERANCE_MS = 1_000.0  # by which a request may exceed its class's deadline: clients round
-MAX_QUOTED_TARGET_CHARS = 40  # of a target in the text of an error
-# The first request continues; an attempt for the second would be a duplicate execution.
+# How far the remaining time in a request may exceed the deadline of its class, since clients round it.
+DEADLINE_TOLERANCE_MS = 1_000.0
+MAX_QUOTED_TARGET_CHARS = 40  # error texts quote at most this many characters of a request target
+# Body of the 409 response. Forwarding the second request would execute it twice; the first one continues.
 _DUPLICATE_ID = f"'{protocol.REQUEST_ID_HEADER}' is that of an open request"
 _ALLOWED_METHODS = {
     Effect.IDEMPOTENT: ("GET",),
@@ -26,19 +27,19 @@
 
 
 class AdoptionError(NetError):
-    """A message that was to be adopted is no request of this gateway's clients."""
+    """A message passed to `adopt` has no valid request id, or its path matches no request class."""
 
     def __init__(self, target: str) -> None:
-        super().__init__(f"no request of ours: {target[:MAX_QUOTED_TARGET_CHARS]!r}")
+        super().__init__(f"message has no request id or known path: {target[:MAX_QUOTED_TARGET_CHARS]!r}")
         self.target = target
 
 
 @dataclass(frozen=True, slots=True)
 class AdoptedRequest:
-    """A request that a lost gateway had accepted.
+    """A request that a failed gateway had accepted.
 
-    The deadline is in milliseconds on this gateway's clock; `attempt_count`, `prior_attempts` and `arm` are
-    as in `interface.Request`.
+    The deadline is in milliseconds on this gateway's clock. `attempt_count`, `prior_attempts` and `arm` are
+    passed to the policy in `interface.Request`.
     """
 
     message: Message
@@ -49,7 +50,7 @@
 
 
 class DetachedResponseSink:
-    """The response sink of a request without a client connection: the response goes to a callback."""
+    """Response sink for a request without a client connection; passes the response to a callback."""
 
     is_open = True
     closing = False
@@ -65,13 +66,13 @@
 
 
 def _is_id_hop_by_hop(message: Message) -> bool:
-    """Return whether the request id is an option of the client's connection, which is not forwarded."""
+    """Return whether the `connection` header lists the request id, which would then not be forwarded."""
     options = message.headers.get("connection", "").split(",")
     return protocol.REQUEST_ID_HEADER in {option.strip().lower() for option in options}
 
 
 class RequestAdmission:
-    """Decide for each message whether it becomes an accepted request, and register accepted ones."""
+    """Decides for each message whether it becomes an accepted request, and registers accepted requests."""
 
     def __init__(self, gateway: GatewayContext, requests: RequestTable) -> None:
         self.gateway = gateway
@@ -81,17 +82,17 @@
             request_class.name: index for index, request_class in enumerate(settings.classes)
         }
         self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
-        # Requests that name no known tenant: index 0 is a tenant's, who would be charged for them.
+        # Index for requests without a known tenant. Index 0 would charge them to the first tenant.
         self.unknown_tenant = len(settings.tenants)
 
     def accept(self, sink: ResponseSink, message: Message) -> None:
-        """Answer a message at once, or accept it as a request.
+        """Respond to a message immediately, or accept it as a request.
 
         Raises:
-            BadMessageError: the message is no valid request; the sink has not been answered.
+            BadMessageError: the message is not a valid request; no response was sent.
         """
-        # Before any response, also to a health check. A response to HEAD ends the connection, since its body
-        # is not expected by the client.
+        # Set before any response is sent, including those to health checks. A response to HEAD ends the
+        # connection, since the gateway sends a body that the client doesn't expect.
         sink.closing = sink.closing or not message.keep_alive or message.method == "HEAD"
         path = message.target.partition("?")[0]
         if not path.startswith("/"):
@@ -114,13 +115,13 @@
         self._admit(sink, self._create_request(sink, message, class_index))
 
     def adopt(self, adopted: AdoptedRequest, on_response: Callable[[Response], None]) -> int:
-        """Take over a request that a lost gateway had accepted, and return its handle.
+        """Take over a request that a failed gateway had accepted, and return its handle.
 
-        The extension sees only its response, which then goes to `on_response`: before this method returns
-        where the policy rejects the request at once.
+        The extension sees only the response, which is then passed to `on_response`. If the policy rejects
+        the request immediately, this happens before the method returns.
 
         Raises:
-            AdoptionError: the message has no request id, or no class has its path.
+            AdoptionError: the message has no valid request id, or its path matches no request class.
             SlotsFullError: the request table is full.
         """
         message = adopted.message
@@ -131,7 +132,7 @@
         sink = DetachedResponseSink(on_response)
         arrived_at = self.gateway.deadlines.now()
         request = AcceptedRequest(message, class_index, sink, arrived_at, adopted.deadline_ms)
-        request.attempt_count = adopted.attempt_count  # further attempts continue the numbering
+        request.attempt_count = adopted.attempt_count  # new attempts continue this numbering
         self.requests.add(request)
         sink.request = request
         self.gateway.counters.add("in.adopted")
@@ -155,7 +156,7 @@
         return self.class_indexes.get(path[1:].partition("/")[0])
 
     def _create_request(self, sink: ResponseSink, message: Message, class_index: int) -> AcceptedRequest:
-        """Register a request with its deadline. Raises BadMessageError for a bad id or time."""
+        """Add a request to the table. Raises BadMessageError for an invalid id or remaining time."""
         request_id = message.headers.get(protocol.REQUEST_ID_HEADER, "")
         if not is_request_id(request_id) or _is_id_hop_by_hop(message):
             raise BadMessageError(400, f"no '{protocol.REQUEST_ID_HEADER}', or not just one")
@@ -170,7 +171,7 @@
         return request
 
     def _remaining_ms(self, message: Message, class_index: int) -> float:
-        """Return the time that is left for a request: what it says, or the deadline of its class."""
+        """Return the remaining time of a request in ms: from its header, or the deadline of its class."""
         max_remaining_ms = self.gateway.config.settings.classes[class_index].deadline_ms
         text = message.headers.get(protocol.REMAINING_TIME_HEADER)
         remaining_ms = max_remaining_ms if text is None else parse_remaining(text)
@@ -179,7 +180,7 @@
         return remaining_ms
 
     def _admit(self, sink: ResponseSink, request: AcceptedRequest) -> None:
-        """Pass an accepted request to the policy, unless the extension handles it."""
+        """Pass an accepted request to the policy, unless the extension responds to it."""
         self.gateway.counters.add("in.requests")
         event = self._request_event(request)
         if self.gateway.capture is not None:
@@ -204,7 +205,7 @@
     def _allowed_by_extension(
         self, extension: Extension, sink: ResponseSink, request: AcceptedRequest, event: Request
     ) -> bool:
-        """Return whether the policy shall see a request. A duplicate that the extension allows gets 409."""
+        """Return whether to pass a request to the policy; a duplicate allowed by the extension gets 409."""
         request_id = request.message.headers[protocol.REQUEST_ID_HEADER]
         is_duplicate = self.requests.open_ids[request_id] > 1
         incoming = IncomingRequest(request_id, event, request.message, request.arrived_at, is_duplicate)
--- a/meadowpulley/net/request_parsing.py
+++ b/meadowpulley/net/request_parsing.py
@@ -1,4 +1,4 @@
-"""Parsing of the values that a request carries in its headers."""
+"""Parsing of the header values of requests."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 _REMAINING_TIME = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _MS_PER_UNIT = {"m": 1.0, "u": 0.001}
-_REQUEST_ID = re.compile(r"[!-+\--~]{1,128}")  # neither blanks nor commas: those would be two ids in one
+_REQUEST_ID = re.compile(r"[!-+\--~]{1,128}")  # no spaces or commas, which would join several ids
 _HEX_KEY = re.compile(r"[0-9a-fA-F]{1,16}")
-_KEY_BYTES = 8  # of the hash of a key that is not in hexadecimal digits
+_KEY_BYTES = 8  # hash length for keys that are not hexadecimal numbers
 
 
 def is_request_id(text: str) -> bool:
-    """Return whether a text is a single, well-formed request id."""
+    """Return whether `text` is a single, well-formed request id."""
     return _REQUEST_ID.fullmatch(text) is not None
 
 
@@ -35,9 +35,9 @@
 
 
 def parse_key(text: str) -> int:
-    """Return the number that stands for an entity key in all gateways; 0 for none.
+    """Convert an entity key to a number that is the same in all gateways; an empty key gives 0.
 
-    Up to 16 hexadecimal digits are that number, any other text is hashed to 64 bits.
+    A text of up to 16 hexadecimal digits is parsed as a number; any other text is hashed to 64 bits.
     """
     if not text:
         return 0
@@ -48,7 +48,7 @@
 
 
 def parse_work_estimate(message: Message) -> float | None:
-    """Return the client's estimate of the work in milliseconds, or None where it gave no usable one."""
+    """Return the client's estimate of the work in milliseconds, or None if it is missing or invalid."""
     try:
         estimate_ms = float(message.headers[protocol.WORK_ESTIMATE_HEADER])
     except (KeyError, ValueError):
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -1,4 +1,4 @@
-"""The accepted requests: each is owed exactly one final response, at the latest at its deadline and slack."""
+"""Accepted requests. Each gets exactly one final response, by its deadline plus the response slack."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from meadowpulley.net.http1 import Message
 from meadowpulley.net.slots import SlotTable
 
-NO_HANDLE = -1  # of a request that is not in the table
+NO_HANDLE = -1  # handle of a request or connection that is not stored in a table
 
 
 class ResponseSink(Protocol):
-    """Who sent a request and receives its response: a client's connection, or a stand-in for one."""
+    """Receiver of a request's response: the client's connection, or a replacement without a connection."""
 
     is_open: bool
-    request: AcceptedRequest | None  # the one that awaits its response
-    closing: bool  # the next response is the last one
+    request: AcceptedRequest | None  # the request that currently waits for its response
+    closing: bool  # whether the connection ends after the next response
 
     def respond(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Send a response."""
 
 
 class OutstandingAttempt(Protocol):
-    """An attempt of a request that has no outcome yet. Times are milliseconds on the gateway's clock."""
+    """An attempt that has no outcome yet. Times are milliseconds on the gateway's clock."""
 
     sent_at: float
-    written: bool  # the kernel has the last byte of its request
+    written: bool  # whether the kernel has accepted the last byte of the request
 
     def time_out(self) -> None:
         """End the attempt at its deadline."""
 
     def cancel(self) -> None:
-        """End the attempt because its outcome is no longer needed."""
+        """End the attempt because the policy cancelled it."""
 
 
 @dataclass(slots=True, eq=False)
@@ -53,13 +53,13 @@
     deadline: float
     handle: int = NO_HANDLE
     attempt_count: int = 0
-    first_execution_at: float = math.inf  # when the first ended attempt was sent that may have run
+    first_execution_at: float = math.inf  # earliest send time of the ended attempts that may have executed
     outstanding: dict[int, OutstandingAttempt] = field(default_factory=dict)  # by attempt number
-    finished: bool = False  # answered, or its client is gone
+    finished: bool = False  # whether it has a response, or its client has disconnected
     timeout: Deadline | None = None
 
     def may_have_executed(self, attempt_number: int) -> bool:
-        """Return whether another attempt than this one was executed, may have been, or may yet be."""
+        """Return whether any attempt other than `attempt_number` may have executed or may still execute."""
         if self.first_execution_at < math.inf:
             return True
         return any(
@@ -68,12 +68,12 @@
 
     @property
     def request_id(self) -> str:
-        """The id that the client chose."""
+        """Id of the request, chosen by the client."""
         return self.message.headers[protocol.REQUEST_ID_HEADER]
 
 
 class DeferredResponse:
-    """A response that the extension may hold, at most until the request's deadline and slack."""
+    """A response that the extension may hold until the request's deadline plus the response slack."""
 
     def __init__(
         self, requests: RequestTable, request: AcceptedRequest, sink: ResponseSink | None, response: Response
@@ -87,7 +87,7 @@
         self.timeout = gateway.deadlines.at(release_by, self._release_overdue)
 
     def release(self, response: Response) -> None:
-        """Send the response, or the one that replaces it. Only the first call has an effect."""
+        """Send the original response or a replacement. Only the first call has an effect."""
         self.requests.gateway.deadlines.cancel(self.timeout)
         self.requests.deliver(self.request, self.sink, response)
 
@@ -97,14 +97,14 @@
 
 
 class RequestTable:
-    """The accepted requests by handle, with their deadlines and final responses.
+    """Accepted requests by handle. Enforces their deadlines and sends their final responses.
 
     Attributes:
-        slots: all requests whose slot is in use, answered ones with an outstanding attempt among them.
-        open_ids: how many requests of each id await a response; more than one only where an extension
-            allows it.
-        outstanding_ids: ids of finished requests with an outstanding attempt, which a request of the same id
-            would duplicate.
+        slots: all requests that occupy a slot, including finished ones with an outstanding attempt.
+        open_ids: number of requests per id that wait for a response; more than 1 only if an extension
+            allows duplicates.
+        outstanding_ids: ids of finished requests with an outstanding attempt; a new request with the same id
+            would be executed as a duplicate.
     """
 
     def __init__(self, gateway: GatewayContext, size: int) -> None:
@@ -114,7 +114,7 @@
         self.outstanding_ids: set[str] = set()
 
     def add(self, request: AcceptedRequest) -> None:
-        """Register a request: from now on it is owed a response. Raises SlotsFullError."""
+        """Add a request and schedule its deadline. Raises SlotsFullError if the table is full."""
         request.handle = self.slots.put(request)
         self.open_ids[request.request_id] = self.open_ids.get(request.request_id, 0) + 1
         request.timeout = self.gateway.deadlines.at(
@@ -122,7 +122,7 @@
         )
 
     def respond(self, request: AcceptedRequest, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Give a request its final response; a second one is counted and dropped."""
+        """Send the final response of a request; a second response is counted and dropped."""
         if request.finished:
             self.gateway.counters.add("out.duplicate_responses")
             return
@@ -136,9 +136,10 @@
             sink.respond(status, headers, body)
 
     def complete(self, handle: int, response: Response) -> bool:
-        """Give a request a response that the extension is not shown; outstanding attempts are cancelled.
+        """Send a request's final response without passing it to the extension, and notify the policy.
 
-        Returns False if the request was finished already.
+        The policy receives `ClientDisconnected`, so that it cancels outstanding attempts. Returns False if
+        the request was already finished.
         """
         request = self.slots.get(handle)
         if request is None or request.finished:
@@ -151,13 +152,13 @@
         return True
 
     def deliver(self, request: AcceptedRequest, sink: ResponseSink | None, response: Response) -> None:
-        """Send a response to its sink, if that still awaits it rather than the next one."""
+        """Send a response to the sink if the sink still waits for this request's response."""
         if sink is not None and sink.is_open and sink.request is request:
             sink.respond(response.status, response.headers, response.body)
-        self.gateway.stop_if_drained()  # a detached request ends without the end of a connection
+        self.gateway.stop_if_drained()  # no closing connection triggers this for a request without one
 
     def reject(self, action: Reject) -> None:
-        """Answer 503, with Retry-After where the policy gives a time."""
+        """Respond with 503, and with Retry-After if the policy's action has a retry delay."""
         request = self.slots.get(action.request)
         if request is None:
             self.gateway.counters.add("out.late_actions")
@@ -167,7 +168,7 @@
         self.respond(request, 503, headers, b"")
 
     def fail(self, action: Fail) -> None:
-        """Answer 502."""
+        """Respond with 502."""
         request = self.slots.get(action.request)
         if request is None:
             self.gateway.counters.add("out.late_actions")
@@ -175,14 +176,14 @@
         self.respond(request, 502, {}, b"")
 
     def decision_failed(self, handle: int) -> None:
-        """Fail a request on which the policy raised an exception, unless an attempt of it is outstanding."""
+        """Respond with 502 after the policy raised an exception, unless an attempt is outstanding."""
         request = self.slots.get(handle)
         if request is not None and not request.finished and not request.outstanding:
             self.respond(request, 502, {}, b"")
             self.gateway.dispatch(ClientDisconnected(handle))
 
     def client_disconnected(self, request: AcceptedRequest) -> None:
-        """Finish a request whose client is gone, unless the extension lets it continue."""
+        """Finish a request whose client disconnected, unless the extension lets the request continue."""
         if request.finished:
             return
         extension = self.gateway.extension
@@ -200,16 +201,16 @@
             self.outstanding_ids.discard(request.request_id)
 
     def _deadline_reached(self, request: AcceptedRequest) -> None:
-        """Time out all attempts; the policy has the slack to answer."""
+        """Time out all attempts; the policy may still respond during the response slack."""
         slack_ms = self.gateway.config.settings.rules.response_slack_ms
-        # Set first: whatever fails below, the response is sent in time.
+        # Schedule the fallback response first, so that it is sent in time even if a call below raises.
         overdue_at = request.deadline + slack_ms
         request.timeout = self.gateway.deadlines.at(overdue_at, partial(self._respond_overdue, request))
         for attempt in list(request.outstanding.values()):
             attempt.time_out()
 
     def _respond_overdue(self, request: AcceptedRequest) -> None:
-        """Answer 504 where the policy has not answered: a fault of the gateway."""
+        """Respond with 504 if the policy has sent no response in time, which is a fault of the gateway."""
         if request.finished:
             return
         self.gateway.counters.add("out.overdue")
@@ -220,14 +221,14 @@
     def _pass_to_extension(self, extension: Extension, deferred: DeferredResponse) -> None:
         try:
             extension.on_response(deferred.request.handle, deferred.response, deferred.release)
-        except Exception:  # noqa: BLE001  # a broken extension must not cost the client its response
+        except Exception:  # noqa: BLE001  # the client gets its response even if the extension raises
             self.gateway.log_fault("extension")
             deferred.release(deferred.response)
 
     def _continues_without_client(self, extension: Extension, request: AcceptedRequest) -> bool:
         try:
             return extension.on_client_disconnected(request.handle)
-        except Exception:  # noqa: BLE001  # else the request would keep its slot, though nobody awaits its response
+        except Exception:  # noqa: BLE001  # otherwise the request would occupy its slot without a client
             self.gateway.log_fault("extension")
             return False
 
--- a/meadowpulley/net/ring.py
+++ b/meadowpulley/net/ring.py
@@ -1,39 +1,40 @@
-"""A bounded ring buffer; every connection has one for each direction. Compiled by mypyc."""
+"""Bounded ring buffer; every connection has one per direction. Compiled by mypyc."""
 
 from __future__ import annotations
 
 from meadowpulley.net.errors import NetError
 
-INITIAL_BYTES = 2048  # the capacity at first, and again once it is empty: an idle connection costs little
+# Initial capacity, which an emptied buffer returns to, so that idle connections use little memory.
+INITIAL_BYTES = 2048
 
 
 class RingBufferFullError(NetError):
-    """More bytes were written than the buffer may ever hold."""
+    """A write would exceed the maximum size of the buffer."""
 
 
 class RingBuffer:
-    """Bytes in the order in which they were written, in a buffer that grows up to `max_bytes`."""
+    """First-in, first-out byte buffer whose capacity grows up to `max_bytes`."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
-        self._start = 0  # where in `_bytes` the first byte is
+        self._start = 0  # index of the first byte in `_bytes`
         self._size = 0
         self._bytes = bytearray(min(INITIAL_BYTES, max_bytes))
 
     def __len__(self) -> int:
-        """Return how many bytes it holds."""
+        """Return the number of bytes in the buffer."""
         return self._size
 
     @property
     def free_bytes(self) -> int:
-        """How many bytes more it may hold."""
+        """Number of bytes that can still be written."""
         return self.max_bytes - self._size
 
     def write(self, data: bytes) -> None:
-        """Append bytes. Raises RingBufferFullError, and then holds what it held before."""
+        """Append bytes. Raises RingBufferFullError, without a change, if they don't fit."""
         size = self._size + len(data)
         if size > self.max_bytes:
-            raise RingBufferFullError(f"{size} bytes, at most {self.max_bytes} fit")
+            raise RingBufferFullError(f"{size} bytes exceed the maximum size of {self.max_bytes} bytes")
         if size > len(self._bytes):
             self._grow(size)
         capacity = len(self._bytes)
@@ -47,7 +48,7 @@
         self._size = size
 
     def _grow(self, min_capacity: int) -> None:
-        """Double the capacity, or more where that is not enough."""
+        """Increase the capacity to twice its size or `min_capacity`, at most `max_bytes`."""
         capacity = max(2 * len(self._bytes), min_capacity)
         grown = bytearray(min(capacity, self.max_bytes))
         grown[: self._size] = self.peek(self._size)
@@ -55,7 +56,7 @@
         self._start = 0
 
     def peek(self, size: int, skip: int = 0) -> bytes:
-        """Return up to `size` bytes after the first `skip`, and keep them."""
+        """Return up to `size` bytes after the first `skip` bytes, without removing them."""
         size = max(min(size, self._size - skip), 0)
         capacity = len(self._bytes)
         offset = (self._start + skip) % capacity
@@ -64,10 +65,10 @@
         return bytes(self._bytes[offset:]) + bytes(self._bytes[: offset + size - capacity])
 
     def find(self, needle: bytes, skip: int = 0) -> int:
-        """Return where `needle` begins, after the first `skip` bytes; -1 if it is not there.
+        """Return the position of `needle` at or after `skip`, or -1 if it is not found.
 
-        The search stops at the first match: many short lines that came at once would otherwise each cost a
-        pass over all of the rest.
+        The search stops at the first match. Otherwise, for many short lines that arrive together, each line
+        would require a search through all remaining bytes.
         """
         capacity = len(self._bytes)
         end = self._start + self._size
@@ -84,7 +85,7 @@
         return index + bytes_before_wrap if index >= 0 else -1
 
     def take(self, size: int) -> bytes:
-        """Return up to `size` bytes and remove them."""
+        """Remove and return up to `size` bytes."""
         data = self.peek(size)
         self._size -= len(data)
         self._start = (self._start + len(data)) % len(self._bytes)
--- a/meadowpulley/net/slots.py
+++ b/meadowpulley/net/slots.py
@@ -1,7 +1,7 @@
 """Fixed-size tables whose entries are addressed by handles.
 
-A handle combines the index of a slot with the slot's generation, a count of how often it has been used. A
-stale handle therefore finds nothing, rather than the item that uses the slot now.
+A handle combines the index of a slot with the slot's generation, which counts how often the slot has been
+used. A stale handle therefore finds no item, instead of the item that uses the slot now.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class SlotsFullError(NetError):
-    """All slots of the table are in use."""
+    """The table has no free slot."""
 
 
 class SlotTable(Generic[Item]):
-    """A table of at most `size` items, each reached by the handle that `put` returned for it."""
+    """A table of at most `size` items, each addressed by the handle that `put` returned for it."""
 
     def __init__(self, size: int) -> None:
         self.size = size
@@ -28,11 +28,11 @@
         self._free = list(range(size - 1, -1, -1))
 
     def __len__(self) -> int:
-        """Return how many items it holds."""
+        """Return the number of items in the table."""
         return self.size - len(self._free)
 
     def __iter__(self) -> Iterator[Item]:
-        """Iterate over the items as they are now: the table may change meanwhile."""
+        """Iterate over a copy of the items, so that the table may change during the iteration."""
         return iter([item for item in self._items if item is not None])
 
     @property
@@ -54,12 +54,12 @@
         return self._generations[slot] * self.size + slot
 
     def get(self, handle: int) -> Item | None:
-        """Return the item of a handle, or None if the handle is stale."""
+        """Return the item with this handle, or None if the handle is stale."""
         generation, slot = divmod(handle, self.size)
         return self._items[slot] if self._generations[slot] == generation else None
 
     def free(self, handle: int) -> Item | None:
-        """Empty the slot of a handle and return its item; a stale handle frees nothing."""
+        """Remove and return the item with this handle, or return None if the handle is stale."""
         item = self.get(handle)
         if item is not None:
             slot = handle % self.size
--- a/meadowpulley/net/write_permission.py
+++ b/meadowpulley/net/write_permission.py
@@ -1,7 +1,7 @@
-"""Whether an attempt may be written to its instance now: the check at the moment of the write.
+"""Check whether an attempt may be written to its instance, made immediately before the write.
 
-The policy decides to send, and may be right only for a while: until the connection is established the client
-may leave, the instance may drain, and what was known of it may become too old to act on.
+The policy's decision to send may become outdated while the connection is being established: the client may
+disconnect, the instance may start draining, or the information about the instance may expire.
 """
 
 from __future__ import annotations
@@ -14,25 +14,26 @@
 
 
 class WriteRefusal(Enum):
-    """Why an attempt may not be written now; the value names its counter."""
+    """Reason why an attempt may not be written; the value is part of the counter's name."""
 
     REQUEST_FINISHED = "request_finished"
     DEADLINE_PASSED = "deadline_passed"
-    ENDPOINT_EXPIRED = "endpoint_expired"  # the policy's `write_by` has passed, whatever set it
+    ENDPOINT_EXPIRED = "endpoint_expired"  # the policy's `write_by` has passed, whatever its reason
     ENDPOINT_REPLACED = "endpoint_replaced"
     CONNECTION_CLOSED = "connection_closed"
     MAY_HAVE_EXECUTED = "may_have_executed"
 
     @property
     def is_violation(self) -> bool:
-        """Whether the policy should never have sent it: nothing that comes later can have made it wrong."""
+        """Whether the policy made an error: no later event can have made this decision to send invalid."""
         return self is WriteRefusal.MAY_HAVE_EXECUTED
 
     @property
     def result(self) -> Result:
-        """The result of the attempt: whether the instance, or what is known of it, is to blame.
+        """Result of the refused attempt, which depends on whether the instance was the reason.
 
-        The policy takes CONNECT_FAILED for a failure of the server, and looks for another one.
+        The policy treats CONNECT_FAILED as a failure of the server and selects another one. NOT_SENT doesn't
+        count against the server.
         """
         instance_refused = self in (
             WriteRefusal.ENDPOINT_EXPIRED,
@@ -44,18 +45,18 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteConditions:
-    """What binds the write of one attempt. Times are milliseconds on the gateway's clock."""
+    """Conditions for writing one attempt. Times are milliseconds on the gateway's clock."""
 
-    request_finished: bool  # its client has its response, or is gone
-    may_have_executed: bool  # an earlier attempt of a request that must not run twice
-    deadline: float  # of the attempt
-    write_by: float  # until when the policy allows it
+    request_finished: bool  # whether the client has its response or has disconnected
+    may_have_executed: bool  # whether another attempt of a non-idempotent request may have executed
+    deadline: float  # deadline of the attempt
+    write_by: float  # the policy allows the write only before this time
 
 
 def write_refusal(
     conditions: WriteConditions, connection: InstanceConnection, now: float
 ) -> WriteRefusal | None:
-    """Return why an attempt may not be written to a connection at a time; None if it may."""
+    """Return why an attempt may not be written to a connection at time `now`, or None if it may."""
     if conditions.request_finished:
         return WriteRefusal.REQUEST_FINISHED
     if conditions.may_have_executed:
@@ -64,7 +65,7 @@
         return WriteRefusal.DEADLINE_PASSED
     if now >= conditions.write_by:
         return WriteRefusal.ENDPOINT_EXPIRED
-    if connection.pool.retired:  # the instance drains, is gone, or was replaced
+    if connection.pool.retired:  # the instance is draining, was removed or was replaced
         return WriteRefusal.ENDPOINT_REPLACED
     if not connection.is_open:
         return WriteRefusal.CONNECTION_CLOSED
