--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -53,7 +53,7 @@
         self.timeout = self.runner.gateway.deadlines.at(self.deadline, self.time_out)
 
     def schedule_write_timeout(self) -> None:
-        """Schedule the end of the attempt for `write_by`, if the request is not written until then."""
+        """Schedule the end of the attempt for `write_by`, if the request is not written by then."""
         self.write_timeout = self.runner.gateway.deadlines.at(self.write_by, self._write_timed_out)
 
     def start(self, pool: ConnectionPool) -> None:
@@ -301,7 +301,7 @@
         """Start an attempt. If it raises, log the exception as `fault_name` and end only this attempt."""
         try:
             attempt.start(pool)
-        except Exception:  # noqa: BLE001  # without free ports connecting raises; the gateway must continue
+        except Exception:  # noqa: BLE001  # raised, for example, if no ports are free; the gateway continues
             self.gateway.log_fault(fault_name)
             attempt.connection_lost()
 
--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -23,7 +23,9 @@
 RECHECK_INTERVAL_MS = 20.0  # delay until a postponed timeout or a shortage of slots is checked again
 SLOW_READER_GRACE_MS = 500.0  # time after the request's deadline for a client to finish reading a response
 LINGER_TIMEOUT_MS = 1_000.0  # time after the last response for the client to read it and close
-MAX_DISCARDED_BYTES = 256 * 1024  # limit on discarded input after the last request; then reading stops
+# Limit on discarded input after the last request. Beyond it, a lingering connection is no longer read, so
+# that the kernel holds back the client, and any other connection is reset.
+MAX_DISCARDED_BYTES = 256 * 1024
 # Requests of one connection per reactor turn. Typical clients send one request at a time and would have to
 # wait while a flood on another connection is processed.
 MAX_REQUESTS_PER_TURN = 4
@@ -216,7 +218,7 @@
             self.close_if_idle()
 
     def linger(self) -> None:
-        """Shut down the sending side, and wait until the client closes the connection or a timeout."""
+        """Shut down the sending side, and wait for the client to close the connection, with a timeout."""
         self.state = ClientConnectionState.LINGERING
         self.input_buffer.clear()
         self.timeout.set(LINGER_TIMEOUT_MS, self.release_slot)
--- a/meadowpulley/net/client_listener.py
+++ b/meadowpulley/net/client_listener.py
@@ -62,7 +62,7 @@
         self.port = listening_port
         self._accept_pending = listening_port.doRead
         accept = partial(self._accept, listening_port)
-        listening_port.doRead = accept  # type: ignore[method-assign]  # Twisted has no other hook
+        listening_port.doRead = accept  # type: ignore[method-assign]  # Twisted has no hook for it
 
     def _accept(self, port: ListeningPort) -> None:
         """Accept a limited number of connections, so that the table has slots for them.
--- a/meadowpulley/net/connection.py
+++ b/meadowpulley/net/connection.py
@@ -20,7 +20,7 @@
 WRITE_CHUNK_BYTES = 64 * 1024  # maximum size of one write to the transport
 CLOSED_CLEANLY = Failure(ConnectionDone())  # type: ignore[no-untyped-call]  # Failure() is not annotated
 
-# Methods that Twisted calls keep the names that it requires.
+# Methods that Twisted calls must have the names that it defines, which break rule N802.
 # ruff: noqa: N802
 
 ConnectionT = TypeVar("ConnectionT", bound="Connection")
@@ -89,7 +89,7 @@
         self.input_buffer = RingBuffer(max_input_bytes)
         self.output_buffer = RingBuffer(max_output_bytes)
         self.timeout = ConnectionTimeout(deadlines)
-        self.pending: PendingConnection[Any] | None = None  # Any: this object's own subclass
+        self.pending: PendingConnection[Any] | None = None  # Any: stands for the subclass
         self.transport: Any = None  # Any: Twisted's interface type lacks many methods of TCP transports
         self.is_open = False
         self.was_reset = False  # whether the connection broke instead of being closed by the peer
--- a/meadowpulley/net/instance_connection.py
+++ b/meadowpulley/net/instance_connection.py
@@ -84,7 +84,7 @@
     def opened(self) -> None:
         """Count the connection; reset it if its pool was retired while it was being established."""
         self.pool.owner.connection_opened()
-        if self.pool.retired:  # the address may now run another build
+        if self.pool.retired:  # the address may now run another build than the request is meant for
             self.abort()
 
     def send_request(self, exchange: Exchange, data: bytes) -> None:
@@ -117,7 +117,7 @@
         if response is not None:
             self._response_received(exchange, response)
         elif not self.parser.has_partial_message:
-            self.timeout.clear()  # only an interim response was partial; the final one has no such limit
+            self.timeout.clear()  # the partial input was an interim response; the final one may take longer
         elif self.timeout.at == math.inf:
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_incomplete)
 
@@ -141,7 +141,7 @@
         exchange.response_received(response)
 
     def closed(self) -> None:
-        """Report the end of the connection, which completes a response without a length."""
+        """Report the end of the connection, which may complete a response without a length."""
         if self.state is InstanceConnectionState.CLOSED:
             return
         self.state = InstanceConnectionState.CLOSED
--- a/meadowpulley/net/instance_pools.py
+++ b/meadowpulley/net/instance_pools.py
@@ -30,7 +30,7 @@
         self.limits = gateway.config.settings.limits
         self.idle_timeout_ms = self.limits.idle_timeout_ms
         self.open_sockets = 0  # sockets that are connected or being connected
-        self.pools: dict[int, ConnectionPool] = {}  # by server number
+        self.pools: dict[int, ConnectionPool] = {}  # keyed by server number
 
     def register(self, server: int, address: Address, incarnation: ServerIncarnation) -> None:
         """Set the address and incarnation of a server.
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -54,7 +54,7 @@
     handle: int = NO_HANDLE
     attempt_count: int = 0
     first_execution_at: float = math.inf  # earliest send time of the ended attempts that may have executed
-    outstanding: dict[int, OutstandingAttempt] = field(default_factory=dict)  # by attempt number
+    outstanding: dict[int, OutstandingAttempt] = field(default_factory=dict)  # keyed by attempt number
     finished: bool = False  # whether it has a response, or its client has disconnected
     timeout: Deadline | None = None
 
@@ -155,7 +155,7 @@
         """Send a response to the sink if the sink still waits for this request's response."""
         if sink is not None and sink.is_open and sink.request is request:
             sink.respond(response.status, response.headers, response.body)
-        self.gateway.stop_if_drained()  # no closing connection triggers this for a request without one
+        self.gateway.stop_if_drained()  # a request may have no connection whose end would call this
 
     def reject(self, action: Reject) -> None:
         """Respond with 503, and with Retry-After if the policy's action has a retry delay."""
--- a/meadowpulley/net/ring.py
+++ b/meadowpulley/net/ring.py
@@ -34,7 +34,7 @@
         """Append bytes. Raises RingBufferFullError, without a change, if they don't fit."""
         size = self._size + len(data)
         if size > self.max_bytes:
-            raise RingBufferFullError(f"{size} bytes exceed the maximum size of {self.max_bytes} bytes")
+            raise RingBufferFullError(f"the buffer holds at most {self.max_bytes} bytes, not {size}")
         if size > len(self._bytes):
             self._grow(size)
         capacity = len(self._bytes)
--- a/tests/net_program/conftest.py
+++ b/tests/net_program/conftest.py
@@ -1,4 +1,4 @@
-"""A gateway as a program for these tests: started by `run`, ended with the test."""
+"""Fixture that starts gateway processes with the deploy file `run` and stops them after the test."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def start(tmp_path: Path) -> Iterator[StartGateway]:
-    """Starts gateways; they end with the test."""
+    """Return a function that starts a gateway process; all of them are stopped after the test."""
     started: list[GatewayProcess] = []
 
     def start_gateway(*args: Any, wait: bool = True, **overrides: Any) -> GatewayProcess:
--- a/tests/net_program/test_client_races.py
+++ b/tests/net_program/test_client_races.py
@@ -1,4 +1,4 @@
-"""Clients that come, go and come again at the wrong moment; the gateway as a program."""
+"""Gateway process with clients that disconnect, reuse request ids or send expired requests."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 def test_duplicate_id_is_not_forwarded_while_an_attempt_is_outstanding(
     start: StartGateway, cancellation_allowed: bool
 ) -> None:
-    # A client that disconnected freed its request id at once. When the same id came again, a second copy was
-    # sent while the first attempt was still outstanding.
+    # The request id of a disconnected client was freed immediately. When a request with the same id followed,
+    # it was sent while the attempt of the first request was still outstanding.
     may_respond = threading.Event()
 
     def hold(handler: BaseHTTPRequestHandler, body: bytes) -> None:
@@ -37,7 +37,7 @@
     while not _counters(gateway).get("in.client_disconnected"):
         pass
     second.send("POST", "/pay", b"second", X_Txn="7f3a")
-    if cancellation_allowed:  # the connection of the first attempt is closed: it is out no longer
+    if cancellation_allowed:  # cancelling has closed the first attempt's connection
         assert instance.received.get(timeout=TIMEOUT_S)[3] == b"second"
         may_respond.set()
         assert second.read_response()[::2] == (200, b"second")
@@ -49,7 +49,7 @@
             pass
         assert (
             gateway.client().request("POST", "/pay", b"third", X_Txn="7f3a")[0] == 200
-        )  # free again, after all
+        )  # the id may be used again
 
 
 def _counters(gateway: GatewayProcess) -> dict[str, Any]:
--- a/tests/net_program/test_customer_settings.py
+++ b/tests/net_program/test_customer_settings.py
@@ -1,4 +1,4 @@
-"""The program on the settings of customers that nobody has: the rules hold, whatever the figures are."""
+"""Gateway process with generated customer settings: its invariants hold for arbitrary values."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     respond,
 )
 
-LONG_DEADLINE_MS = 20_000.0  # a deadline that no machine of ours is too busy for
-CLIENT_TIMEOUT_MS = 300  # what a client waits for an answer that comes too late
+LONG_DEADLINE_MS = 20_000.0  # long enough even on a busy test machine
+CLIENT_TIMEOUT_MS = 300  # how long a client waits for a response that the instance sends too late
 CLASS_NAMES = st.tuples(
     st.from_regex(r"[a-z][a-z0-9]{0,5}", fullmatch=True),
     st.lists(st.sampled_from(["2", "-b", "-9th", "x", "--", "_", ".", "-"]), max_size=4),
-).map(lambda drawn: list(accumulate([drawn[0], *drawn[1]])))  # each begins with the one before it
+).map(lambda drawn: list(accumulate([drawn[0], *drawn[1]])))  # each name is a prefix of the next one
 METHODS = {"pure": "GET", "token": "POST", "side_effect": "POST"}
 ALLOWED_METHODS = {"pure": "GET", "token": "POST, PUT", "side_effect": "POST"}
 
@@ -78,7 +78,8 @@
     "target-ms": LONG_DEADLINE_MS / 2,
     "dedup-window-ms": 150.0,
 }
-ONE_CELL_CUSTOMER = {  # its first class has the whole budget of repeats, and may repeat in one cell alone
+# The first class has the whole retry budget, and may be retried only in the cell of the first attempt.
+ONE_CELL_CUSTOMER = {
     "names": ["pay", "pay-2", "pay-2-"],
     "classes": [KEYED_CLASS | {"group": group} for group in ("cell", "all")],
     "tenants": ["quay", "quay-2"],
@@ -91,10 +92,10 @@
 
 
 class ScriptedInstances:
-    """Two instances in two cells, told by the path what to do with a request; they keep who came where."""
+    """Two instances in two cells. The request path selects their behaviour; they record all requests."""
 
     def __init__(self, windows: dict[str, float]) -> None:
-        self.arrivals: dict[str, list[int]] = defaultdict(list)  # by the id: the cells in which it came
+        self.arrivals: dict[str, list[int]] = defaultdict(list)  # by request id: the cells that received it
         self.windows, self.incarnation = windows, 0
         self.held_requests: queue.Queue[str] = queue.Queue()
         self.release_held = threading.Event()
@@ -102,7 +103,7 @@
         self.discovery = FakeDiscovery(self._entries("in_service"))
 
     def _entries(self, second_state: str) -> list[dict[str, Any]]:
-        self.incarnation += 1  # a fresh start each time: nothing that happened before speaks against them
+        self.incarnation += 1  # a new incarnation has no recorded failures
         states = ("in_service", second_state)
         return [
             endpoint(f"s-{cell}", instance.address, status=states[cell])
@@ -111,7 +112,7 @@
         ]
 
     def restart_instances(self, second_state: str = "in_service") -> None:
-        """Returns once the gateway has read it: it asks for what comes after."""
+        """Publish new incarnations, and return once the gateway polls for the version after them."""
         self.discovery.update(self._entries(second_state))
         while self.discovery.polled_versions.get(timeout=TIMEOUT_S) < self.discovery.index:
             pass
@@ -127,7 +128,7 @@
             if behaviour == "hold":
                 self.held_requests.put(request_id)
                 self.release_held.wait(TIMEOUT_S)
-            elif behaviour == "window":  # it was sent before it came, so that its window is over for sure
+            elif behaviour == "window":  # started on arrival, after sending: the window has surely ended
                 threading.Event().wait(self.windows[cls] / 1000)
             if behaviour in ("reset", "window"):
                 handler.connection.shutdown(socket.SHUT_RDWR)
@@ -143,7 +144,7 @@
 
 
 class ClientRequest:
-    """One request, from its sending to its one answer."""
+    """A request that was sent, and its response."""
 
     def __init__(
         self, client: Client, request_class: dict[str, Any], behaviour: str, tenant: str = ""
@@ -163,21 +164,21 @@
         )
         self.request_id = f"{client.request_count:016x}"
 
-    def answered(self) -> ClientRequest:
+    def read_response(self) -> ClientRequest:
         self.status, _, self.body = self.client.read_response()
         return self
 
     def check(self, arrivals: list[int], max_attempts: int) -> None:
-        """The rules on answers and repeats."""
+        """Check the invariants for responses and retries."""
         context = (self.path, self.request_class, self.status, self.body, arrivals)
         repeat, group = self.request_class["repeat"], self.request_class["group"]
         assert self.status in (200, 502, 503, 504), context
         assert len(arrivals) <= max_attempts, context
-        if self.status == 200:  # an answer that was made for this very request
+        if self.status == 200:  # the response must belong to this request
             assert self.behaviour in ("ok", "hold"), context
             assert self.body == f"{self.request_id} {self.path}".encode(), context
         if not arrivals or self.behaviour == "away":
-            return  # it never ran: refused or repeated as one likes
+            return  # never executed: rejections and retries are both allowed
         if repeat == "side_effect":
             assert len(arrivals) == 1, context
             assert self.status != 503, context
@@ -195,29 +196,29 @@
     for cls in classes:
         status, headers, _ = client.request("DELETE", f"/{cls['name']}/ok")
         assert status == 405
-        assert headers["allow"] == ALLOWED_METHODS[cls["repeat"]]  # known by its whole name
+        assert headers["allow"] == ALLOWED_METHODS[cls["repeat"]]  # the class is found by its full name
     for unknown_name in {f"{name}!" for name in names} | {name[:-1] for name in names} - names:
         assert client.request("GET", f"/{unknown_name}/ok")[0] == 404
 
-    done = [ClientRequest(client, cls, "ok", tenant).answered() for cls in classes for tenant in tenants]
+    done = [ClientRequest(client, cls, "ok", tenant).read_response() for cls in classes for tenant in tenants]
     long_deadline_statuses = [
-        asked.status for asked in done if asked.request_class["hard-limit-ms"] == LONG_DEADLINE_MS
+        request.status for request in done if request.request_class["hard-limit-ms"] == LONG_DEADLINE_MS
     ]
     assert set(long_deadline_statuses) == {200}, [
         (a.path, a.status, fleet.arrivals[a.request_id]) for a in done
-    ]  # all is well yet
-    for cls, what in product(classes, ("reset", "window", "error", "away", "hold")):
+    ]  # no instance has failed yet
+    for cls, behaviour in product(classes, ("reset", "window", "error", "away", "hold")):
         fleet.restart_instances()
-        done.append(ClientRequest(client, cls, what).answered())
-        if what == "hold":  # the answer that comes too late is no answer to the next
+        done.append(ClientRequest(client, cls, behaviour).read_response())
+        if behaviour == "hold":  # the late response must not be taken for the next request's
             fleet.release_held.set()
-            done.append(ClientRequest(client, cls, "ok").answered())
+            done.append(ClientRequest(client, cls, "ok").read_response())
             fleet.release_held.clear()
 
     fleet.restart_instances("terminating")
-    drained = [ClientRequest(client, cls, "ok").answered() for cls in classes * 3]
+    drained = [ClientRequest(client, cls, "ok").read_response() for cls in classes * 3]
     fleet.restart_instances("terminating")
-    holder, first = gateway.client(), classes[0]  # which has all the time
+    holder, first = gateway.client(), classes[0]  # the first class has the long deadline
     holder.request_count = client.request_count
     holder.send(METHODS[first["repeat"]], f"/{first['name']}/hold/2", X_Remaining=f"{LONG_DEADLINE_MS:.0f}m")
     while fleet.held_requests.get(timeout=TIMEOUT_S) != f"{holder.request_count:016x}":
@@ -232,9 +233,9 @@
     counters = gateway.wait_for("counters")
     assert not [name for name in counters if name.startswith("fault.") or name == "out.duplicate_responses"]
     assert gateway.process.wait(TIMEOUT_S) == 0
-    for asked in done + drained:
-        asked.check(fleet.arrivals[asked.request_id], max_attempts)
-    assert not any(1 in fleet.arrivals[asked.request_id] for asked in drained)
+    for request in done + drained:
+        request.check(fleet.arrivals[request.request_id], max_attempts)
+    assert not any(1 in fleet.arrivals[request.request_id] for request in drained)
 
 
 @given(drawn=CUSTOMERS)
@@ -272,7 +273,8 @@
 
 
 def test_infinite_number_is_rejected_with_its_path_at_start_and_reload(start: StartGateway) -> None:
-    # Python's JSON reader accepts Infinity. The start ended with a traceback, and a reload with an exception.
+    # Python's JSON parser accepts Infinity. Such settings ended the start with a traceback, and a reload with
+    # an exception.
     invalid_settings = SETTINGS | {
         "rules": {**SETTINGS["rules"], "cold-ms": float("inf")},
         "balancers": float("inf"),
--- a/tests/net_program/test_instance_races.py
+++ b/tests/net_program/test_instance_races.py
@@ -1,4 +1,4 @@
-"""The gateway as a program against scripted instances: connections and answers that end at a wrong moment."""
+"""Gateway process with instances whose connections end before the response is complete."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 LINGER_OPTIONS = {
     "reset": struct.pack("ii", 1, 0),
     "close": struct.pack("ii", 0, 0),
-}  # SO_LINGER: at once, or in order
+}  # SO_LINGER values for an immediate reset and an orderly close
 
 
-TRUNCATED_RESPONSES = [  # what comes of an answer, and whether a connection that ends in order ends it
+TRUNCATED_RESPONSES = [  # (bytes sent, whether an orderly close of the connection completes the response)
     (OK + b"\r\npart", True),
     (b"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\npart", True),
     (b"HTTP/1.1 103 Early Hints\r\n\r\n" + OK + b"\r\npart", True),
@@ -33,9 +33,9 @@
 
 @pytest.mark.parametrize("ending", LINGER_OPTIONS)
 def test_truncated_response_is_not_accepted(start: StartGateway, ending: str) -> None:
-    """A response that was cut off may not count as complete.
+    """A truncated response must not be forwarded as complete.
 
-    Without a length only an orderly end of the connection ends a response (RFC 9112, 6.3 and 8).
+    A response without a length is completed only by an orderly close (RFC 9112, 6.3 and 8).
     """
 
     def handle(handler: BaseHTTPRequestHandler, body: bytes) -> None:
@@ -53,6 +53,6 @@
     for index, (raw, framed_by_close) in enumerate(TRUNCATED_RESPONSES):
         response = client.request("POST", "/pay", b"%d" % index)[::2]
         assert response == ((200, b"part") if framed_by_close and ending == "close" else (502, b"")), raw
-        for _ in range(3):  # or it counts as out of order
+        for _ in range(3):  # successes, so that the instance is not ejected as an outlier
             assert client.request("POST", "/pay", b"whole")[0] == 200
-    assert instance.received.qsize() == 4 * len(TRUNCATED_RESPONSES)  # each once: it may have run
+    assert instance.received.qsize() == 4 * len(TRUNCATED_RESPONSES)  # no retry: it may have executed
--- a/tests/net_program/test_serving.py
+++ b/tests/net_program/test_serving.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: requests of clients and answers of instances, over loopback sockets."""
+"""Gateway process that serves clients from fake instances over loopback sockets."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
 
 def test_serves_cached_endpoints_with_discovery_and_platform_down(start: StartGateway) -> None:
     instance = FakeInstance()
-    nobody = f"127.0.0.1:{free_port()}"
-    client = start([endpoint("s-1", instance.address)], discovery=nobody).client()
+    closed_address = f"127.0.0.1:{free_port()}"
+    client = start([endpoint("s-1", instance.address)], discovery=closed_address).client()
     assert client.request("GET", "/health/ready")[0] == 200
     status, _, body = client.request("POST", "/pay/now?x=1", b"money", X_Entity="7f3a9c21e0b4d655")
     assert (status, body) == (200, b"served money")
@@ -51,11 +51,11 @@
         assert client.request("GET", "/look")[0] == 200
     assert (
         instance.connections <= PRECONNECT_PER_INSTANCE + 1
-    )  # set-up is dear: no request opens one of its own
+    )  # setting up a connection is expensive, so requests share them
 
 
 def test_large_fleet_opens_no_connections_ahead(start: StartGateway) -> None:
-    # 206 gateways opened 21,000 connections in their first second, as many as they had requests in all.
+    # 206 gateways opened 21,000 connections in the first second, as many as they had requests in total.
     instance = FakeInstance()
     client = start([endpoint("s-1", instance.address)], settings={**SETTINGS, "balancers": 200}).client()
     for _ in range(3):
@@ -88,7 +88,7 @@
     assert set(statuses) <= {
         200,
         503,
-    }  # repeats are few, and what never ran is refused
+    }  # retries are limited; a request that never executed gets 503
 
 
 def test_garbage_from_an_instance_fails_only_that_attempt(start: StartGateway) -> None:
@@ -102,7 +102,7 @@
     [
         (b"\x16\x03\x01 hello", 400),
         (b"GET /look HTTP/1.1\r\n\r\n", 400),
-        (b"GET /look HTTP/1.1\r\nHost: a\r\n\r\n", 400),  # no id
+        (b"GET /look HTTP/1.1\r\nHost: a\r\n\r\n", 400),  # no request id
         (b"GET /look HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Txn: 2\r\n\r\n", 400),
         (b"GET /look HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nConnection: close, X-Txn\r\n\r\n", 400),
         (b"GET /look HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Remaining: nan\r\n\r\n", 400),
@@ -125,7 +125,7 @@
     client.socket.sendall(raw)
     assert client.read_response()[0] == status
     assert client.read_response()[0] == 0
-    assert instance.received.empty()  # never sent on
+    assert instance.received.empty()  # the request was never forwarded
 
 
 @pytest.mark.parametrize(
@@ -136,8 +136,8 @@
 def test_silent_slow_and_partial_clients_time_out(
     start: StartGateway, first_bytes: bytes, trickle: bytes
 ) -> None:
-    # Clients that sent nothing, or never all of a request, held their connections for 60 s, and for 10 s once
-    # a byte had come.
+    # Clients that sent nothing kept their connections for 60 s; clients that never completed a request kept
+    # them for 10 s after the first byte.
     client = start([]).client()
     client.socket.settimeout(0.1)
     give_up_at, received = time.monotonic() + 3.0, b""
@@ -152,7 +152,7 @@
 
 
 def test_idle_client_connection_is_closed(start: StartGateway) -> None:
-    # Clients never close some of their idle connections, and only a part of the descriptors is for clients.
+    # Some clients never close their idle connections, and only part of the descriptors is for clients.
     client = start([endpoint("s-1", FakeInstance().address)]).client()
     assert client.request("POST", "/pay", b"x")[0] == 200
     started_at = time.monotonic()
@@ -161,14 +161,14 @@
 
 
 def test_garbage_collector_thresholds_stay_low() -> None:
-    # Requests and connections end in reference cycles. With high thresholds they stayed until millions of
-    # objects had been created, and memory grew all day long.
+    # Finished requests and connections leave reference cycles. With high thresholds they were freed only
+    # after millions of objects had been created, so memory use grew all day.
     young, middle, old = GC_THRESHOLDS
     assert young * middle * old <= 100_000
 
 
 def test_responses_close_connections_while_half_the_slots_are_used(start: StartGateway) -> None:
-    # Seen on a recorded day: clients that send one request and stay connected used all slots, for 2 s each.
+    # Clients that sent one request and stayed connected occupied all slots, for 2 s each, on a recorded day.
     gateway = start([endpoint("s-1", FakeInstance().address)])
     status, headers, _ = gateway.client().request("POST", "/pay", b"x")
     assert status == 200
@@ -186,7 +186,7 @@
     client = gateway.client()
     client.socket.sendall(b"POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n")
     assert client.read_response()[0] == 413
-    with pytest.raises(OSError, match=r"reset|Broken"):  # it does not take part for long either
+    with pytest.raises(OSError, match=r"reset|Broken"):  # the gateway soon resets the connection
         for _ in range(60):
             client.socket.sendall(bytes(1_000_000))
     status = Path(f"/proc/{gateway.process.pid}/status").read_text()
@@ -211,8 +211,8 @@
     assert instance.received.empty()
 
 
-def test_hundreds_of_unused_connections_delay_nobody(start: StartGateway) -> None:
-    # Unused connections filled the table, and accepting paused until they had been idle for a second.
+def test_hundreds_of_unused_connections_delay_no_request(start: StartGateway) -> None:
+    # Unused connections filled the table, and accepting paused until they had been idle for 1 s.
     gateway = start([endpoint("s-1", FakeInstance().address)])
     unused = [socket.create_connection(("127.0.0.1", gateway.port), TIMEOUT_S) for _ in range(400)]
     started_at = time.monotonic()
@@ -226,7 +226,7 @@
     client = start([]).client()
     assert client.request("GET", "/nothing/here")[0] == 404
     assert client.request("GET", "/pay")[0] == 405
-    assert client.request("GET", "/look")[0] == 503  # no server is known: refused, not lost
+    assert client.request("GET", "/look")[0] == 503  # no server is known, so the request is rejected
 
 
 def test_client_disconnect_ends_its_attempt(start: StartGateway) -> None:
@@ -270,9 +270,9 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 1\r\n\r\nhi",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 9000,
-        b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhi",  # the rest never comes
+        b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhi",  # incomplete body
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhi",
-        b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",  # nor does the end of the head
+        b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",  # incomplete head
         b"HTTP/1.1 2x0 OK\r\n",
         b"noise that could be a word",
         b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppp\r\n" * 3000,
@@ -281,8 +281,8 @@
 def test_malformed_response_fails_its_attempt_and_closes_the_connection(
     start: StartGateway, raw: bytes
 ) -> None:
-    # Endless noise in place of a response, or a head or body without an end, delayed a request until its
-    # deadline.
+    # A request was delayed until its deadline if the instance sent endless garbage instead of a response, or
+    # a head or body without an end.
     disconnected = threading.Event()
 
     def respond_malformed(handler: BaseHTTPRequestHandler, _: bytes) -> None:
@@ -298,7 +298,8 @@
     assert disconnected.wait(TIMEOUT_S)
     os.kill(gateway.process.pid, signal.SIGUSR1)
     counters = gateway.wait_for("counters")
-    # It counts as a reset: the request may have been executed, and the instance's build is not to blame.
+    # A malformed response counts as a reset: the request may have executed, and the instance's build is not
+    # known to be at fault.
     assert counters["up.malformed"] == counters["up.reset"] == 1
     assert "up.timeout" not in counters
 
@@ -318,4 +319,4 @@
     client = start([endpoint("s-1", instance.address)]).client()
     for index in range(12):
         assert client.request("POST", "/pay", b"body %d" % index)[::2] == (200, b"body %d" % index)
-    assert instance.connections >= 12  # none is used again after what came behind
+    assert instance.connections >= 12  # no connection is reused after trailing bytes
--- a/tests/test_instance_connections.py
+++ b/tests/test_instance_connections.py
@@ -1,6 +1,6 @@
-"""Connections to instances, with input that arrives between a check and what follows from it.
+"""Connections to instances, with input that arrives between a check and the resulting action.
 
-The gateway's own objects run on the model checker's reactor, whose time the tests advance.
+The gateway's production objects run on the model checker's reactor, whose clock the tests advance.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from tests.test_net_extension import GatewayBench
 
 FIRST_RESPONSE = response_bytes(200, {}, b"r1")
-REQUEST_LINES = {b"": "GET /look", b"order": "POST /order"}  # by body; others go to /pay
+REQUEST_LINES = {b"": "GET /look", b"order": "POST /order"}  # by body; other bodies are sent to /pay
 
 
 def request_bytes(request_id: str, body: bytes = b"") -> bytes:
@@ -45,33 +45,33 @@
 
 
 def connect_pending(bench: GatewayBench) -> Any:
-    """Accept the only connection that is being established."""
+    """Establish and return the only pending connection."""
     (opening,) = bench.world._pending_instance_connections()
     return opening.accept()
 
 
 def connect_if_pending(bench: GatewayBench) -> Any:
-    """Accept the connection that is being established, if there is one."""
+    """Establish and return the pending connection, or return None if there is none."""
     return connect_pending(bench) if bench.world._pending_instance_connections() else None
 
 
 def skip_time(bench: GatewayBench, delay_ms: float) -> None:
-    """Let the gateway stall: time advances, and nothing that is due runs before the next input."""
+    """Simulate a stalled gateway: advance the clock without running due deadlines."""
     bench.reactor.now += delay_ms
 
 
-# Input that was read from the kernel, while deadlines that were due before it run
+# Input that was already read from the kernel while earlier deadlines run
 
 
 def test_connection_with_unsolicited_input_is_not_reused() -> None:
-    """Input that is being read is no longer in the kernel when a due deadline reuses its connection."""
+    """A due deadline may reuse a connection whose input was read but not processed yet."""
     bench = GatewayBench(None)
     send_request(bench, "r1")
     bench.respond(b"r1")
     clients = []
     bench.gateway.deadlines.after(100.0, lambda: clients.append(send_request(bench, "r2")))
     skip_time(bench, 101.0)
-    bench.instance.receive(FIRST_RESPONSE)  # run before it: the deadline, and with it the next request
+    bench.instance.receive(FIRST_RESPONSE)  # first runs the due deadline, which sends the next request
     assert bench.gateway.counters["up.found_closed"] == 1
     assert b"r2" not in bench.instance.received_by_peer
     assert not clients[0].received_by_peer
@@ -104,7 +104,7 @@
     bench.instance.receive(b"HTTP/1.1 200 OK\r\n\r\npart")
 
     class Reset:
-        """A socket that reports its error once, as the kernel does; then it reads as ended."""
+        """A socket that reports a reset once, as the kernel does, and then an orderly end of input."""
 
         def recv(self, size: int, flags: int) -> bytes:
             bench.instance.end_of_input = True
@@ -112,7 +112,7 @@
 
     bench.instance.getHandle = Reset
     skip_time(bench, 550.0)
-    bench.reactor.run_due()  # the time-out of the partial response finds the reset before the reactor
+    bench.reactor.run_due()  # the partial response's timeout sees the reset before the reactor does
     bench.instance.deliver()
     assert not bench.instance.connected
     assert b" 200 " not in client.received_by_peer
@@ -132,14 +132,14 @@
 def test_trickled_response_times_out() -> None:
     bench = GatewayBench(None)
     client = send_request(bench, "r1", b"money")
-    for n in range(3):  # each byte well within the time-out
+    for n in range(3):  # each byte arrives within the timeout
         bench.instance.receive(FIRST_RESPONSE[n : n + 1])
         bench.wait(0.8 * PARTIAL_RESPONSE_TIMEOUT_MS)
     assert not bench.instance.connected
     assert b" 502 " in client.received_by_peer
 
 
-# Responses to a request that is not fully written
+# Responses that arrive before the request is completely written
 
 
 @pytest.mark.parametrize(
@@ -155,14 +155,14 @@
     assert not client.received_by_peer
     assert not bench.instance.connected
     assert not bench.instance.received_by_peer
-    retry = connect_pending(bench)  # it was not executed: a retry is allowed
+    retry = connect_pending(bench)  # the attempt was not executed, so a retry is allowed
     assert retry.received_by_peer.endswith(b"money")
     retry.receive(FIRST_RESPONSE)
     assert b" 200 " in client.received_by_peer
     assert client.received_by_peer.endswith(b"r1")
 
 
-# A server that returns at the same address with another build, or that drains
+# Servers that drain, or restart at the same address with another build
 
 
 def replace_server(bench: GatewayBench) -> None:
@@ -176,16 +176,16 @@
 
 @pytest.mark.parametrize("change_server", [replace_server, drain_server])
 def test_connection_opened_after_its_server_left_carries_nothing(change_server: Any) -> None:
-    """A connection may be established after its server drained, or was replaced by another build."""
+    """A connection may be established only after its server has drained or runs another build."""
     bench = GatewayBench(None)
     send_request(bench, "r1")
-    client = send_request(bench, "r2")  # the only connection is in use: another is opened
+    client = send_request(bench, "r2")  # the only connection is in use, so another one is opened
     change_server(bench)
     late_connection = connect_pending(bench)
     assert not late_connection.connected
     assert not late_connection.received_by_peer
     assert not client.received_by_peer
-    retry = connect_pending(bench)  # that attempt was not executed: the policy chooses anew
+    retry = connect_pending(bench)  # the attempt was not executed, so the policy retries it
     assert b"r2" in retry.received_by_peer
 
 
@@ -227,21 +227,21 @@
     assert faults == (["send"] * (len(outcomes) - 1) + ["probe"] if failure == "raised" else [])
 
 
-# A duplicate response that arrives late, on a connection that has carried a response
+# Duplicate responses that arrive late, after the connection has carried a response
 
 LATE_INPUT = {"again": FIRST_RESPONSE, "gone, again": FIRST_RESPONSE, "noise": b"\x00"}
 
 
 @pytest.mark.parametrize("happening", ["nothing", "again", "noise", "end", "replaced", "gone", "gone, again"])
 def test_connection_is_reused_after_a_delay_unless_input_arrives(happening: str) -> None:
-    """A duplicate response may follow, and nothing in it names its request.
+    """A duplicate response may follow, and nothing in it identifies its request.
 
-    On a connection that was reused at once it was read as the response to the next request.
+    On a connection that was reused immediately, it was taken for the response to the next request.
     """
     bench = GatewayBench(None)
     send_request(bench, "r1")
     bench.respond(b"r1")
-    client = send_request(bench, "r2")  # waits for the same connection
+    client = send_request(bench, "r2")  # waits until the same connection may be reused
     assert b"r2" not in bench.instance.received_by_peer
     assert bench.gateway.instances.open_sockets == 1
     bench.wait(REUSE_DELAY_MS - 1.0)
@@ -271,20 +271,20 @@
     wires = [bench.instance, connect_pending(bench)]
     wires[1].receive(response_bytes(200, {}, b"r2"))
     bench.wait(REUSE_DELAY_MS)
-    bench.respond(b"r1")  # the newest, which may not be reused yet
+    bench.respond(b"r1")  # this connection becomes the newest, but may not be reused yet
     send_request(bench, "r3")
     assert [b"r3" in wire.received_by_peer for wire in wires] == [False, True]
     assert all(b" 200 " in client.received_by_peer for client in clients)
 
 
-# Retries of a request with an idempotency key, and the window in which the key is remembered
+# Retries of a request with an idempotency key, and its deduplication window
 
 
-@pytest.mark.parametrize("timing", ["in time", "up late", "up late, and nobody looked", "written late"])
+@pytest.mark.parametrize("timing", ["in time", "connected late", "late after a stall", "written late"])
 def test_retry_not_written_within_the_window_is_never_written(
     timing: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A retry that is written after the deduplication window may be executed a second time."""
+    """A retry written after the deduplication window may execute the request a second time."""
     monkeypatch.setattr("meadowpulley.model_checking.connection_model.state.CLASSES", (*CLASSES, ORDER_CLASS))
     bench = GatewayBench(None)
     send_request(bench, "r1")
@@ -300,8 +300,8 @@
     client = send_request(bench, "r3", b"order")
     assert bench.instance.received_by_peer.endswith(b"order")
     bench.wait(ORDER_CLASS.deduplication_window_ms - STALL_ALLOWANCE_MS - 40.0)
-    bench.instance.disconnect()  # it may have been executed: its retry may be written for another 40 ms
-    if timing == "up late, and nobody looked":
+    bench.instance.disconnect()  # it may have executed; a retry is allowed for another 40 ms
+    if timing == "late after a stall":
         skip_time(bench, 41.0 - tick)
     else:
         bench.wait(39.0 - tick if timing == "in time" else 41.0 - tick)
@@ -309,4 +309,4 @@
         spare.unblock_writes()
     second = spare if timing == "written late" else connect_if_pending(bench)
     assert (second is not None and second.received_by_peer.endswith(b"order")) is (timing == "in time")
-    assert bool(client.received_by_peer) is (timing != "in time")  # and not left waiting
+    assert bool(client.received_by_peer) is (timing != "in time")  # too late: the client gets an error
--- a/tests/test_instance_response.py
+++ b/tests/test_instance_response.py
@@ -1,4 +1,4 @@
-"""What an instance's response says: the result of the attempt, and the load report."""
+"""Evaluation of an instance's response: the result of the attempt and the load report."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     ("status", "headers", "result"),
     [
         pytest.param(200, {}, Result.OK, id="served"),
-        pytest.param(200, REJECTED, Result.OK, id="served, whatever the header says"),
+        pytest.param(200, REJECTED, Result.OK, id="served, rejection header ignored"),
         pytest.param(503, REJECTED, Result.REJECTED, id="rejected"),
-        pytest.param(504, REJECTED, Result.REJECTED, id="rejected after waiting"),
-        pytest.param(503, {}, Result.ERROR, id="without the header it may have run"),
-        pytest.param(503, {protocol.REJECTED_HEADER: "0"}, Result.ERROR, id="another value of the header"),
-        pytest.param(500, REJECTED, Result.ERROR, id="a status that rejects nothing"),
-        pytest.param(204, {}, Result.ERROR, id="another status of success"),
+        pytest.param(504, REJECTED, Result.REJECTED, id="rejected with status 504"),
+        pytest.param(503, {}, Result.ERROR, id="503 without the rejection header"),
+        pytest.param(503, {protocol.REJECTED_HEADER: "0"}, Result.ERROR, id="other rejection header value"),
+        pytest.param(500, REJECTED, Result.ERROR, id="status 500 is not a rejection"),
+        pytest.param(204, {}, Result.ERROR, id="success status other than 200"),
     ],
 )
 def test_status_and_header_decide_the_result(status: int, headers: dict[str, str], result: Result) -> None:
@@ -35,12 +35,12 @@
         pytest.param("a=1,b=2.5", (1.0, 2.5), id="in order"),
         pytest.param(" b=2.5 , a=1", (1.0, 2.5), id="in another order, with spaces"),
         pytest.param("a=1,b=2.5,c=9", (1.0, 2.5), id="with an unknown column"),
-        pytest.param("a=1", (), id="a column is missing"),
-        pytest.param("a=1,b=x", (), id="no number"),
-        pytest.param("a=1,b=inf", (), id="not finite"),
-        pytest.param("a=1,b", (), id="no value"),
-        pytest.param("", (), id="no report"),
+        pytest.param("a=1", (), id="missing column"),
+        pytest.param("a=1,b=x", (), id="value that is not a number"),
+        pytest.param("a=1,b=inf", (), id="infinite value"),
+        pytest.param("a=1,b", (), id="column without a value"),
+        pytest.param("", (), id="empty report"),
     ],
 )
-def test_load_report_is_read_whole_or_not_at_all(text: str, values: tuple[float, ...]) -> None:
+def test_load_report_is_parsed_completely_or_not_at_all(text: str, values: tuple[float, ...]) -> None:
     assert parse_load_report(text, ("a", "b")) == values
--- a/tests/test_net_extension.py
+++ b/tests/test_net_extension.py
@@ -1,4 +1,4 @@
-"""What an extension sees and may do, on the model checker's scripted connections."""
+"""What an extension receives and may do, tested on the model checker's simulated connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RecordingExtension:
-    """Records its calls; `admits`, `continues` and `holds_responses` decide its answers."""
+    """An extension that records its calls; `admits`, `continues` and `holds_responses` set its results."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
 
 
 class RecordingStage:
-    """A stage that records events and handles one event type of its own."""
+    """A pipeline stage that records all events and returns a `CustomEvent` as an action."""
 
     def __init__(self, inner: Any) -> None:
         self.inner, self.events, self.repetitions = inner, list[object](), 1
@@ -79,7 +79,7 @@
 
 
 class GatewayBench:
-    """One gateway with one instance, whose connection is up."""
+    """A gateway with one instance and an established connection to it."""
 
     def __init__(self, extension: Any) -> None:
         self.world = new_world(configuration="drain", servers=1, faults=9)
@@ -89,7 +89,7 @@
         self.instance = self.world.instance_connections[0].transport
 
     def request(self, request_id: str = "r1", target: str = "/look?n=1", body: bytes = b"") -> Any:
-        """A client's connection on which a request has come whole."""
+        """Send a complete request on a new client connection and return the connection."""
         wire = self.reactor.attach(self.reactor.ports[0].factory.buildProtocol(None), None)
         headers = (
             f"host: app.svc\r\n{protocol.REQUEST_ID_HEADER}: {request_id}\r\n"
@@ -155,7 +155,7 @@
     assert not bench.instance.received_by_peer
     assert not extension.responses
     assert "Request" not in bench.request_events()
-    assert complete(extension.incoming[0])  # it is over
+    assert complete(extension.incoming[0])  # the request is already finished
 
 
 @pytest.mark.parametrize("released", [True, False])
@@ -175,22 +175,22 @@
     assert bench.gateway.counters["out.release_overdue"] == (not released)
 
 
-@pytest.mark.parametrize("mode", ["no hook", "let pass", "joined"])
+@pytest.mark.parametrize("mode", ["no extension", "allowed", "answered by the extension"])
 def test_duplicate_id_is_decided_by_the_extension_and_never_started_twice(mode: str) -> None:
     extension = RecordingExtension()
-    bench = GatewayBench(None if mode == "no hook" else extension)
+    bench = GatewayBench(None if mode == "no extension" else extension)
     first = bench.request()
-    extension.admits = lambda _: mode != "joined"
+    extension.admits = lambda _: mode != "answered by the extension"
     second = bench.request()
     assert bench.instance.received_by_peer.count(b"GET ") == 1
     assert bench.request_events().count("Request") == 1
     assert (b" 409 " in second.received_by_peer and b"connection: close" in second.received_by_peer) == (
-        mode != "joined"
+        mode != "answered by the extension"
     )
     bench.respond()
     assert first.received_by_peer.endswith(b"r1")
     assert not bench.gateway.counters["out.duplicate_responses"]
-    if mode == "joined":
+    if mode == "answered by the extension":
         assert [a.is_duplicate for a in extension.incoming] == [False, True]
         assert not second.received_by_peer
         assert bench.gateway.requests.complete(extension.incoming[1].event.request, extension.responses[0])
@@ -228,7 +228,7 @@
     ],
     ids=["no id", "unknown path", "no path"],
 )
-def test_message_that_is_no_request_is_not_adopted(headers: dict[str, str], target: str) -> None:
+def test_message_without_id_or_known_path_is_not_adopted(headers: dict[str, str], target: str) -> None:
     bench, responses = GatewayBench(RecordingExtension()), list[Response]()
     adopted = AdoptedRequest(Message("GET", target, headers=headers), deadline_ms=0.0)
     with pytest.raises(AdoptionError, match="message has no request id or known path: "):
@@ -241,7 +241,7 @@
 def test_extension_decides_whether_work_continues_without_its_client(continues: bool) -> None:
     bench = GatewayBench(extension := RecordingExtension(continues=continues))
     bench.gateway.drain()
-    bench.wait(600.0)  # connections still come
+    bench.wait(600.0)  # the gateway still accepts connections
     bench.request().disconnect()
     assert len(extension.disconnected) == 1
     assert bench.request_events() == ["Request"] + ["ClientDisconnected"] * (not continues)
@@ -263,7 +263,7 @@
     assert client.closing
 
 
-class Broken:
+class RaisingExtension:
     def on_request(self, incoming: IncomingRequest) -> bool:
         return incoming.request_id == "r1" or bool(1 / 0)
 
@@ -272,7 +272,7 @@
 
 
 def test_raising_extension_costs_no_response() -> None:
-    bench = GatewayBench(Broken())
+    bench = GatewayBench(RaisingExtension())
     first, second, third = bench.request("r1"), bench.request("r2"), bench.request("r1")
     bench.respond()
     assert b" 200 " in first.received_by_peer
@@ -303,7 +303,7 @@
         CustomEvent, lambda _: completed.append(bench.gateway.requests.complete(request, response))
     )
     bench.recorder.repetitions = 2
-    bench.gateway.dispatch(CustomEvent("both in one turn of the decisions"))
+    bench.gateway.dispatch(CustomEvent("returned twice by one call"))
     assert completed == [True, False]
     assert client.received_by_peer.count(b" 502 ") == 1
     assert not bench.instance.connected
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -1,4 +1,4 @@
-"""Rings, slots, deadlines and the parser of the gateway, without a socket."""
+"""Ring buffers, slot tables, deadlines and HTTP parsing, without sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         self.deadlines = Deadlines(self.reactor, self.faults.append, lambda: self.reactor.seconds() * 1000)
 
 
-# Rings
+# Ring buffers
 
 
 def test_ring_returns_what_was_written() -> None:
@@ -63,7 +63,7 @@
     assert len(ring._bytes) == INITIAL_BYTES
 
 
-def test_ring_finds_across_its_seam() -> None:
+def test_ring_find_matches_across_the_wrap_around() -> None:
     ring = RingBuffer(INITIAL_BYTES)
     ring.write(b"a" * (INITIAL_BYTES - 1))
     ring.take(INITIAL_BYTES - 2)
@@ -73,7 +73,7 @@
     assert ring.find(b"a", 1) == -1
 
 
-# Slots
+# Slot tables
 
 
 def test_stale_handle_finds_and_frees_nothing() -> None:
@@ -97,65 +97,65 @@
 
 
 def test_deadlines_run_in_order_with_one_reactor_call() -> None:
-    time, ran = FakeClock(), []
+    clock, ran = FakeClock(), []
     for delay in (30, 10, 20, 10):
-        time.deadlines.after(delay, lambda d=delay: ran.append(d))  # type: ignore[misc]
-    assert len(time.reactor.getDelayedCalls()) == 1
-    time.reactor.advance(0.02)
+        clock.deadlines.after(delay, lambda d=delay: ran.append(d))  # type: ignore[misc]
+    assert len(clock.reactor.getDelayedCalls()) == 1
+    clock.reactor.advance(0.02)
     assert ran == [10, 10, 20]
-    time.reactor.advance(0.01)
+    clock.reactor.advance(0.01)
     assert ran == [10, 10, 20, 30]
-    assert len(time.deadlines) == 0
+    assert len(clock.deadlines) == 0
 
 
 def test_cancelled_deadlines_do_not_run_and_are_removed() -> None:
-    time, ran = FakeClock(), []
-    kept = time.deadlines.after(50, lambda: ran.append("kept"))
+    clock, ran = FakeClock(), []
+    kept = clock.deadlines.after(50, lambda: ran.append("kept"))
     for _ in range(1000):
-        time.deadlines.cancel(time.deadlines.after(20, lambda: ran.append("no")))
-    assert len(time.deadlines) == 1
-    assert len(time.deadlines._heap) < 300
-    time.reactor.advance(0.06)
+        clock.deadlines.cancel(clock.deadlines.after(20, lambda: ran.append("no")))
+    assert len(clock.deadlines) == 1
+    assert len(clock.deadlines._heap) < 300
+    clock.reactor.advance(0.06)
     assert ran == ["kept"]
-    time.deadlines.cancel(kept)  # one that has run is nothing to call off
-    assert len(time.deadlines) == 0
+    clock.deadlines.cancel(kept)  # cancelling a deadline that has run has no effect
+    assert len(clock.deadlines) == 0
 
 
 def test_raising_call_stops_no_other_and_rescheduling_does_not_starve_input() -> None:
-    time, ran = FakeClock(), []
+    clock, ran = FakeClock(), []
 
     def again() -> None:
         ran.append("again")
-        time.deadlines.after(0, again)
+        clock.deadlines.after(0, again)
 
     def broken() -> None:
         raise ZeroDivisionError
 
-    time.deadlines.after(1, broken)
-    time.deadlines.after(1, again)
-    time.reactor.rightNow = 0.002
-    time.deadlines.run_due()
-    assert time.faults == ["deadline"]
+    clock.deadlines.after(1, broken)
+    clock.deadlines.after(1, again)
+    clock.reactor.rightNow = 0.002
+    clock.deadlines.run_due()
+    assert clock.faults == ["deadline"]
     assert ran == ["again"]
 
 
 def test_moved_timeout_runs_only_at_its_last_time() -> None:
-    time, ran = FakeClock(), []
-    limit = ConnectionTimeout(time.deadlines)
+    clock, ran = FakeClock(), []
+    timeout = ConnectionTimeout(clock.deadlines)
     for _ in range(10):
-        limit.set(100, lambda: ran.append("late"))
-        time.reactor.advance(0.05)
-    assert len(time.deadlines) == 1
-    limit.set(10, lambda: ran.append("soon"))
-    time.reactor.advance(0.02)
+        timeout.set(100, lambda: ran.append("late"))
+        clock.reactor.advance(0.05)
+    assert len(clock.deadlines) == 1
+    timeout.set(10, lambda: ran.append("soon"))
+    clock.reactor.advance(0.02)
     assert ran == ["soon"]
-    limit.set(10, lambda: ran.append("lifted"))
-    limit.clear()
-    time.reactor.advance(1)
+    timeout.set(10, lambda: ran.append("lifted"))
+    timeout.clear()
+    clock.reactor.advance(1)
     assert ran == ["soon"]
 
 
-# Messages
+# HTTP messages
 
 
 def parse_messages(data: bytes, requests: bool = True, piece: int | None = None) -> list[Message]:
@@ -243,7 +243,7 @@
 
 
 def test_head_of_blanks_is_parsed_in_linear_time() -> None:
-    # A regular expression that tries every split of a run of blanks would take minutes here.
+    # A regular expression that backtracks over every split of the spaces and tabs would take minutes here.
     with pytest.raises(BadMessageError):
         parse_messages(b"GET / HTTP/1.1\r\n" + HOST + b"X-A: " + b" \t" * 7000 + b"\x00\r\n\r\n")
 
@@ -263,13 +263,13 @@
     assert Parser(RingBuffer(100), expect_requests=False).end_of_stream() is None
 
 
-def test_written_messages_can_be_parsed() -> None:
+def test_serialized_messages_can_be_parsed() -> None:
     [request] = parse_messages(request_bytes("POST", "/pay", {"host": "app.svc", "x-txn": "1"}, b"body"))
     assert (request.method, request.body, request.headers["content-length"]) == ("POST", b"body", "4")
-    [answer] = parse_messages(response_bytes(503, {"retry-after": "0.500"}, b"", close=True), requests=False)
-    assert answer.status == 503
-    assert answer.headers["retry-after"] == "0.500"
-    assert not answer.keep_alive
+    [reply] = parse_messages(response_bytes(503, {"retry-after": "0.500"}, b"", close=True), requests=False)
+    assert reply.status == 503
+    assert reply.headers["retry-after"] == "0.500"
+    assert not reply.keep_alive
 
 
 def test_hop_by_hop_headers_are_not_forwarded() -> None:
@@ -284,7 +284,7 @@
     assert forwarded_headers(headers) == {"host": "a", "x-txn": "7"}
 
 
-def test_remaining_times_and_keys() -> None:
+def test_remaining_times_and_keys_are_parsed() -> None:
     assert parse_remaining("480m") == 480.0
     assert parse_remaining("1500u") == 1.5
     assert parse_key("7f3a9c21e0b4d655") == 0x7F3A9C21E0B4D655
@@ -293,13 +293,14 @@
 
 
 @pytest.mark.parametrize("text", ["480", "-1m", "1e3m", "m", "48 m", "1s"])
-def test_what_is_no_remaining_time_is_rejected(text: str) -> None:
+def test_malformed_remaining_time_is_rejected(text: str) -> None:
     with pytest.raises(BadMessageError, match="is no time"):
         parse_remaining(text)
 
 
 def test_http_1_0_request_is_forwarded_with_a_host() -> None:
-    # The gateway forwards as HTTP/1.1. Without a Host the instance answered 400, which counted against it.
+    # The gateway forwards requests as HTTP/1.1. Without a Host header, an instance responded with 400, which
+    # counted as a failure of the instance.
     assert forwarded_headers({"x-txn": "7"}, "app.svc") == {"host": "app.svc", "x-txn": "7"}
     assert forwarded_headers({"host": "a"}, "app.svc") == {"host": "a"}
 
@@ -313,7 +314,7 @@
 
 
 def test_start_line_is_parsed_once_when_the_head_arrives_byte_by_byte() -> None:
-    # The start line was parsed again with every later byte: 0.3 s of work for a head of 16 kB.
+    # The start line was parsed again after every later byte, which took 0.3 s for a head of 16 kB.
     ring = RingBuffer(MAX_BUFFERED_BYTES)
     parser = CountingParser(ring, expect_requests=True)
     for byte in b"\r\n\r\nGET /" + b"a" * 4000 + b" HTTP/1.1\r\n" + HOST + b"X-A: " + b"b" * 4000:
@@ -336,7 +337,7 @@
 
 
 class CountingBytes(bytearray):
-    """Bytes that count how far they were searched."""
+    """A byte array that counts how many bytes its `find` has searched."""
 
     searched = 0
 
@@ -347,13 +348,14 @@
 
 
 def test_ring_find_stops_at_its_match() -> None:
-    # Each of many short lines that came at once cost a search through all bytes behind it, 144 kB at most.
+    # If many short lines arrived together, finding the end of each line searched all bytes after it, up to
+    # 144 kB.
     ring = RingBuffer(4 * INITIAL_BYTES)
     ring.write(b"x\n" * (2 * INITIAL_BYTES))
     ring._bytes = CountingBytes(ring._bytes)
     while (end := ring.find(b"\n")) >= 0:
         ring.take(end + 1)
-        if type(ring._bytes) is not CountingBytes:  # emptied: it is small again
+        if type(ring._bytes) is not CountingBytes:  # the emptied ring has a new, small buffer
             break
     assert 0 < CountingBytes.searched < 4 * INITIAL_BYTES
 
