--- a/tests/net_program/test_customer_settings.py
+++ b/tests/net_program/test_customer_settings.py
@@ -27,7 +27,7 @@
     respond,
 )
 
-LONG_DEADLINE_MS = 20_000.0  # long enough even on a busy test machine
+LONG_DEADLINE_MS = 20_000.0  # a deadline that is kept even on a busy test machine
 CLIENT_TIMEOUT_MS = 300  # how long a client waits for a response that the instance sends too late
 CLASS_NAMES = st.tuples(
     st.from_regex(r"[a-z][a-z0-9]{0,5}", fullmatch=True),
@@ -128,7 +128,7 @@
             if behaviour == "hold":
                 self.held_requests.put(request_id)
                 self.release_held.wait(TIMEOUT_S)
-            elif behaviour == "window":  # started on arrival, after sending: the window has surely ended
+            elif behaviour == "window":  # it began at sending, so this wait outlasts it
                 threading.Event().wait(self.windows[cls] / 1000)
             if behaviour in ("reset", "window"):
                 handler.connection.shutdown(socket.SHUT_RDWR)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -83,7 +83,7 @@
         for selectable in self.reactor.removeAll():
             selectable.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
         self.reactor.waker.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
-        self.reactor._poller.close()  # otherwise open until the process ends
+        self.reactor._poller.close()  # otherwise it stays open until the process ends
 
     def run_turns(self, times: int = 1) -> None:
         for _ in range(times):
@@ -340,7 +340,7 @@
 
 
 def test_slow_reader_may_use_its_whole_deadline(harness: ReactorHarness) -> None:
-    # If the kernel had not accepted the whole response within 2.1 s, the connection was reset.
+    # If the kernel had not accepted the whole response within 2.1 s, the rest was dropped by a reset.
     client = SlowReader(harness.port)
     client.send("GET", "/look", Connection="close", X_Remaining="4000m")
     respond_slowly(harness)
