--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -22,7 +22,9 @@
 from meadowpulley.net.write_permission import WriteConditions, write_refusal
 
 _NOT_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
-_MIN_PROBE_TIMEOUT_MS = 1.0  # lower bound, which also applies if the connect timeout is 0 (disabled)
+# A health probe times out after the connect timeout, but not before this time. The connect timeout may be 0,
+# which means that connecting has no timeout.
+_MIN_PROBE_TIMEOUT_MS = 1.0
 _MICROSECONDS_PER_MS = 1000
 
 
@@ -53,7 +55,7 @@
         self.timeout = self.runner.gateway.deadlines.at(self.deadline, self.time_out)
 
     def schedule_write_timeout(self) -> None:
-        """Schedule the end of the attempt for `write_by`, if the request is not written by then."""
+        """Schedule a check at `write_by`, which ends the attempt if the request is not written yet."""
         self.write_timeout = self.runner.gateway.deadlines.at(self.write_by, self._write_timed_out)
 
     def start(self, pool: ConnectionPool) -> None:
@@ -86,7 +88,10 @@
         connecting.addCallbacks(self._connected, self._connect_failed).addErrback(self._connect_raised)
 
     def _connection_reusable(self, connection: InstanceConnection) -> None:
-        """Write to the connection reserved for this attempt, unless input arrived on it during the delay."""
+        """Write the request to the reserved connection after its reuse delay.
+
+        If the connection ended or received input during the delay, start the attempt again on another one.
+        """
         if self.finished:
             if connection.is_open:
                 connection.pool.release(connection)
@@ -138,7 +143,7 @@
 
     def _connected(self, connection: InstanceConnection) -> None:
         self.connecting = None
-        self.runner.gateway.deadlines.run_due()  # run due deadlines first, as before input
+        self.runner.gateway.deadlines.run_due()  # run due deadlines first, as in `dataReceived`
         self.runner.gateway.deadlines.cancel(self.connect_timeout)
         if self.finished:
             connection.abort()
@@ -169,16 +174,19 @@
         self.finish(Result.CANCELLED)
 
     def connection_lost(self) -> None:
-        """End the attempt after its connection broke; a request that was written may have executed."""
+        """End the attempt after its connection broke; a written request may have been executed."""
         self.finish(Result.RESET if self.written else Result.CONNECT_FAILED)
 
     def malformed_response(self) -> None:
-        """End the attempt as after a lost connection: the instance may not be at fault."""
+        """End the attempt after a malformed, too large or incomplete response, as after a lost connection.
+
+        It is not known whether the instance caused the fault.
+        """
         self.runner.gateway.counters.add("up.malformed")
         self.connection_lost()
 
     def response_received(self, response: Message) -> None:
-        """End the attempt with the instance's response; if the result is OK, forward it to the client."""
+        """End the attempt with the instance's response, and send it to the client if the result is OK."""
         result = classify_response(response)
         if not self.written and result is not Result.REJECTED:
             # An instance starts a request only after its last byte, which was not written yet. The response
@@ -272,7 +280,8 @@
             attempt.finish(Result.CONNECT_FAILED)
         else:
             self.gateway.counters.add("up.attempts")
-            if attempt.deadline < request.deadline:  # at the request's deadline the request table ends it
+            # At the deadline of the request, the request table ends all of its attempts.
+            if attempt.deadline < request.deadline:
                 attempt.schedule_timeout()
             if attempt.write_by < attempt.deadline:
                 attempt.schedule_write_timeout()
@@ -298,10 +307,10 @@
         return attempt
 
     def start(self, attempt: Attempt, pool: ConnectionPool, fault_name: str) -> None:
-        """Start an attempt. If it raises, log the exception as `fault_name` and end only this attempt."""
+        """Start an attempt. If this raises an exception, log it as `fault_name` and end the attempt."""
         try:
             attempt.start(pool)
-        except Exception:  # noqa: BLE001  # raised, for example, if no ports are free; the gateway continues
+        except Exception:  # noqa: BLE001  # for example, no local port is free; the gateway must continue
             self.gateway.log_fault(fault_name)
             attempt.connection_lost()
 
--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -23,11 +23,12 @@
 RECHECK_INTERVAL_MS = 20.0  # delay until a postponed timeout or a shortage of slots is checked again
 SLOW_READER_GRACE_MS = 500.0  # time after the request's deadline for a client to finish reading a response
 LINGER_TIMEOUT_MS = 1_000.0  # time after the last response for the client to read it and close
-# Limit on discarded input after the last request. Beyond it, a lingering connection is no longer read, so
-# that the kernel holds back the client, and any other connection is reset.
+# Limit on the input of one connection that is discarded without a response. When a lingering connection
+# exceeds it, the gateway stops reading, so that the kernel blocks the client's sending. When a connection in
+# another state exceeds it, the gateway resets that connection.
 MAX_DISCARDED_BYTES = 256 * 1024
-# Requests of one connection per reactor turn. Typical clients send one request at a time and would have to
-# wait while a flood on another connection is processed.
+# Maximum number of requests of one connection that a reactor turn processes. Typical clients send one request
+# at a time, and would otherwise have to wait while a flood of requests on another connection is processed.
 MAX_REQUESTS_PER_TURN = 4
 
 
@@ -100,9 +101,9 @@
         if self.state is ClientConnectionState.WAITING:
             self._process_input()
         if self.is_open and self._is_input_nearly_full:
-            # A client that waits for responses never sends this much input ahead. End the connection after
-            # the next response and discard further input. Keep reading: only a read detects that the client
-            # has disconnected.
+            # A client that waits for each response before its next request never fills the buffer this far.
+            # End the connection after the next response and discard further input. Keep reading, since only a
+            # read detects that the client has disconnected.
             self.closing = True
             if self.state is ClientConnectionState.WAITING:
                 self._process_input(max_requests=1)
@@ -218,14 +219,17 @@
             self.close_if_idle()
 
     def linger(self) -> None:
-        """Shut down the sending side, and wait for the client to close the connection, with a timeout."""
+        """Shut down sending, and wait a limited time for the client to close the connection."""
         self.state = ClientConnectionState.LINGERING
         self.input_buffer.clear()
         self.timeout.set(LINGER_TIMEOUT_MS, self.release_slot)
         self.transport.loseWriteConnection()
 
     def close_between_requests(self) -> None:
-        """Close an idle connection. A client whose next request arrives too late sends it elsewhere."""
+        """Close an idle connection.
+
+        A request that arrives at the same time is not read; the client sends it on another connection.
+        """
         self.state = ClientConnectionState.LINGERING
         self.close()
 
@@ -258,14 +262,15 @@
         if self.parser.has_partial_message:
             self._request_timed_out()
             return
-        if self.has_unread_input():  # the client sent a request, but the gateway is late reading it
+        if self.has_unread_input():  # the gateway is delayed, not the client: input or an end is unread
             self.timeout.set(RECHECK_INTERVAL_MS, self._idle_timed_out)
             return
         self.owner.gateway.counters.add("in.idle_timeouts")
         self.close_between_requests()
 
     def _request_timed_out(self) -> None:
-        # The gateway may be late reading. Extend only once: some clients send single bytes without end.
+        # Unread input means that the gateway may be delayed. Extend the timeout only once, since some clients
+        # send single bytes without end.
         if self.has_unread_input() and not self._deadline_extended:
             self._deadline_extended = True
             self.timeout.set(RECHECK_INTERVAL_MS, self._request_timed_out)
--- a/meadowpulley/net/client_listener.py
+++ b/meadowpulley/net/client_listener.py
@@ -21,14 +21,15 @@
 
 # A connection that has been idle for this time may be evicted while others wait to be accepted.
 EVICTABLE_IDLE_MS = 1_000.0
-# The same for a connection that has never received input. It is shorter, since clients send their first
-# request as soon as they are connected.
+# Idle time after which a connection that has never received input may be evicted. It is shorter, since
+# clients send their first request as soon as they are connected.
 EVICTABLE_UNUSED_MS = 20.0
 # Length of the kernel's queue of connections to accept. Clients count a failed connect as a failure, but
 # can't tell that a connection waits in this queue.
 LISTEN_BACKLOG = 256
 ACCEPTS_PER_TURN = 16  # maximum number of connections accepted in one reactor turn
-# Slots that eviction keeps free. One turn accepts at most half as many, before a shortage is noticed.
+# Number of slots that eviction keeps free. A reactor turn may accept up to half as many connections before a
+# shortage is noticed.
 SPARE_SLOTS = 24
 SPARE_SLOTS_DIVISOR = 3  # a small table keeps at most 1/3 of its slots free
 
@@ -62,12 +63,12 @@
         self.port = listening_port
         self._accept_pending = listening_port.doRead
         accept = partial(self._accept, listening_port)
-        listening_port.doRead = accept  # type: ignore[method-assign]  # Twisted has no hook for it
+        listening_port.doRead = accept  # type: ignore[method-assign]  # Twisted has no hook for accepting
 
     def _accept(self, port: ListeningPort) -> None:
         """Accept a limited number of connections, so that the table has slots for them.
 
-        Twisted would raise the limit by 20 connections after each turn that reaches it.
+        Twisted raises the limit by 20 connections after each turn that reaches it, so this resets it.
         """
         port.numberAccepts = self.accepts_per_turn
         self._accept_pending()
@@ -157,7 +158,7 @@
         yield from self._longest_waiting(long_idle)
 
     def _longest_waiting(self, connections: Iterable[ClientConnection]) -> list[ClientConnection]:
-        """Return the connections with the earliest timeouts, at most as many as two turns accept."""
+        """Return the connections with the earliest timeouts, at most `2 * accepts_per_turn` of them."""
         by_timeout = sorted(connections, key=lambda connection: connection.timeout.at)
         return by_timeout[: 2 * self.accepts_per_turn]
 
@@ -167,7 +168,7 @@
             self.gateway.deadlines.after(RECHECK_INTERVAL_MS, self._keep_evicting)
 
     def drain(self) -> None:
-        """Close idle connections now, and the others after their current response.
+        """Close idle connections now, and busy connections after their current response.
 
         Unused connections stay open: a client counts a connection that was closed without any response as a
         refused request.
@@ -189,7 +190,9 @@
         self._stopping = True
         while self.port is not None and not self._accepting_paused:
             self._accept(self.port)
-            if self.port.numberAccepts <= self.accepts_per_turn:  # otherwise more may be queued
+            # Twisted has raised `numberAccepts` if the limit was reached. The backlog may then hold more
+            # connections, and the loop continues.
+            if self.port.numberAccepts <= self.accepts_per_turn:
                 self._close_port(self.port)
 
     def _close_port(self, port: ListeningPort) -> None:
--- a/meadowpulley/net/connection.py
+++ b/meadowpulley/net/connection.py
@@ -71,7 +71,7 @@
 def connect(
     reactor: ClientReactor, address: Address, create: Callable[[], ConnectionT]
 ) -> Deferred[ConnectionT]:
-    """Open a connection with the protocol object that `create` returns. The caller sets a timeout."""
+    """Open a connection with a protocol object from `create`. The caller must set a timeout itself."""
     pending = PendingConnection(create)
     pending.connector = reactor.connectTCP(*address, pending, timeout=None)
     return pending.established
@@ -89,7 +89,8 @@
         self.input_buffer = RingBuffer(max_input_bytes)
         self.output_buffer = RingBuffer(max_output_bytes)
         self.timeout = ConnectionTimeout(deadlines)
-        self.pending: PendingConnection[Any] | None = None  # Any: stands for the subclass
+        # Any: the type argument is the subclass that this object is an instance of.
+        self.pending: PendingConnection[Any] | None = None
         self.transport: Any = None  # Any: Twisted's interface type lacks many methods of TCP transports
         self.is_open = False
         self.was_reset = False  # whether the connection broke instead of being closed by the peer
@@ -97,7 +98,7 @@
         self._handling_input = False
 
     def connectionMade(self) -> None:
-        """Initialize the connection, call `opened`, and fire the `established` Deferred of the caller."""
+        """Initialize the connection, call `opened`, and fire `established` if the connection is outgoing."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
         self.opened()
@@ -172,15 +173,15 @@
         except BlockingIOError:
             return False
         except (OSError, AttributeError):  # AttributeError: the transport has no socket any more
-            self.was_reset = True  # the kernel reports a reset once; the next read looks like a clean end
+            self.was_reset = True  # a reset is reported only once; the next read sees a clean end
             return True
         return True
 
     def close(self) -> None:
         """Close the connection in this reactor turn. The kernel still sends the rest of a response.
 
-        The transport's `loseConnection` closes in the next turn; input that arrives before would be read and
-        lost.
+        The transport's `loseConnection` would close it in the next turn, and input that arrives until then
+        would be read and lost.
         """
         self.transport.connectionLost(CLOSED_CLEANLY)
 
@@ -193,7 +194,7 @@
     # Callbacks for subclasses. The defaults do nothing, except that `overflowed` aborts the connection.
 
     def opened(self) -> None:
-        """Handle the establishment of the connection."""
+        """Handle that the connection was established."""
 
     def received(self) -> None:
         """Handle new bytes in the input buffer."""
--- a/meadowpulley/net/http1.py
+++ b/meadowpulley/net/http1.py
@@ -204,13 +204,17 @@
         return True
 
     def _peek_head(self) -> bytes:
-        """Return the input for a head. Raises BadMessageError if no message can start with it."""
+        """Return the buffered bytes of a head, after removing empty lines before a request.
+
+        Raises:
+            BadMessageError: no valid message starts with these bytes.
+        """
         data = self._buffer.peek(MAX_HEAD_BYTES + _HEAD_END_BYTES)
         if self._expect_requests and self._scanned == 0 and (empty_lines := _EMPTY_LINES.match(data)):
             self._buffer.take(empty_lines.end())  # RFC 9112, 2.2: empty lines before a request are ignored
             data = data[empty_lines.end() :]
         if not self._expect_requests and not data.startswith(_VERSION_PREFIX[: len(data)]):
-            raise BadMessageError(502, "no status line")  # reject at the first bytes: garbage may have no end
+            raise BadMessageError(502, "no status line")  # reject early: invalid input may never end
         if data and not _FIRST_BYTES.match(data):
             raise BadMessageError(400, "no start line")
         return data
@@ -224,7 +228,9 @@
         line_end = data.find(_LINE_END)
         if line_end > 0 and line_end + _LINE_END_BYTES > self._scanned:
             self._parse_start_line(data[:line_end].decode("latin-1"))
-        self._scanned = 0 if data == b"\r" else buffered_bytes  # an empty line may still precede the request
+        # A single CR may be the first half of an empty line, which `_peek_head` removes only while `_scanned`
+        # is 0.
+        self._scanned = 0 if data == b"\r" else buffered_bytes
 
     def _parse_fields(self, lines: list[str]) -> list[str]:
         """Store the header fields in the message and return the values of all content-length fields."""
@@ -254,7 +260,7 @@
         return Message(status=int(status), minor_version=int(minor_version))
 
     def _choose_framing(self, lengths: list[str]) -> None:
-        """Set the state for the framing of the body (RFC 9112, 6.3), `keep_alive` and `expects_continue`."""
+        """Set `keep_alive`, `expects_continue` and the state that reads the body (RFC 9112, 6.3)."""
         message = self._message
         message.keep_alive = _is_persistent(message)
         transfer_coding = message.headers.get("transfer-encoding")
@@ -286,7 +292,7 @@
         self._state = _ParserState.FIXED_LENGTH
 
     def _awaits_continue(self, message: Message) -> bool:
-        """Return whether the client waits for 100 Continue (not in HTTP/1.0; RFC 9110, 10.1.1)."""
+        """Return whether the client waits for 100 Continue; ignored in HTTP/1.0 (RFC 9110, 10.1.1)."""
         body_present = self._state is _ParserState.FIXED_LENGTH and len(self._buffer) >= self._remaining
         expectation = message.headers["expect"].lower()
         return expectation == "100-continue" and not body_present and message.minor_version == 1
--- a/meadowpulley/net/instance_connection.py
+++ b/meadowpulley/net/instance_connection.py
@@ -19,14 +19,15 @@
     Parser,
 )
 
-# Time for the rest of a response after its first bytes. Instances write a whole response at once.
+# Maximum time from the first bytes of a response to its end. Instances write a whole response at once.
 PARTIAL_RESPONSE_TIMEOUT_MS = 500.0
 # Delay before a connection that has carried a response is reused. An instance may send a duplicate response
 # some milliseconds later, and nothing in a response identifies its request. The duplicate is specified to
 # follow in under 10 ms; another 10 ms allow for different network delays of the two responses.
 REUSE_DELAY_MS = 20.0
 FIRST_FINAL_STATUS = 200  # responses with a lower status are interim (RFC 9110, 15.2)
-# The gateway closes an idle connection after this fraction of the time after which the instance may close it.
+# An instance may close an idle connection after `idle_timeout_ms`. The gateway closes it earlier, after this
+# fraction of that time.
 IDLE_TIMEOUT_FRACTION = 0.75
 
 
@@ -84,7 +85,8 @@
     def opened(self) -> None:
         """Count the connection; reset it if its pool was retired while it was being established."""
         self.pool.owner.connection_opened()
-        if self.pool.retired:  # the address may now run another build than the request is meant for
+        # An instance of another build may now run at this address, and the request is not meant for that build.
+        if self.pool.retired:
             self.abort()
 
     def send_request(self, exchange: Exchange, data: bytes) -> None:
@@ -123,7 +125,7 @@
 
     def _response_incomplete(self) -> None:
         """Handle a response that was not completed in time, for example because its length is wrong."""
-        if self.has_unread_input():  # more input has arrived, but the gateway is late reading it
+        if self.has_unread_input():  # the gateway is delayed, not the instance: input or an end is unread
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_incomplete)
         elif self.exchange is not None:
             self.exchange.malformed_response()
@@ -141,7 +143,7 @@
         exchange.response_received(response)
 
     def closed(self) -> None:
-        """Report the end of the connection, which may complete a response without a length."""
+        """Report the end of the connection, which may complete a response without a declared length."""
         if self.state is InstanceConnectionState.CLOSED:
             return
         self.state = InstanceConnectionState.CLOSED
@@ -152,7 +154,8 @@
             if not self.aborted:
                 self.pool.ended_by_server()
             return
-        response = None if self.was_reset else self.parser.end_of_stream()  # a reset doesn't complete one
+        # A response is completed by an orderly end of the connection, but not by a reset.
+        response = None if self.was_reset else self.parser.end_of_stream()
         if response is not None and exchange.written:
             exchange.response_received(response)
         else:
@@ -185,19 +188,19 @@
         self.address = address
         self.incarnation = incarnation
         self.idle: list[InstanceConnection] = []  # oldest first
-        self.retired = False  # the server was removed, or restarted with another build
+        self.retired = False  # whether the server was removed, is draining, or was replaced
 
     def acquire(self) -> InstanceConnection | None:
         """Remove an idle connection from the pool and return it, or None if there is no usable one.
 
-        The newest connection that may be reused now is preferred, otherwise the one that may be reused first.
-        The caller then waits until its `reusable_at` instead of opening another connection, since an instance
-        accepts only a few connections.
+        The newest connection that may be reused now is preferred. If there is none, the connection that may
+        be reused first is returned, and the caller waits until its `reusable_at`. It doesn't open another
+        connection, since an instance accepts only a few.
         """
         now = self.owner.gateway.deadlines.now()
         while self.idle:
             connection = self.idle.pop(self._preferred_index(now))
-            if connection.timeout.at <= now:  # the gateway stalled; the instance may soon close it
+            if connection.timeout.at <= now:  # the gateway stalled; the instance may close it at any time
                 connection.abort()
                 continue
             if not connection.has_unread_input():
--- a/meadowpulley/net/instance_pools.py
+++ b/meadowpulley/net/instance_pools.py
@@ -14,11 +14,12 @@
 from meadowpulley.net.instance_connection import ConnectionPool, InstanceConnection
 
 PRECONNECT_PER_INSTANCE = 4  # maximum number of connections opened to each instance at start
-# Limit per instance for all gateways of the fleet together. An instance accepts only a few connections, and
-# accepting each of them costs it work.
+# Maximum number of connections that all gateways of the fleet together open to each instance at start. An
+# instance accepts only a few connections, and accepting each of them costs it work.
 PRECONNECT_FLEET_TOTAL = 12
 PRECONNECT_TIMEOUT_MS = 1000.0  # used if the settings have no connect timeout
-PRECONNECT_SOCKET_FRACTION = 0.5  # of the sockets to instances; the other half stays free for requests
+# Fraction of the sockets to instances that preconnecting may use. The other half stays free for requests.
+PRECONNECT_SOCKET_FRACTION = 0.5
 
 
 class InstancePools:
@@ -54,7 +55,7 @@
         """Replace the pool of a draining server by an empty pool.
 
         Idle connections close now, busy connections after their response, and connections that are being
-        established carry no request. If the server becomes ready again, it uses the new pool.
+        established will carry no request. If the server becomes ready again, it uses the new pool.
         """
         pool = self.pools.get(server)
         if pool is not None:
--- a/meadowpulley/net/instance_response.py
+++ b/meadowpulley/net/instance_response.py
@@ -25,7 +25,7 @@
 
 
 def parse_load_report(text: str, columns: tuple[str, ...]) -> tuple[float, ...]:
-    """Return a load report's values in the order of `columns`, or () unless each is a finite number."""
+    """Return a load report's values in the order of `columns`, or () if one is missing or invalid."""
     values_by_column: dict[str, float] = {}
     for item in text.split(","):
         name, _, value = item.strip().partition("=")
--- a/meadowpulley/net/request_admission.py
+++ b/meadowpulley/net/request_admission.py
@@ -14,10 +14,11 @@
 from meadowpulley.net.request_parsing import is_request_id, parse_key, parse_remaining, parse_work_estimate
 from meadowpulley.net.request_table import AcceptedRequest, RequestTable, ResponseSink
 
-# How far the remaining time in a request may exceed the deadline of its class, since clients round it.
+# The remaining time in a request may exceed the deadline of its class by this time, since clients round it.
 DEADLINE_TOLERANCE_MS = 1_000.0
 MAX_QUOTED_TARGET_CHARS = 40  # error texts quote at most this many characters of a request target
-# Body of the 409 response. Forwarding the second request would execute it twice; the first one continues.
+# Body of the 409 response to a request whose id is in use. Forwarding this request could execute its work
+# twice. The earlier request continues.
 _DUPLICATE_ID = f"'{protocol.REQUEST_ID_HEADER}' is that of an open request"
 _ALLOWED_METHODS = {
     Effect.IDEMPOTENT: ("GET",),
@@ -66,7 +67,7 @@
 
 
 def _is_id_hop_by_hop(message: Message) -> bool:
-    """Return whether the `connection` header lists the request id, which would then not be forwarded."""
+    """Return whether the `connection` header lists the request id header, so that it isn't forwarded."""
     options = message.headers.get("connection", "").split(",")
     return protocol.REQUEST_ID_HEADER in {option.strip().lower() for option in options}
 
@@ -82,7 +83,7 @@
             request_class.name: index for index, request_class in enumerate(settings.classes)
         }
         self.tenant_indexes = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
-        # Index for requests without a known tenant. Index 0 would charge them to the first tenant.
+        # Index for requests without a known tenant. With index 0, they would be charged to the first tenant.
         self.unknown_tenant = len(settings.tenants)
 
     def accept(self, sink: ResponseSink, message: Message) -> None:
@@ -180,7 +181,7 @@
         return remaining_ms
 
     def _admit(self, sink: ResponseSink, request: AcceptedRequest) -> None:
-        """Pass an accepted request to the policy, unless the extension responds to it."""
+        """Pass an accepted request to the policy, unless it is a duplicate or the extension handles it."""
         self.gateway.counters.add("in.requests")
         event = self._request_event(request)
         if self.gateway.capture is not None:
@@ -205,7 +206,10 @@
     def _allowed_by_extension(
         self, extension: Extension, sink: ResponseSink, request: AcceptedRequest, event: Request
     ) -> bool:
-        """Return whether to pass a request to the policy; a duplicate allowed by the extension gets 409."""
+        """Return whether the request is to be passed to the policy.
+
+        A duplicate is never passed on. If the extension returns True for it, it gets a 409 response.
+        """
         request_id = request.message.headers[protocol.REQUEST_ID_HEADER]
         is_duplicate = self.requests.open_ids[request_id] > 1
         incoming = IncomingRequest(request_id, event, request.message, request.arrived_at, is_duplicate)
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -19,7 +19,7 @@
 
 
 class ResponseSink(Protocol):
-    """Receiver of a request's response: the client's connection, or a replacement without a connection."""
+    """Receiver of a request's response: a client connection, or an object without a connection."""
 
     is_open: bool
     request: AcceptedRequest | None  # the request that currently waits for its response
@@ -101,10 +101,10 @@
 
     Attributes:
         slots: all requests that occupy a slot, including finished ones with an outstanding attempt.
-        open_ids: number of requests per id that wait for a response; more than 1 only if an extension
-            allows duplicates.
-        outstanding_ids: ids of finished requests with an outstanding attempt; a new request with the same id
-            would be executed as a duplicate.
+        open_ids: number of unfinished requests for each request id; more than 1 only with an extension,
+            which also receives duplicates.
+        outstanding_ids: ids of finished requests with an outstanding attempt; forwarding a new request with
+            the same id could execute its work twice.
     """
 
     def __init__(self, gateway: GatewayContext, size: int) -> None:
@@ -152,10 +152,11 @@
         return True
 
     def deliver(self, request: AcceptedRequest, sink: ResponseSink | None, response: Response) -> None:
-        """Send a response to the sink if the sink still waits for this request's response."""
+        """Send a response, unless the sink is closed or no longer waits for this request's response."""
         if sink is not None and sink.is_open and sink.request is request:
             sink.respond(response.status, response.headers, response.body)
-        self.gateway.stop_if_drained()  # a request may have no connection whose end would call this
+        # The end of a connection also causes this check, but an adopted request has no connection.
+        self.gateway.stop_if_drained()
 
     def reject(self, action: Reject) -> None:
         """Respond with 503, and with Retry-After if the policy's action has a retry delay."""
@@ -228,7 +229,7 @@
     def _continues_without_client(self, extension: Extension, request: AcceptedRequest) -> bool:
         try:
             return extension.on_client_disconnected(request.handle)
-        except Exception:  # noqa: BLE001  # otherwise the request would occupy its slot without a client
+        except Exception:  # noqa: BLE001  # return False, so that the request doesn't keep its slot
             self.gateway.log_fault("extension")
             return False
 
--- a/meadowpulley/net/ring.py
+++ b/meadowpulley/net/ring.py
@@ -1,10 +1,10 @@
-"""Bounded ring buffer; every connection has one per direction. Compiled by mypyc."""
+"""Bounded ring buffer; every connection has one per direction. mypyc compiles this module."""
 
 from __future__ import annotations
 
 from meadowpulley.net.errors import NetError
 
-# Initial capacity, which an emptied buffer returns to, so that idle connections use little memory.
+# Initial capacity. An emptied buffer returns to it, so that idle connections use little memory.
 INITIAL_BYTES = 2048
 
 
@@ -31,7 +31,7 @@
         return self.max_bytes - self._size
 
     def write(self, data: bytes) -> None:
-        """Append bytes. Raises RingBufferFullError, without a change, if they don't fit."""
+        """Append bytes. If they don't fit, raise RingBufferFullError and leave the buffer unchanged."""
         size = self._size + len(data)
         if size > self.max_bytes:
             raise RingBufferFullError(f"the buffer holds at most {self.max_bytes} bytes, not {size}")
@@ -48,7 +48,7 @@
         self._size = size
 
     def _grow(self, min_capacity: int) -> None:
-        """Increase the capacity to twice its size or `min_capacity`, at most `max_bytes`."""
+        """Double the capacity, or increase it to `min_capacity` if that is more, up to `max_bytes`."""
         capacity = max(2 * len(self._bytes), min_capacity)
         grown = bytearray(min(capacity, self.max_bytes))
         grown[: self._size] = self.peek(self._size)
@@ -65,7 +65,7 @@
         return bytes(self._bytes[offset:]) + bytes(self._bytes[: offset + size - capacity])
 
     def find(self, needle: bytes, skip: int = 0) -> int:
-        """Return the position of `needle` at or after `skip`, or -1 if it is not found.
+        """Return the first position of `needle` at or after `skip`, or -1 if it is not found.
 
         The search stops at the first match. Otherwise, for many short lines that arrive together, each line
         would require a search through all remaining bytes.
--- a/meadowpulley/net/write_permission.py
+++ b/meadowpulley/net/write_permission.py
@@ -1,4 +1,4 @@
-"""Check whether an attempt may be written to its instance, made immediately before the write.
+"""Check, immediately before the write, whether an attempt may be written to its instance.
 
 The policy's decision to send may become outdated while the connection is being established: the client may
 disconnect, the instance may start draining, or the information about the instance may expire.
@@ -18,19 +18,22 @@
 
     REQUEST_FINISHED = "request_finished"
     DEADLINE_PASSED = "deadline_passed"
-    ENDPOINT_EXPIRED = "endpoint_expired"  # the policy's `write_by` has passed, whatever its reason
+    ENDPOINT_EXPIRED = "endpoint_expired"  # `write_by` has passed, whatever the policy's reason for it
     ENDPOINT_REPLACED = "endpoint_replaced"
     CONNECTION_CLOSED = "connection_closed"
     MAY_HAVE_EXECUTED = "may_have_executed"
 
     @property
     def is_violation(self) -> bool:
-        """Whether the policy made an error: no later event can have made this decision to send invalid."""
+        """Whether the refusal shows an error of the policy.
+
+        The other reasons may arise after the policy decided to send, but MAY_HAVE_EXECUTED can't.
+        """
         return self is WriteRefusal.MAY_HAVE_EXECUTED
 
     @property
     def result(self) -> Result:
-        """Result of the refused attempt, which depends on whether the instance was the reason.
+        """Result of the refused attempt: whether the instance, or information about it, was the reason.
 
         The policy treats CONNECT_FAILED as a failure of the server and selects another one. NOT_SENT doesn't
         count against the server.
