--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -262,7 +262,9 @@
         if self.parser.has_partial_message:
             self._request_timed_out()
             return
-        if self.has_unread_input():  # the gateway is delayed, not the client: input or an end is unread
+        # The gateway is delayed, not the client: input, or the end of the connection, has arrived but was not
+        # read yet.
+        if self.has_unread_input():
             self.timeout.set(RECHECK_INTERVAL_MS, self._idle_timed_out)
             return
         self.owner.gateway.counters.add("in.idle_timeouts")
--- a/meadowpulley/net/instance_connection.py
+++ b/meadowpulley/net/instance_connection.py
@@ -85,7 +85,7 @@
     def opened(self) -> None:
         """Count the connection; reset it if its pool was retired while it was being established."""
         self.pool.owner.connection_opened()
-        # An instance of another build may now run at this address, and the request is not meant for that build.
+        # An instance of another build may now run at this address. The request is not meant for that build.
         if self.pool.retired:
             self.abort()
 
@@ -125,7 +125,9 @@
 
     def _response_incomplete(self) -> None:
         """Handle a response that was not completed in time, for example because its length is wrong."""
-        if self.has_unread_input():  # the gateway is delayed, not the instance: input or an end is unread
+        # The gateway is delayed, not the instance: input, or the end of the connection, has arrived but was
+        # not read yet.
+        if self.has_unread_input():
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_incomplete)
         elif self.exchange is not None:
             self.exchange.malformed_response()
