--- a/meadowpulley/gossip/__init__.py
+++ b/meadowpulley/gossip/__init__.py
@@ -1,5 +1,5 @@
-"""The datagrams between gateways, in bytes; nothing here decides.
+"""Encoding and decoding of the datagrams between gateways.
 
-`outcome_digest`: what a gateway saw of builds and servers. `list_confirmation_codec`: questions whether
-servers are still listed, and the replies.
+`outcome_digest` encodes the outcomes that a gateway observed, by build and server. `list_confirmation_codec`
+encodes queries about whether servers are still listed, and the replies to them.
 """
--- a/meadowpulley/gossip/list_confirmation_codec.py
+++ b/meadowpulley/gossip/list_confirmation_codec.py
@@ -1,10 +1,10 @@
-"""Messages between gateways that confirm servers of the endpoint list, in a few bytes each.
+"""Encoding of the messages by which gateways confirm servers of the endpoint list to each other.
 
-A gateway asks with a nonce what discovery lists. One that has asked discovery not long ago replies with how
-long ago that was, and with fingerprints of ready servers, as many as fit. What the asking gateway knows of a
-server whose fingerprint is among them was true at that time. The age counts from when the question was asked
-at the earliest, however long the reply is under way, and a message that is lost, late or repeated confirms
-nothing that is not so. Nothing here decides.
+A gateway sends a query with a nonce to ask which servers discovery lists. A gateway with a recent list
+replies with the age of that list and with fingerprints of ready servers, as many as fit. If a fingerprint
+matches a server that the asking gateway knows, then its entry for the server was correct at that time. The
+asking gateway subtracts the age from the time of its query, so a slow reply never makes a list look newer
+than it is, and a message that is lost, late or repeated confirms nothing false.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 QUERY_VERSION = 0xA2
 REPLY_VERSION = 0xA3
-MAX_BYTES = 256  # of a datagram
+MAX_BYTES = 256  # maximum size of a datagram
 MAX_AGE_MS = (1 << 16) - 1
 WORD_MODULUS = 1 << 32
-_QUERY = struct.Struct("!BII")  # version, nonce, number of a server
-_REPLY = struct.Struct("!BIHB")  # version, nonce, age in ms, count of fingerprints
+_QUERY = struct.Struct("!BII")  # version, nonce, first server number
+_REPLY = struct.Struct("!BIHB")  # version, nonce, list age in ms, number of fingerprints
 _FINGERPRINT = struct.Struct("!I")
-MAX_FINGERPRINTS = (MAX_BYTES - _REPLY.size) // _FINGERPRINT.size  # 62
-_SERVER = struct.Struct("!Iqd")  # number, build, Unix time of its start in ms
+MAX_FINGERPRINTS = (MAX_BYTES - _REPLY.size) // _FINGERPRINT.size  # 62 fingerprints
+_SERVER = struct.Struct("!Iqd")  # server number, build, Unix time of the start in ms
 
 
 @dataclass(frozen=True, slots=True)
 class ListQuery:
-    """Asks which ready servers discovery lists, in the order of their numbers, from one number on.
+    """Asks which ready servers discovery lists, in order of their numbers, starting at `first_server`.
 
-    The nonce tells replies to different questions apart.
+    The nonce tells which query a reply belongs to.
     """
 
     nonce: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReply:
-    """Names servers that were listed as ready `age_ms` before the reply was made."""
+    """Holds fingerprints of servers that were listed as ready `age_ms` before the reply was created."""
 
     nonce: int
     age_ms: float
@@ -46,25 +46,25 @@
 
 
 def fingerprint(server: int, build: int, started_unix_ms: float) -> int:
-    """Return 32 bits that stand for one incarnation of a server, the same at every gateway."""
+    """Return a 32-bit checksum that identifies one run of a server, the same at every gateway."""
     return zlib.crc32(_SERVER.pack(server % WORD_MODULUS, build, started_unix_ms))
 
 
 def encode(message: ListQuery | ListReply) -> bytes:
-    """Return the bytes of a message, MAX_BYTES at most.
+    """Encode a message into at most MAX_BYTES.
 
-    An age is rounded up, and cut to MAX_AGE_MS; fingerprints beyond MAX_FINGERPRINTS are left out.
+    The age is rounded up and capped at MAX_AGE_MS; fingerprints beyond MAX_FINGERPRINTS are left out.
     """
     if isinstance(message, ListQuery):
         return _QUERY.pack(QUERY_VERSION, message.nonce, message.first_server % WORD_MODULUS)
-    age_ms = min(int(message.age_ms) + 1, MAX_AGE_MS)  # a reply never claims to be newer than it is
+    age_ms = min(int(message.age_ms) + 1, MAX_AGE_MS)  # rounded up: the list never looks newer than it is
     words = message.fingerprints[:MAX_FINGERPRINTS]
     head = _REPLY.pack(REPLY_VERSION, message.nonce, age_ms, len(words))
     return head + b"".join([_FINGERPRINT.pack(word) for word in words])
 
 
 def decode(data: bytes) -> ListQuery | ListReply | None:
-    """Return the message, or None for other bytes: cut short, too long, foreign or of another version."""
+    """Decode a message; return None if it is truncated, too long, unknown or of another version."""
     if len(data) == _QUERY.size and data[0] == QUERY_VERSION:
         _, nonce, first_server = _QUERY.unpack(data)
         return ListQuery(nonce, first_server)
--- a/meadowpulley/gossip/outcome_digest.py
+++ b/meadowpulley/gossip/outcome_digest.py
@@ -1,8 +1,8 @@
-"""Digests: the gossip messages of gateways on builds and servers, in a few bytes.
+"""Encoding of digests: the gossip messages in which gateways report outcomes by build and server.
 
-A digest counts the responses since the sender's last one: by class the good and failed ones of the newest
-build and of its baseline, and the servers of any build that failed. It may be lost or repeated without harm.
-Nothing here decides.
+A digest covers the responses since the sender's previous digest. For each class, it counts the successful and
+failed responses of the newest build and of its baseline. It also lists the failed responses of any build with
+their servers. A digest may be lost or repeated without harm.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 VERSION = 0xA1
 MAX_BYTES = 256
-MAX_COUNT = 255  # in one digest, of one class and kind
-_HEAD = struct.Struct("!BIIIBB")  # version, incarnation, sequence, build, classes, failures
-_CLASS = struct.Struct("!BBBBB")  # class; good and failed responses of the newest build, of its baseline
+MAX_COUNT = 255  # highest count, or class number, that fits into a byte
+_HEAD = struct.Struct("!BIIIBB")  # version, incarnation, sequence number, build, class count, failure count
+_CLASS = struct.Struct("!BBBBB")  # class; successes and failures of the newest build, then of its baseline
 _FAILURE = struct.Struct("!HB")  # server, class
 MAX_FAILURES = 24
-# 33: what the other parts leave.
+# 33 classes: they fit into the space that the header and the failures leave.
 MAX_CLASSES = (MAX_BYTES - _HEAD.size - MAX_FAILURES * _FAILURE.size) // _CLASS.size
-SERVER_MODULUS = 1 << 16  # servers are numbered modulo this
+SERVER_MODULUS = 1 << 16  # digests carry server numbers modulo this
 WORD_MODULUS = 1 << 32
-TIMEOUT_CLASS = 255  # in place of a class: time-outs at warmed-up servers
+TIMEOUT_CLASS = 255  # used as a class number: time-outs at warmed-up servers
 
 
 class ClassCounts(NamedTuple):
-    """Responses of one class: of the newest build and of its baseline."""
+    """Counts of responses of one class, from the newest build and from its baseline."""
 
     class_index: int
     succeeded: int
@@ -36,15 +36,18 @@
 
 
 class FailedResponse(NamedTuple):
-    """One failed response."""
+    """The server and the class of one failed response."""
 
-    server: int  # modulo SERVER_MODULUS
+    server: int  # server number modulo SERVER_MODULUS
     class_index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """One digest. Each start of the sender draws a new incarnation; within it the sequence rises by one."""
+    """The outcomes that one gateway reports.
+
+    A gateway draws a new `incarnation` at each start; `sequence` rises by one with each of its digests.
+    """
 
     incarnation: int
     sequence: int
@@ -54,10 +57,10 @@
 
 
 def encode(digest: Digest) -> bytes:
-    """Return the bytes of a digest, MAX_BYTES at most.
+    """Encode a digest into at most MAX_BYTES.
 
-    Left out is what exceeds MAX_COUNT, MAX_CLASSES and MAX_FAILURES, and classes whose number needs more
-    than a byte.
+    Counts are capped at MAX_COUNT. Classes beyond MAX_CLASSES, failures beyond MAX_FAILURES, and those of
+    classes whose number needs more than a byte are left out.
     """
     classes = [counts for counts in digest.classes if counts.class_index <= MAX_COUNT][:MAX_CLASSES]
     failures = [failure for failure in digest.failures if failure.class_index <= MAX_COUNT][:MAX_FAILURES]
@@ -85,7 +88,7 @@
 
 
 def decode(data: bytes) -> Digest | None:
-    """Return the digest, or None for other bytes: cut short, too long, foreign or of another version."""
+    """Decode a digest; return None if it is truncated, too long, no digest or of another version."""
     if not _HEAD.size <= len(data) <= MAX_BYTES or data[0] != VERSION:
         return None
     _, incarnation, sequence, build, class_count, failure_count = _HEAD.unpack_from(data)
--- a/meadowpulley/state/__init__.py
+++ b/meadowpulley/state/__init__.py
@@ -1,9 +1,9 @@
-"""What the policy keeps, and plain bookkeeping on it. Nothing here decides or holds a tuned value.
+"""The policy's state and the bookkeeping on it. Decisions and tuned values are outside this package.
 
-In reading order: `averages` (rates and windows), `servers`, `requests` (with their attempts),
+The modules in reading order: `averages` (rates and windows), `servers`, `requests` (with their attempts),
 `endpoint_list`, `confirmation`, `failure_test` (a CUSUM), `estimation` (the mixed Differences-in-Q formula),
 `sample_summary`, `rollout` (evidence on a build), `votes`, `traffic_pause`, `gossip`, and `state`, which
-holds it all.
+combines all of these.
 """
 
 from meadowpulley.state.averages import WINDOW_MARGIN_MS, DecayingRate, EventWindow
--- a/meadowpulley/state/averages.py
+++ b/meadowpulley/state/averages.py
@@ -1,4 +1,4 @@
-"""Counts that fade with time: decaying rates and sliding windows of events. Times are milliseconds."""
+"""Exponentially decaying rates and sliding windows of events. Times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -6,50 +6,52 @@
 from collections import defaultdict, deque
 from functools import partial
 
-WINDOW_MARGIN_MS = 1000.0  # a window keeps events for so much longer than its length, for conservative counts
+# A window keeps events for this many milliseconds beyond its length, so that a conservative count can include
+# events that are slightly too old.
+WINDOW_MARGIN_MS = 1000.0
 
 
 class DecayingRate:
-    """An amount per millisecond that decays exponentially with the given time constant."""
+    """A rate per millisecond that decays exponentially with a given time constant."""
 
     def __init__(self, memory_ms: float) -> None:
-        """Begin with nothing; `memory_ms` is the time constant."""
+        """Start at a rate of 0; `memory_ms` is the time constant."""
         self.memory_ms = memory_ms
         self.total = 0.0
         self.updated_at = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Add an amount at a time in ms."""
+        """Add an amount at the time `now`, in ms."""
         decay = math.exp((self.updated_at - now) / self.memory_ms)
         self.total = self.total * decay + amount
         self.updated_at = now
 
     def value(self, now: float) -> float:
-        """Return the rate at a time in ms."""
+        """Return the rate per millisecond at the time `now`, in ms."""
         self.add(now, 0.0)
         return self.total / self.memory_ms
 
 
 class EventWindow:
-    """The times of recent events, kept for as long as they may be counted."""
+    """A sliding window that holds the times of recent events."""
 
     def __init__(self, memory_ms: float) -> None:
-        """Begin without events; `memory_ms` is the window's length."""
+        """Start without events; `memory_ms` is the window's length."""
         self.memory_ms = memory_ms
         self.times: deque[float] = deque()
 
     def add(self, now: float) -> None:
-        """Record an event, and forget those beyond the window's length and margin."""
+        """Record an event, and drop events older than the window's length plus `WINDOW_MARGIN_MS`."""
         self.times.append(now)
         self.count(now, WINDOW_MARGIN_MS)
 
     def count(self, now: float, margin_ms: float = 0.0) -> int:
-        """Return the number of events within the window plus the margin; older ones are forgotten."""
+        """Return the number of events within the window plus the margin, and drop older events."""
         while self.times and self.times[0] < now - self.memory_ms - margin_ms:
             self.times.popleft()
         return len(self.times)
 
 
 def event_windows(memory_ms: float) -> defaultdict[int, EventWindow]:
-    """Return windows of one length, each created when it is first used."""
+    """Return a mapping from exposure classes to windows of one length, created at first use."""
     return defaultdict(partial(EventWindow, memory_ms))
--- a/meadowpulley/state/confirmation.py
+++ b/meadowpulley/state/confirmation.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of the confirmation of its servers by other gateways."""
+"""State of list confirmation: asking other gateways whether servers are still listed by discovery."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 class ConfirmationState:
-    """The questions that this gateway has asked, and its ready servers. Times are on its clock."""
+    """The queries that this gateway sent, and its ready servers. Times are ms on its own clock."""
 
     def __init__(self, rng: Random) -> None:
-        """Begin with nothing asked; `rng` draws for questions alone."""
-        self.rng = rng  # of its own: questions change no other draw
-        self.queried_at = -math.inf  # when others were last asked
-        self.queried_range = -1  # of the servers, in the last question
-        self.open_queries: dict[int, float] = {}  # by nonce, when it was asked; oldest first
-        self.last_confirmed_by = -1  # the gateway whose reply was the latest
-        self.ready_servers: list[Server] | None = None  # by number; None until they are needed
+        """Start without any query; `rng` is used for queries only."""
+        # A generator for queries alone, so that they do not change the random numbers drawn elsewhere.
+        self.rng = rng
+        self.queried_at = -math.inf  # when other gateways were last queried
+        self.queried_range = -1  # index of the range of servers in the last query; -1 before the first
+        self.open_queries: dict[int, float] = {}  # time of each query by its nonce, oldest first
+        self.last_confirmed_by = -1  # index of the gateway that replied last; -1 before the first reply
+        self.ready_servers: list[Server] | None = None  # sorted by number; None until computed
--- a/meadowpulley/state/endpoint_list.py
+++ b/meadowpulley/state/endpoint_list.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of the endpoint list as a whole: what renews it, and when to ask for it."""
+"""State of the endpoint list as a whole: how recent it is, and when to poll for it again."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class EndpointListState:
-    """How old the list is, what discovery may have told since, and the next poll. Times are milliseconds."""
+    """The age of the list, the state of its watch, and the time of the next poll. Times are in ms."""
 
     def __init__(self, must_poll: bool) -> None:
-        """Begin without a list; `must_poll` where discovery does not push it."""
-        self.confirmed_at = -math.inf  # the list holds all changes up to then
-        self.watch_covers_until = -math.inf  # by then discovery responds to the call that is out
-        self.lost_at = -math.inf  # when a list was last lost that discovery may have written
-        self.poll_at = -math.inf if must_poll else math.inf  # when to ask for the list
+        """Start without a list; `must_poll` is true where discovery does not push updates."""
+        self.confirmed_at = -math.inf  # the list contains all changes up to this time
+        self.watch_covers_until = -math.inf  # discovery responds to the outstanding watch call by then
+        self.lost_at = -math.inf  # when a list that discovery may have sent was last lost
+        self.poll_at = -math.inf if must_poll else math.inf  # when to poll discovery for the list
         self.consecutive_failures = 0
-        self.lease_expired = False  # as it was last logged
+        self.lease_expired = False  # whether the last logged event said that the lease had expired
--- a/meadowpulley/state/estimation.py
+++ b/meadowpulley/state/estimation.py
@@ -1,6 +1,7 @@
 """The mixed Differences-in-Q estimator, for an A/B test on a queueing system.
 
-Formulas: the paper, (12), (15)-(20), (39) and appendix C.3. Nothing here is tuned: every value comes in.
+The formulas are (12), (15)-(20), (39) and those of appendix C.3 in the paper on Differences-in-Q. Callers
+pass all tuned values.
 """
 
 from __future__ import annotations
@@ -12,14 +13,16 @@
 
 from meadowpulley.state.requests import Attempt
 
-MIN_VARIANCE = 1e-9  # of the difference between both Q functions; below it the mix makes no difference
+# Sum of squared differences between the two Q functions, in square milliseconds, up to which they are taken
+# as equal: the weights of the two then have no effect.
+MIN_VARIANCE = 1e-9
 BASELINE_ARM = 0
 TRIAL_ARM = 1
 NO_ARM = -1
 
 
 class QDifference(NamedTuple):
-    """The trial arm's mean mixed Q function less the baseline's, with its standard error, in milliseconds."""
+    """The trial arm's mean mixed Q value minus the baseline's, and its standard error, both in ms."""
 
     difference: float
     error: float
@@ -28,50 +31,50 @@
 
 
 class CostSeries(NamedTuple):
-    """The costs of requests, in order of sending, with one entry per request in each list.
+    """The costs of requests in sending order; each list has one entry per request.
 
-    `blocks`: requests of both arms are compared within the same block only.
+    `blocks` holds each request's block: requests of the two arms are compared only within the same block.
     """
 
     latencies: list[float]  # ms
-    queue_lengths: list[float]  # requests that it met
+    queue_lengths: list[float]  # outstanding attempts per server when the request was sent
     arms: list[int]  # BASELINE_ARM, TRIAL_ARM or NO_ARM
     blocks: list[tuple[float, int]]
 
 
 class QMix(NamedTuple):
-    """How Q functions are formed: sums over the next `horizon` requests, at `arrival_rate` per ms (39)."""
+    """Parameters of Q functions: sums over the next `horizon` requests, arrival rate per ms (39)."""
 
     horizon: int
     arrival_rate: float
-    min_alpha: float  # the least weight of latencies against queue lengths, 0 to 1
+    min_alpha: float  # least weight of the latency Q, from 0 to 1; the queue length Q gets the rest
 
 
 class _Block(NamedTuple):
-    """The requests of one block, by their position, that went to each arm."""
+    """The positions of one block's requests in the cost series, by arm."""
 
     baseline: list[int]
     trial: list[int]
 
     @property
     def weight(self) -> float:
-        """The inverse variance of the difference of both means, in units of one request's."""
+        """The inverse variance of the difference of the two means, if one request has a variance of 1."""
         return 1 / (1 / len(self.trial) + 1 / len(self.baseline))
 
     def difference(self, values: list[float]) -> float:
-        """Return the trial's mean value less the baseline's."""
+        """Return the mean value of the trial arm minus that of the baseline."""
         trial_mean = fmean([values[position] for position in self.trial])
         baseline_mean = fmean([values[position] for position in self.baseline])
         return trial_mean - baseline_mean
 
 
 def mixed_q(costs: CostSeries, mix: QMix) -> QDifference:
-    """Estimate by how much the trial arm raises the mean latency of all requests, within blocks.
+    """Estimate by how many ms the trial arm raises the mean latency of all requests, within blocks.
 
-    A request's Q function adds the costs of the next requests to its own (12); the arrival rate makes
-    milliseconds of queue lengths (15).
+    A request's Q value is the sum of its own cost and the costs of the following requests (12). Queue lengths
+    are divided by the arrival rate to convert them to milliseconds (15).
     """
-    count = len(costs.latencies) - mix.horizon  # the last requests have no whole sums
+    count = len(costs.latencies) - mix.horizon  # the last `horizon` requests have too few successors
     blocks = _blocks_with_both_arms(costs.arms[: max(count, 0)], costs.blocks)
     if not blocks or mix.arrival_rate <= 0:
         return QDifference(0.0, math.inf, 0, 0)
@@ -79,7 +82,7 @@
     trial_count = sum([len(block.trial) for block in blocks])
     baseline_count = sum([len(block.baseline) for block in blocks])
     squares = [value * value for value in _centred(mixed, blocks)]
-    variance = sum(squares, 0.0) / (trial_count + baseline_count)  # C.3
+    variance = sum(squares, 0.0) / (trial_count + baseline_count)  # appendix C.3
     weights = [block.weight for block in blocks]
     total_weight = sum(weights, 0.0)
     difference = _weighted_difference(mixed, blocks, weights) / total_weight
@@ -87,14 +90,14 @@
 
 
 def _weighted_difference(mixed: list[float], blocks: list[_Block], weights: list[float]) -> float:
-    """Return the sum of the blocks' differences, each times its weight."""
+    """Return the weighted sum of the differences between the arms in each block."""
     differences = [block.difference(mixed) for block in blocks]
     products = [weight * difference for weight, difference in zip(weights, differences, strict=True)]
     return sum(products, 0.0)
 
 
 def _mixed_q_function(costs: CostSeries, mix: QMix, blocks: list[_Block]) -> list[float]:
-    """Return each request's mix of its latency Q and its queue Q (20)."""
+    """Return for each request the weighted mean of its latency Q and its queue length Q (20)."""
     latency_q = _q_function(costs.latencies, mix.horizon)
     queue_q = [total / mix.arrival_rate for total in _q_function(costs.queue_lengths, mix.horizon)]
     best_alpha = _best_alpha(_centred(latency_q, blocks), _centred(queue_q, blocks))
@@ -113,13 +116,13 @@
 
 
 def _q_function(costs: list[float], horizon: int) -> list[float]:
-    """Return for each request the sum of its cost and of the next `horizon` ones (12)."""
+    """Return for each request the sum of its own cost and those of the next `horizon` requests (12)."""
     sums = [0.0, *accumulate(costs)]
     return [sums[first + horizon + 1] - sums[first] for first in range(len(costs) - horizon)]
 
 
 def _centred(values: list[float], blocks: list[_Block]) -> list[float]:
-    """Return the values of the blocks' requests, each less its block's mean."""
+    """Return the values of all requests in the blocks, each minus the mean of its block."""
     centred: list[float] = []
     for block in blocks:
         members = block.baseline + block.trial
@@ -129,7 +132,10 @@
 
 
 def _best_alpha(latency_q: list[float], queue_q: list[float]) -> float:
-    """Return the weight of the latencies that gives the mix the least variance (19), from centred values."""
+    """Return the weight of the latency Q that minimizes the variance of the mix (19).
+
+    Both lists hold centred values.
+    """
     pairs = list(zip(latency_q, queue_q, strict=True))
     variance = sum([(latency - queue) ** 2 for latency, queue in pairs], 0.0)
     if variance <= MIN_VARIANCE:
@@ -138,26 +144,27 @@
 
 
 class LatencySamples:
-    """Attempts of an A/B test with their arms.
+    """Attempts of an A/B test and their arms.
 
-    Latency costs are cut at `max_latency_ms`. Costs and queue lengths are those of warmed-up servers.
+    Latency costs are capped at `max_latency_ms`. Latency costs and queue lengths of servers in slow start are
+    scaled down to those of warmed-up servers.
     """
 
     def __init__(self, attempts: list[Attempt], arms: list[int], now: float, max_latency_ms: float) -> None:
-        """Take attempts in order of sending, with the arm of each."""
+        """Store attempts in the order in which they were sent, with the arm of each."""
         self.attempts = attempts
         self.arms = arms
         self.latencies = [min(attempt.latency_cost(now), max_latency_ms) for attempt in attempts]
 
     @property
     def baseline_mean(self) -> float:
-        """The baseline's mean latency cost in ms; 0 without one."""
+        """The mean latency cost of the baseline's attempts in ms; 0 if it has none."""
         pairs = zip(self.latencies, self.arms, strict=True)
         baseline = [latency for latency, arm in pairs if arm == BASELINE_ARM]
         return fmean(baseline or [0.0])
 
     def compare(self, block_ms: float, mix: QMix) -> QDifference:
-        """Compare the arms within blocks of time and of one kind of machine, as `mixed_q` does."""
+        """Compare the arms with `mixed_q`, in blocks of `block_ms` milliseconds and one machine kind each."""
         queue_lengths = [attempt.slow_start_fraction * attempt.queue_length for attempt in self.attempts]
         blocks = [(attempt.sent_at // block_ms, attempt.server.kind) for attempt in self.attempts]
         return mixed_q(CostSeries(self.latencies, queue_lengths, self.arms, blocks), mix)
--- a/meadowpulley/state/failure_test.py
+++ b/meadowpulley/state/failure_test.py
@@ -1,7 +1,7 @@
-"""A sequential test whether a build fails more than its baseline; every tuned value comes in.
+"""A sequential test of whether a build fails more often than its baseline.
 
-The test is Page's CUSUM (E. S. Page, Continuous inspection schemes, Biometrika 41, 1954) of Bernoulli log
-likelihood ratios.
+The test is Page's CUSUM (E. S. Page, Continuous inspection schemes, Biometrika 41, 1954) over the log
+likelihood ratios of Bernoulli trials. Callers pass all tuned values.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-ALL_SERVERS = -2  # in place of a server: all of them together
-PLATFORM = -1  # in place of a server: the platform's statistics
-ALL_CLASSES = -1  # in place of a class
+ALL_SERVERS = -2  # used as a server number: all servers together
+PLATFORM = -1  # used as a server number: the platform's statistics
+ALL_CLASSES = -1  # used as a class index: all classes together
 
 
 @dataclass(frozen=True, slots=True)
 class FailureTestBounds:
-    """The alternatives of the test, as failure rates from 0 to 1.
+    """The failure rates that the test tells apart, each from 0 to 1.
 
-    `increases`: by how much a bad build's rate is above the baseline's, at least. `relative_increase` is the
-    same as a part of the baseline's rate, and counts where it is more. `min_rate` and `max_rate` bound the
-    baseline's rate as the test assumes it.
+    `increases` lists the smallest increases over the baseline's failure rate to test for. `relative_increase`
+    is such an increase as a fraction of the baseline's rate; the larger of the two is used. The baseline's
+    rate is limited to the range from `min_rate` to `max_rate`.
     """
 
     increases: tuple[float, ...]
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerOutcomes:
-    """Counts of responses of one class from one server, `ALL_SERVERS` or the `PLATFORM`."""
+    """Counts of responses of one class from one server, from `ALL_SERVERS` or from the `PLATFORM`."""
 
     class_index: int
     server: int
@@ -41,16 +41,16 @@
 
 
 class SequentialFailureTest:
-    """CUSUMs of log likelihood ratios, which never fall below 0: one for each class, increase and server."""
+    """A CUSUM of log likelihood ratios per class, increase and server; none falls below 0."""
 
     def __init__(self, bounds: FailureTestBounds) -> None:
-        """Begin without evidence."""
+        """Start without evidence."""
         self.bounds = bounds
-        # By class and increase, then by server.
+        # Log likelihood ratios by class and increase, then by server.
         self.log_odds: dict[tuple[int, float], dict[int, float]] = defaultdict(lambda: defaultdict(float))
 
     def add(self, outcomes: ServerOutcomes, baseline_rate: float, server_only: bool = False) -> None:
-        """Add outcomes of a server; they count for all servers together too, unless `server_only`."""
+        """Add outcomes of a server, and also to the sum over all servers unless `server_only` is set."""
         counts_alone = server_only or outcomes.server < 0
         scopes = (outcomes.server,) if counts_alone else (outcomes.server, ALL_SERVERS)
         expected = min(max(baseline_rate, self.bounds.min_rate), self.bounds.max_rate)
@@ -62,17 +62,17 @@
                     sums[scope] = max(sums[scope] + log_ratio, 0.0)
 
     def _log_likelihood_ratio(self, outcomes: ServerOutcomes, expected: float, increase: float) -> float:
-        """Return the log likelihood of the outcomes at the increased rate less that at the expected one."""
-        worse = expected + max(increase, expected * self.bounds.relative_increase) * (1 - expected)
-        failure_ratio = math.log(worse / expected)
-        success_ratio = math.log((1 - worse) / (1 - expected))
+        """Return the outcomes' log likelihood at the increased failure rate minus that at `expected`."""
+        increased = expected + max(increase, expected * self.bounds.relative_increase) * (1 - expected)
+        failure_ratio = math.log(increased / expected)
+        success_ratio = math.log((1 - increased) / (1 - expected))
         return outcomes.failed * failure_ratio + outcomes.succeeded * success_ratio
 
     def strongest(self, server_limit: float, min_own: float) -> float:
-        """Return the greatest log likelihood ratio of all classes and increases.
+        """Return the highest log likelihood ratio over all classes and increases.
 
-        No server adds more than `server_limit`, and the platform's statistics count only where the servers'
-        own outcomes exceed `min_own`.
+        Each server contributes at most `server_limit`. The platform's statistics count only where the sum of
+        the servers' contributions exceeds `min_own`.
         """
         strongest = 0.0
         for sums in self.log_odds.values():
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of gossip: outcomes for the next digest, and the digests of other gateways."""
+"""State of gossip: outcomes for the next digest, and the digests of other gateways."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from meadowpulley.state.failure_test import ALL_SERVERS, SequentialFailureTest, ServerOutcomes
 from meadowpulley.state.servers import Server
 
-MAX_UNPUBLISHED = 600  # outcomes that wait for the next digest; beyond it the oldest are dropped
+MAX_UNPUBLISHED = 600  # outcomes kept for the next digest; if there are more, the oldest are dropped
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeCounts:
-    """Responses of one class from one server, or from the platform's statistics."""
+    """Counts of responses of one class from one server, or from the platform's statistics."""
 
     class_index: int
     build: int
@@ -41,12 +41,12 @@
 
     @property
     def baseline_total(self) -> int:
-        """All responses of the baseline."""
+        """The number of all responses of the baseline, good and failed."""
         return self.baseline_succeeded + self.baseline_failed
 
 
 class ArmTimeouts(NamedTuple):
-    """Attempts that timed out at the newest build and at its baseline."""
+    """Numbers of attempts that timed out at the newest build and at its baseline."""
 
     newest: int
     baseline: int
@@ -56,48 +56,49 @@
     """The sums of several gateways' digests on one build."""
 
     def __init__(self, digests: list[Digest]) -> None:
-        """Take the digests of one build."""
+        """Sum up the digests on one build."""
         self._class_counts: list[ClassCounts] = []
-        # By server, as digests number it, and class.
+        # Keys hold the class and the server number modulo SERVER_MODULUS, as digests do.
         self.failures_by_server: Counter[FailedResponse] = Counter()
         for digest in digests:
             self._class_counts += digest.classes
             self.failures_by_server.update(digest.failures)
 
     def of_class(self, class_index: int) -> ArmOutcomes:
-        """Return the counts of one class."""
+        """Return the sums of one class of requests."""
         return _add_up([counts for counts in self._class_counts if counts.class_index == class_index])
 
     def add_to(
         self, test: SequentialFailureTest, class_index: int, servers: list[int], baseline_rate: float
     ) -> None:
-        """Add a class's outcomes to a test, for all servers together and for each of the build's."""
+        """Add the outcomes of a class to a test: for all servers together, and for each of `servers`."""
         outcomes = self.of_class(class_index)
         test.add(ServerOutcomes(class_index, ALL_SERVERS, outcomes.failed, outcomes.succeeded), baseline_rate)
         for server in servers:
             failed = self.failures_by_server[FailedResponse(server % SERVER_MODULUS, class_index)]
-            succeeded = outcomes.succeeded / len(servers)  # digests do not say by which server
+            # Digests do not say which server succeeded, so successes are split evenly.
+            succeeded = outcomes.succeeded / len(servers)
             test.add(ServerOutcomes(class_index, server, failed, succeeded), baseline_rate, server_only=True)
 
     def timeouts(self) -> ArmTimeouts:
         """Return how many attempts timed out at warmed-up servers.
 
-        Digests carry them as successes of a class of its own.
+        Digests carry time-outs as successes of the separate class `TIMEOUT_CLASS`.
         """
         counts = self.of_class(TIMEOUT_CLASS)
         return ArmTimeouts(counts.succeeded, counts.baseline_succeeded)
 
     def responses(self) -> ArmOutcomes:
-        """Return the counts of all classes together."""
+        """Return the sums of all classes together, without time-outs."""
         return _add_up([counts for counts in self._class_counts if counts.class_index != TIMEOUT_CLASS])
 
 
 class FailureReports(NamedTuple):
-    """Failed responses in digests; servers are numbered as in digests."""
+    """Numbers of failed responses in digests; server numbers are modulo SERVER_MODULUS."""
 
     total: int
-    failures: Counter[int]  # by server
-    senders: Counter[int]  # gateways that report a server, by server
+    failures: Counter[int]  # failed responses of each server
+    senders: Counter[int]  # number of gateways that report failures of each server
 
 
 def _add_up(rows: list[ClassCounts]) -> ArmOutcomes:
@@ -110,28 +111,30 @@
 
 
 class GossipState:
-    """What the gateways of a fleet exchange.
+    """The outcomes and digests that the gateways of a fleet exchange.
 
-    `incarnation` is drawn at the start. `clock_skew_s`: the digests that arrive in one second may be about so
-    many seconds.
+    `incarnation` is a random number drawn when this gateway starts. `clock_skew_s` is the number of seconds
+    that the digests received within one second may cover together.
     """
 
     def __init__(self, incarnation: int, clock_skew_s: int) -> None:
-        """Begin with nothing sent or received."""
+        """Start without any digest sent or received."""
         self.incarnation = incarnation
-        self.sequence = 0  # of the last digest that was sent
+        self.sequence = 0  # sequence number of the last digest that this gateway sent
         self.unpublished: deque[OutcomeCounts] = deque(maxlen=MAX_UNPUBLISHED)
-        self.last_digest_by_sender: dict[tuple[int, int], int] = {}  # by sender and incarnation
+        # Sequence number of the last digest, by sender and incarnation.
+        self.last_digest_by_sender: dict[tuple[int, int], int] = {}
         self.rejected_digests = 0
-        self.received: list[tuple[int, Digest]] = []  # in this second, with their senders
-        # The baseline's, by class.
+        self.received: list[tuple[int, Digest]] = []  # digests of the current second, with their senders
+        # The baseline's last failure rates, at most `clock_skew_s` of them, by class.
         self.baseline_failure_rates: dict[int, deque[float]] = defaultdict(lambda: deque(maxlen=clock_skew_s))
-        self.last_baseline_fault_at = -math.inf  # when the baseline last failed anywhere
+        self.last_baseline_fault_at = -math.inf  # when the baseline last failed at any gateway
 
     def next_digest(self, build: int, baseline_build: int, under_evaluation: bool) -> Digest | None:
-        """Return what was seen since the last digest, or None where that is nothing.
+        """Return a digest of the outcomes since the last one, or None if it would be empty.
 
-        A digest holds the failures of all builds, and all outcomes of those under evaluation.
+        A digest holds the failures at any build. If `under_evaluation` is set, it also holds all outcomes of
+        the build and of its baseline.
         """
         counts_by_class: dict[int, ClassCounts] = {}
         failures: list[FailedResponse] = []
@@ -149,26 +152,26 @@
         return Digest(self.incarnation, self.sequence, build, classes, tuple(failures))
 
     def has_failures(self) -> bool:
-        """Tell whether a failed response waits for the next digest."""
+        """Tell whether the next digest will report a failed response."""
         return any(outcome.failed for outcome in self.unpublished)
 
     def record_timeout(self, server: Server) -> None:
-        """Note a time-out at a warmed-up server for the next digest; `PooledOutcomes.timeouts` reads it."""
+        """Record a time-out at a warmed-up server; `PooledOutcomes.timeouts` reads it from the digest."""
         self.unpublished.append(OutcomeCounts(TIMEOUT_CLASS, server.build, server.id, 0, 1))
 
     def accept(self, sender: int, digest: Digest, max_incarnations: int) -> bool:
-        """Tell whether a digest is new; the last digest of so many incarnations is remembered."""
+        """Tell whether a digest is new, and remember it; at most `max_incarnations` senders are kept."""
         source = (sender, digest.incarnation)
         if self.last_digest_by_sender.get(source, -1) >= digest.sequence:
             return False
         self.last_digest_by_sender.pop(source, None)
         self.last_digest_by_sender[source] = digest.sequence
-        if len(self.last_digest_by_sender) > max_incarnations:  # the first are over for the longest time
+        if len(self.last_digest_by_sender) > max_incarnations:  # the first entry is the oldest
             del self.last_digest_by_sender[next(iter(self.last_digest_by_sender))]
         return True
 
     def failure_reports(self) -> FailureReports:
-        """Count the failed responses in this second's digests, by server."""
+        """Count the failed responses in the current second's digests, by server."""
         total = 0
         failures: Counter[int] = Counter()
         senders: Counter[int] = Counter()
@@ -183,14 +186,14 @@
         return FailureReports(total, failures, senders)
 
     def take_pooled(self, build: int) -> PooledOutcomes:
-        """Return the sums of this second's digests on the build, and begin the next second."""
+        """Return the sums of the current second's digests on the build, and start the next second."""
         digests = [digest for _, digest in self.received if digest.build == build]
         self.received = []
         return PooledOutcomes(digests)
 
 
 def _add_outcome(counts: ClassCounts | None, outcome: OutcomeCounts, of_newest: bool) -> ClassCounts:
-    """Return the counts of a class with an outcome of the newest build, or of its baseline, added."""
+    """Return a class's counts plus an outcome of the newest build (`of_newest`) or of its baseline."""
     if counts is None:
         counts = ClassCounts(outcome.class_index, 0, 0, 0, 0)
     if of_newest:
--- a/meadowpulley/state/requests.py
+++ b/meadowpulley/state/requests.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of requests that are owed an answer, and of their attempts."""
+"""State of requests that have no final response yet, and of their attempts."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 )
 from meadowpulley.state.servers import Server
 
-ALL_CLASSES = -1  # the exposure class of all requests where classes are counted together
-PRIOR_ATTEMPT_NUMBER = -1  # attempts of an earlier incarnation have no number at this gateway
+ALL_CLASSES = -1  # the exposure class of every request where exposure is not counted per class
+PRIOR_ATTEMPT_NUMBER = -1  # stands in for the unknown number of an attempt made by an earlier gateway
 
 
 class InFlightRequest:
-    """A request that is owed its final answer."""
+    """A request that has no final response yet."""
 
     def __init__(
         self, request: Request, request_class: RequestClass, now: float, exposure_per_class: bool
     ) -> None:
-        """Begin with a request that arrives `now`, with the attempts that other gateways made for it."""
+        """Record a request that arrives at the time `now`, with the attempts of other gateways."""
         self.request = request
         self.request_class = request_class
         self.arrived_at = now
         self.attempt_count = request.prior_attempt_count
-        self.outstanding = 0  # attempts without an outcome
-        # Requests of one exposure class share the exposure cap.
+        self.outstanding = 0  # number of attempts without an outcome
+        # The exposure cap applies to all requests of one exposure class together.
         self.exposure_class = request.class_index if exposure_per_class else ALL_CLASSES
         self.attempted_servers = [prior.server for prior in request.prior_attempts]
-        # Attempts that were executed, may have been, or have no outcome yet.
+        # Attempts that a server executed, may have executed, or may still execute.
         self.possible_executions = [_prior_attempt(self, prior) for prior in request.prior_attempts]
-        self.streaming = False  # part of a response has reached the client
-        self.randomized = False  # chance decided between the builds
+        self.streaming = False  # whether part of a response was sent to the client
+        self.randomized = False  # whether the build was chosen at random
         self.probed_servers: list[int] = []
 
     @property
@@ -47,7 +47,10 @@
 
     @property
     def deduplicated_everywhere(self) -> bool:
-        """Whether any server drops a repeat: the client's too, unless another gateway had the request."""
+        """Whether every server discards a repeat of the request, including a retry by the client.
+
+        False if another gateway had made attempts of the request.
+        """
         everywhere = self.request_class.deduplication_scope is DeduplicationScope.ALL
         return self.effect is Effect.IDEMPOTENT_WITH_KEY and everywhere and not self.request.prior_attempts
 
@@ -60,42 +63,42 @@
 
 
 class SendConditions(NamedTuple):
-    """What was known of a server when an attempt was sent to it."""
+    """The conditions under which an attempt was sent to a server."""
 
-    queue_length: float  # mean count of this gateway's attempts at the candidates
-    slow_start_fraction: float  # of the server's capacity, 0 to 1
-    randomized: bool  # whether chance decided between the builds
+    queue_length: float  # mean number of this gateway's outstanding attempts per candidate server
+    slow_start_fraction: float  # fraction of its capacity that the server had, 0 to 1
+    randomized: bool  # whether the build was chosen at random
 
 
 class Attempt:
-    """One attempt; the first of each request is kept as a sample of its build's latency cost."""
+    """One attempt of a request; first attempts are kept as samples of their build's latency cost."""
 
     def __init__(
         self, in_flight: InFlightRequest, server: Server, sent_at: float, conditions: SendConditions
     ) -> None:
-        """Begin with the next attempt of a request, sent to a server at a time in ms."""
+        """Create the next attempt of a request, sent to a server at the time `sent_at` in ms."""
         self.in_flight = in_flight
         self.server = server
         self.number = in_flight.attempt_count - in_flight.request.prior_attempt_count
         self.sent_at = sent_at
         self.queue_length = conditions.queue_length
         self.slow_start_fraction = conditions.slow_start_fraction
-        # Retries avoid the servers of earlier attempts, so chance decides for first attempts alone.
+        # Retries avoid the servers of earlier attempts, so only first attempts get a build at random.
         self.randomized = conditions.randomized and not in_flight.attempt_count
         self.latency_ms: float | None = None
-        self.unattributable = False  # no response, or one of unknown latency: not the build's doing
+        self.unattributable = False  # no response, or one of unknown latency: not caused by the build
 
     def latency_cost(self, now: float) -> float:
-        """Return the latency in ms, or the age while outstanding, as if the server were warmed up."""
+        """Return the latency in ms, or the age while outstanding, scaled to a warmed-up server."""
         elapsed_ms = self.latency_ms if self.latency_ms is not None else now - self.sent_at
         return self.slow_start_fraction * elapsed_ms
 
 
-PRIOR_CONDITIONS = SendConditions(0.0, 0.0, False)  # nothing is learnt from attempts of other gateways
+PRIOR_CONDITIONS = SendConditions(0.0, 0.0, False)  # attempts of other gateways give no latency samples
 
 
 def _prior_attempt(in_flight: InFlightRequest, prior: PriorAttempt) -> Attempt:
-    """Return an attempt of an earlier incarnation, kept like an outstanding one."""
+    """Return an attempt that an earlier gateway made, kept like an outstanding attempt."""
     endpoint = ServerEntry(
         server=prior.server,
         cell=prior.cell,
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of one server."""
+"""State of one server."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Server:
-    """One start of one server: a restart, or another build under the same number, is a new one.
+    """One run of a server: after a restart or with another build, the same number is a new `Server`.
 
     Times are milliseconds on the clock of the events.
     """
 
     def __init__(self, endpoint: ServerEntry) -> None:
-        """Begin with a healthy server, as an endpoint list names it."""
+        """Start with a healthy server that is listed as `endpoint`."""
         self.id = endpoint.server
         self.kind = endpoint.kind
         self.cell = endpoint.cell
@@ -24,20 +24,20 @@
         self.started_ms = endpoint.started_ms
         self.state = endpoint.state
         self.fingerprint = fingerprint(endpoint.server, endpoint.build, endpoint.started_unix_ms)
-        self.outstanding = 0  # attempts of this gateway that have no outcome yet
-        self.slow_start_slot = -1  # the slot of the overload window for which the budget was drawn
-        self.slow_start_budget = -1  # requests that may still be sent in that slot
-        self.failure_rate = 0.0  # exponentially weighted moving average
+        self.outstanding = 0  # number of this gateway's attempts at the server without an outcome
+        self.slow_start_slot = -1  # number of the time slot that the budget below applies to
+        self.slow_start_budget = -1  # attempts that may still be sent in that slot
+        self.failure_rate = 0.0  # exponentially weighted moving average, 0 to 1
         self.ejected_until = 0.0
-        # Length of the last ejection; while it is above 0 the server gets one request at a time.
+        # Length of the last ejection. While it is above 0, the server gets at most one request at a time.
         self.ejection_ms = 0.0
         self.last_failure_at = -math.inf
         self.last_response_at = -math.inf
-        # Until then discovery listed it as it is known here, by what another gateway says.
+        # According to another gateway, discovery listed the server unchanged at this time.
         self.peer_confirmed_at = -math.inf
 
     def as_candidate(self, slow_start_fraction: float, mean_latency_ms: float, home_zone: int) -> Candidate:
-        """Return the server as a placement policy sees it."""
+        """Return the data on the server that a placement policy gets."""
         return Candidate(
             server=self.id,
             zone=self.zone,
@@ -56,7 +56,7 @@
         return self.state is ServerState.READY
 
     def in_scope(self, scope: DeduplicationScope, other: Server) -> bool:
-        """Tell whether both servers drop each other's repeats of a request with an idempotency key."""
+        """Tell whether the two servers share idempotency keys: each drops repeats of the other's requests."""
         if scope is DeduplicationScope.ZONE:
             return self.zone == other.zone
         return scope is DeduplicationScope.ALL or self.cell == other.cell
--- a/meadowpulley/state/state.py
+++ b/meadowpulley/state/state.py
@@ -1,6 +1,6 @@
-"""All that the policy of one gateway keeps, with the bookkeeping on it.
+"""The complete state of one gateway's policy, and the bookkeeping on it.
 
-Nothing here decides, and nothing is tuned but for how much is remembered and for how long.
+Decisions are made elsewhere. The only tuned values here are how much is kept and for how long.
 """
 
 from __future__ import annotations
@@ -34,29 +34,29 @@
 from meadowpulley.state.traffic_pause import TrafficPause
 from meadowpulley.state.votes import VoteState
 
-MAX_SAMPLES = 600  # attempts kept as samples of latency cost
-CONFIRMATION_SEED = 2  # added to the seed: the draws of confirmations are a stream of their own
-RATE_MEMORY_MS = 4000.0  # time constant of the request rate and of the goodput
+MAX_SAMPLES = 600  # number of attempts kept as samples of latency cost
+CONFIRMATION_SEED = 2  # added to the seed, so that list confirmation draws from a random stream of its own
+RATE_MEMORY_MS = 4000.0  # time constant of the request rate and of the goodput, in ms
 NO_BUILD = -1
 
 
 class State:
-    """All that one gateway's policy knows; the policy sets what depends on its tuned values.
+    """The state of one gateway's policy; the policy itself sets the fields that depend on tuned values.
 
-    Times are milliseconds on the clock of the events, rates are per millisecond.
+    Times are milliseconds on the clock of the events, and rates are per millisecond.
     """
 
-    confidence_z: float  # standard errors between an estimate and its bounds
-    required_evidence: float  # log likelihood ratio of failing that condemns a build
-    subset_size: float  # how many servers this gateway prefers
-    waiting_poll_interval_ms: float  # between two looks at waiting requests
-    retry_budget: float  # retries that may be sent
+    confidence_z: float  # number of standard errors between an estimate and its bounds
+    required_evidence: float  # log likelihood ratio of failures from which a build is rolled back
+    subset_size: float  # number of servers that this gateway prefers
+    waiting_poll_interval_ms: float  # interval between two checks of waiting requests
+    retry_budget: float  # number of retries that may be sent
     build_evidence: defaultdict[int, BuildEvidence]
     gossip: GossipState
-    placements: dict[int, Placement]  # by arm; arm 0 is the policy's own choice
+    placements: dict[int, Placement]  # by experiment arm; arm 0 uses the policy's own choice
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin with nothing known; all draws of chance follow from the seed."""
+        """Start with empty state; all random numbers are derived from the seed."""
         self.settings = settings
         self.rules = settings.rules
         self.rollout_settings = settings.rollout
@@ -66,7 +66,7 @@
         self.tightest_objective_ms = min(objectives, default=0.0)
         self.retry_after_ms = settings.limits.retry_after * settings.limits.max_retry_after_ms
         self.now = 0.0
-        self.resumed_at = -math.inf  # when this gateway last resumed after a stall
+        self.resumed_at = -math.inf  # when this gateway last resumed after a stall of its process
         self.timer_at = math.inf
         self.evaluate_at = math.inf
         self.actions: list[Action] = []
@@ -76,43 +76,56 @@
 
     def _init_servers(self, settings: Settings, seed: int) -> None:
         self.servers: dict[int, Server] = {}
-        self.trial_servers: list[Server] = []  # ready ones, so that no request looks at the whole fleet
+        # Only the ready servers of each build, so that no request has to scan the whole fleet.
+        self.trial_servers: list[Server] = []
         self.baseline_servers: list[Server] = []
         self.peak_ready_servers = 1
-        self.kind_latency_ms: dict[int, float] = {}  # typical latency by kind of machine, as if warmed up
+        # Moving average of latency by machine kind, scaled to warmed-up servers.
+        self.kind_latency_ms: dict[int, float] = {}
         self.endpoint_list = EndpointListState(settings.must_poll)
         self.confirmation = ConfirmationState(Random(seed + CONFIRMATION_SEED))
-        self.send_refusals: Counter[str] = Counter()  # how often which rule did not allow a send
-        self.sends_by_lease_basis: Counter[str] = Counter()  # sends by what allowed to use the server
+        # Number of sends that were not allowed, by the rule that forbade them.
+        self.send_refusals: Counter[str] = Counter()
+        # Number of sends by the lease that allowed them: on the list, or on a reply of another gateway.
+        self.sends_by_lease_basis: Counter[str] = Counter()
 
     def _init_requests(self) -> None:
         self.in_flight: dict[int, InFlightRequest] = {}
         self.waiting: list[InFlightRequest] = []
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # by request and number, oldest first
-        self.latency_samples: deque[Attempt] = deque(maxlen=MAX_SAMPLES)  # first attempts of requests
-        self.request_rate = DecayingRate(RATE_MEMORY_MS)  # without the clients' own retries
+        # Outstanding attempts by request and attempt number, oldest first.
+        self.attempts: dict[tuple[int, int], Attempt] = {}
+        # The latest requests' first attempts.
+        self.latency_samples: deque[Attempt] = deque(maxlen=MAX_SAMPLES)
+        # Arrivals of requests, without retries by clients and without adopted requests.
+        self.request_rate = DecayingRate(RATE_MEMORY_MS)
         self.goodput = DecayingRate(RATE_MEMORY_MS)
-        self.mean_latency_ms = 0.0  # exponentially weighted moving average
+        self.mean_latency_ms = 0.0  # exponentially weighted moving average over all servers
         self.concurrency_limit = math.inf
 
     def _init_rollout(self, settings: Settings) -> None:
-        self.latest_rollout: RolloutUpdate | None = None  # the last update, for the rules
-        self.furthest_rollout: RolloutUpdate | None = None  # the furthest state, for evaluation and votes
-        self.baseline_build = NO_BUILD  # of the newest build
-        self.rollback_build = NO_BUILD  # the one to be rolled back
+        # The update received last, which the rules of the platform refer to.
+        self.latest_rollout: RolloutUpdate | None = None
+        # The furthest rollout state reported, which evaluation and votes refer to.
+        self.furthest_rollout: RolloutUpdate | None = None
+        self.baseline_build = NO_BUILD  # the build that the newest build is compared with
+        self.rollback_build = NO_BUILD  # the build that this gateway votes to roll back
         self.trial_started_at = 0.0
         self.stage_started_at = 0.0
-        # Mean latency before the newest build; it follows the baseline while nothing slows that down.
+        # Mean latency before the newest build. It follows the baseline's latency while nothing slows it down.
         self.baseline_latency_ms = 0.0
-        self.baseline_request_rate = 0.0  # the highest seen during the first stage of the newest build
+        self.baseline_request_rate = 0.0  # the highest rate during the first stage of the newest build
         self.trial_probability = 0.0
         self.trial_probability_valid_until = -math.inf
         self.sticky_share = 0.0  # share of requests whose key binds them to the trial build
-        self.request_windows = event_windows(settings.rollout.exposure_window_ms)  # requests, for exposure
-        self.sticky_builds: dict[int, int] = {}  # monotonic keys: the build that may have answered each
-        self.oldest_sticky_build = NO_BUILD  # no key goes to an older one: what these answered is forgotten
+        # Arrivals of requests by exposure class, counted for the exposure cap.
+        self.request_windows = event_windows(settings.rollout.exposure_window_ms)
+        # With monotonic keys: the newest build that may have responded to each key.
+        self.sticky_builds: dict[int, int] = {}
+        # No key may go to a build older than this one: the keys bound to builds up to it were dropped.
+        self.oldest_sticky_build = NO_BUILD
         self.traffic_pause = TrafficPause()
-        self.pending_outcomes: deque[tuple[float, OutcomeCounts]] = deque()  # when to count which
+        # Outcomes, each with the time from which it counts as evidence.
+        self.pending_outcomes: deque[tuple[float, OutcomeCounts]] = deque()
         exchanges_gossip = settings.limits.gossip and self.gateway_count > 1
         self.gossip_at = -math.inf if exchanges_gossip else math.inf
         self.vote_state = VoteState()
@@ -120,7 +133,7 @@
     # Servers
 
     def apply_endpoints(self, update: EndpointUpdate) -> None:
-        """Take in the servers of an update; a restart or another build makes a new server."""
+        """Update the servers from an endpoint list; a restart or another build makes a new `Server`."""
         listed = {entry.server: entry for entry in update.entries}
         if update.kind is not EndpointUpdateKind.INCREMENTAL:
             self.servers = {number: server for number, server in self.servers.items() if number in listed}
@@ -135,15 +148,15 @@
                 del self.servers[number]
 
     def ready_servers(self) -> list[Server]:
-        """Return the servers that take requests, by number."""
+        """Return the servers that accept requests, sorted by number."""
         return [server for _, server in sorted(self.servers.items()) if server.is_ready]
 
     def servers_of(self, build: int) -> list[Server]:
-        """Return the servers that run the build."""
+        """Return the servers that run a build, ready or not."""
         return [server for server in self.servers.values() if server.build == build]
 
     def slow_start_fraction(self, server: Server, age_offset_ms: float = 0.0) -> float:
-        """Return the least fraction of its capacity that a server has at its age less the offset."""
+        """Return the least fraction of its capacity that a server has at its age minus the offset."""
         age_ms = max(self.now - server.started_ms - age_offset_ms, 0.0)
         if not server.started_ms or age_ms >= self.rules.slow_start_ms:
             return 1.0
@@ -151,15 +164,15 @@
         return initial + (1 - initial) * age_ms / self.rules.slow_start_ms
 
     def relative_capacity(self, server: Server) -> float:
-        """Return what a server can do by its age and its kind's latency, relative to the fastest kind."""
+        """Return a server's capacity relative to a warmed-up server of the fastest machine kind."""
         latency_ms = self.kind_latency_ms.get(server.kind, 0.0)
         speed = min(self.kind_latency_ms.values()) / latency_ms if latency_ms else 1.0
         return self.slow_start_fraction(server) * speed
 
     def capacity(self, servers: list[Server], slow_start_power: int) -> float:
-        """Return the capacity of the servers together, with the slow start fraction of each to a power.
+        """Return the sum of the servers' relative capacities, with slow start fractions raised to a power.
 
-        A power above 1 says that a server in slow start is slow at any load.
+        With a power above 1, servers in slow start count for less, since they are slow at any load.
         """
         capacity = 0.0
         for server in servers:
@@ -168,14 +181,14 @@
         return capacity
 
     def as_candidate(self, server: Server) -> Candidate:
-        """Return a server as a placement policy sees it."""
+        """Return the data on a server that a placement policy gets."""
         latency_ms = self.kind_latency_ms.get(server.kind, 0.0)
         return server.as_candidate(self.slow_start_fraction(server), latency_ms, self.settings.zone)
 
     # Requests and attempts
 
     def admit(self, request: Request) -> InFlightRequest:
-        """Record a request that arrives now; an adopted one was counted where it arrived first."""
+        """Record a request that arrives now; an adopted one was already counted at its first gateway."""
         request_class = self.settings.classes[request.class_index]
         per_class = self.rollout_settings.exposure_per_class
         in_flight = InFlightRequest(request, request_class, self.now, per_class)
@@ -189,7 +202,7 @@
         return in_flight
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Record an attempt that is sent now."""
+        """Record an attempt that is sent now, and count it at its server and request."""
         if attempt.in_flight.attempt_count == 0:
             self.latency_samples.append(attempt)
         self.attempts[attempt.in_flight.request.request, attempt.number] = attempt
@@ -198,7 +211,7 @@
         attempt.in_flight.add_attempt(attempt)
 
     def finish_attempt(self, request: int, number: int) -> Attempt | None:
-        """Forget an outstanding attempt and return it, or None where it is not known."""
+        """Remove an outstanding attempt and return it, or None if it is unknown."""
         attempt = self.attempts.pop((request, number), None)
         if attempt is not None:
             attempt.server.outstanding -= 1
@@ -212,7 +225,7 @@
         return [number for number in numbers if (request, number) in self.attempts]
 
     def record_latency(self, attempt: Attempt, elapsed_ms: float, weight: float) -> None:
-        """Take the latency of a response into the moving averages, of all and of its kind of machine."""
+        """Add the latency of a response to the moving averages of all servers and of its machine kind."""
         average = self.mean_latency_ms
         self.mean_latency_ms += weight * (elapsed_ms - average) if average else elapsed_ms
         warm_ms = elapsed_ms * attempt.slow_start_fraction
@@ -220,27 +233,28 @@
         self.kind_latency_ms[kind] = self.kind_latency_ms.get(kind, warm_ms) * (1 - weight) + weight * warm_ms
 
     def record_response_start(self, event: ResponseStarted) -> None:
-        """Note that the client has got a part of a response: no other can be sent for the request."""
+        """Record that part of a response went to the client, so that no other response can be sent."""
         if event.request in self.in_flight:
             self.in_flight[event.request].streaming = True
 
     def bind_key(self, in_flight: InFlightRequest, build: int) -> None:
-        """Note that the build may have answered the request, whose key then goes to no older one."""
+        """Record that a build may have responded to a request, so that its key goes to no older build."""
         key = in_flight.request.key
         if key and build > self.oldest_sticky_build and self.rollout_settings.monotonic_keys:
             self.sticky_builds[key] = max(build, self.sticky_builds.get(key, 0))
 
     def forget_sticky_builds(self, newest: int) -> None:
-        """Forget which keys are bound to builds up to this one; from now on no key goes to an older one."""
+        """Drop the keys bound to builds up to `newest`; no key may go to a build older than that."""
         self.oldest_sticky_build = newest
         self.sticky_builds = {key: build for key, build in self.sticky_builds.items() if build > newest}
 
     # Rollouts
 
     def apply_rollout(self, update: RolloutUpdate) -> None:
-        """Take in where the newest build stands.
+        """Process an update on the newest build's rollout.
 
-        A late update of an earlier state is the latest, which the rules go by, but not the furthest.
+        An update on an earlier state may arrive late. It becomes the latest rollout, which the rules refer
+        to, but not the furthest one.
         """
         furthest = self.furthest_rollout
         self.latest_rollout = update
@@ -251,7 +265,7 @@
             self.furthest_rollout = update
 
     def _begin_trial(self, rollout: RolloutUpdate) -> None:
-        """Begin the trial of a newer build: what is known of the last trial is reset."""
+        """Begin the trial of a newer build, and reset the state of the previous trial."""
         self.trial_started_at = self.now
         self.trial_probability = 0.0
         self.baseline_request_rate = 0.0
@@ -268,7 +282,7 @@
             del self.build_evidence[build]
 
     def _release_keys_between(self, baseline_build: int, newest_build: int) -> None:
-        """Forget which keys are bound to builds that were rolled back."""
+        """Drop the keys bound to builds between the two, which were rolled back."""
         self.oldest_sticky_build = min(self.oldest_sticky_build, baseline_build)
         self.sticky_builds = {
             key: build
@@ -277,7 +291,7 @@
         }
 
     def set_timer(self, due_at: float, token: int) -> None:
-        """Set the timer, unless it is set to an earlier time."""
+        """Set the timer to a time in ms, unless it is already set to an earlier one."""
         if due_at < self.timer_at:
             self.timer_at = due_at
             self.actions.append(SetTimer(due_at - self.now, token))
--- a/meadowpulley/state/traffic_pause.py
+++ b/meadowpulley/state/traffic_pause.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of pauses of the traffic to the build on trial."""
+"""State of traffic pauses: times without traffic to the build on trial."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class TrafficPause:
-    """Pauses of the traffic to the trial build while servers of all builds are slow. Times are ms."""
+    """Pauses of the traffic to the trial build while the servers of all builds are slow. Times are ms."""
 
     def __init__(self) -> None:
-        """Begin without a pause."""
+        """Start without a pause."""
         self.active = False
-        self.count = 0  # pauses in short succession
-        self.changed_at = -math.inf  # when the last pause began or ended
-        self.slow_since = math.inf  # slow since then, with no baseline to compare with
+        self.count = 0  # number of pauses in short succession, with the current one
+        self.changed_at = -math.inf  # time at which the last pause began or ended
+        self.slow_since = math.inf  # start of a slowdown without a baseline to compare with
 
     def begin(self, now: float, memory_ms: float) -> None:
-        """Begin a pause; it adds to the count of the last ones if the last ended within `memory_ms`."""
+        """Begin a pause; `count` starts anew unless the last pause ended less than `memory_ms` ago."""
         in_succession = now - self.changed_at < memory_ms
         self.count = self.count + 1 if in_succession else 1
         self.active = True
         self.changed_at = now
 
     def end(self, now: float) -> None:
-        """End the pause."""
+        """End the pause at the time `now`."""
         self.active = False
         self.changed_at = now
