--- a/meadowpulley/errors.py
+++ b/meadowpulley/errors.py
@@ -1,10 +1,11 @@
-"""The root of the project's errors.
+"""The base class of the project's errors.
 
-Each package derives its own base from it. An error says in one line what is wrong, where, and what to do.
+Each package derives its own base class from it. An error message says in one line what is wrong, where it is
+wrong and how to fix it.
 """
 
 from __future__ import annotations
 
 
 class MeadowpulleyError(Exception):
-    """The base of all errors that this project raises."""
+    """The base class of all errors that this project defines."""
--- a/meadowpulley/interface/__init__.py
+++ b/meadowpulley/interface/__init__.py
@@ -1,8 +1,9 @@
-"""The policy's interface: its settings, the events that it handles and the actions that it asks for.
+"""The policy's interface: its settings, the events that it handles and the actions that it returns.
 
-An adapter turns a protocol into events, hands them one by one to `policy.RolloutPolicy.handle`, and carries
-out the actions that come back. In reading order: `vocabulary`, `events`, `actions`, `log_events` (what is to
-be logged) with `log_wording`, and `candidates` (of placement policies).
+An adapter translates a protocol into events, passes them one by one to `policy.RolloutPolicy.handle`, and
+carries out the actions that the call returns. The modules in reading order: `vocabulary`, `events`,
+`actions`, `log_events` (events for the gateway's log) with `log_wording` (their texts), and `candidates` (the
+servers that a placement policy chooses from).
 """
 
 from meadowpulley.interface.actions import (
--- a/meadowpulley/interface/actions.py
+++ b/meadowpulley/interface/actions.py
@@ -1,4 +1,4 @@
-"""What a policy asks its gateway to do. Times are milliseconds on the clock of the events."""
+"""Actions that a policy asks its gateway to carry out. Times are ms on the clock of the events."""
 
 from __future__ import annotations
 
@@ -12,17 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Starts the next attempt of a request; `timeout_ms` 0 lets it run until the client stops waiting."""
+    """Sends the next attempt of a request.
+
+    If `timeout_ms` is 0, the attempt runs until the client stops waiting.
+    """
 
     request: int
     server: int
     timeout_ms: float = 0.0
-    write_by_ms: float = math.inf  # from then on it may not be written, on the clock of the events
+    write_by_ms: float = math.inf  # time from which the attempt may no longer be written
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Gives up one outstanding attempt of a request."""
+    """Cancels one outstanding attempt of a request."""
 
     request: int
     attempt: int
@@ -30,7 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Sheds a request that surely never ran; `retry_after_ms` advises its client, 0 for no advice."""
+    """Rejects a request that no server executed.
+
+    `retry_after_ms` advises the client when to retry; 0 means no advice.
+    """
 
     request: int
     retry_after_ms: float = 0.0
@@ -38,21 +44,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answers a request as failed: an attempt of it may have run."""
+    """Responds to a request with a failure; a server may have executed it."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Sends a health check to one server."""
+    """Sends a health probe to one server."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """Sends or renews the vote of this gateway on one stage of a build."""
+    """Sends or renews this gateway's vote on one stage of a build's rollout."""
 
     build: int
     stage: int
@@ -61,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Asks for one `Timer` event after the delay."""
+    """Requests one `Timer` event with this token after the delay."""
 
     delay_ms: float
     token: int
@@ -69,19 +75,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Opens the watch on the endpoint list anew, or ends it."""
+    """Reopens the watch on the endpoint list, or ends it if `enabled` is false."""
 
     enabled: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Polls discovery once for the whole endpoint list."""
+    """Polls discovery once for the complete endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Sends bytes to one other gateway, or to every one when `peer` is None."""
+    """Sends a datagram to one other gateway, or to all others if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -89,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Closes the connections to one server on which no request is outstanding."""
+    """Closes those connections to one server that have no outstanding request."""
 
     server: int
 
--- a/meadowpulley/interface/events.py
+++ b/meadowpulley/interface/events.py
@@ -1,4 +1,4 @@
-"""What happens to a gateway: the events that its policy handles. Times are milliseconds on one clock."""
+"""Events that a gateway passes to its policy. All times are milliseconds on the gateway's clock."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class ServerEntry:
     """One server of the endpoint list.
 
-    `started_ms` is on the clock of the events; 0 for a server that is warmed up. `started_unix_ms` is as
-    discovery writes it, and so the same at every gateway.
+    `started_ms` is the start of the server on the clock of the events, or 0 if it is warmed up.
+    `started_unix_ms` is the Unix time of its start as discovery sends it, so it is the same at every gateway.
     """
 
     server: int
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list by discovery.
+    """An update of the endpoint list, or a failure to get one.
 
-    `entries` holds the whole list, but only what changed where `kind` is INCREMENTAL, and nothing where it is
-    FAILED, TIMED_OUT or BROKEN. `as_of_ms`: up to then the list that is known holds all changes, on the clock
-    of the events; None where the transport delivers each change, or a failure, by itself.
+    `entries` holds the changed servers if `kind` is INCREMENTAL, no servers if it is FAILED, TIMED_OUT or
+    BROKEN, and otherwise the complete list. `as_of_ms` is the time, on the clock of the events, up to which
+    the known list contains all changes. It is None if the transport pushes every change and every failure.
     """
 
     kind: EndpointUpdateKind
@@ -44,33 +44,33 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointWatchOpened:
-    """Discovery was called for the next change, and responds within `wait_ms`."""
+    """Discovery got a watch call: it responds to the next change, or after `wait_ms` at the latest."""
 
     wait_ms: float
-    as_of_ms: float  # as in `EndpointUpdate`
+    as_of_ms: float  # the known list contains all changes up to this time
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointWatchClosed:
-    """No call for the next change is out any more."""
+    """No watch call to discovery is outstanding any more."""
 
-    as_of_ms: float | None  # as in `EndpointUpdate`
+    as_of_ms: float | None  # the known list contains all changes up to this time; None: up to now
 
 
 @dataclass(frozen=True, slots=True)
 class PriorAttempt:
-    """An attempt of the same request by a gateway that is lost: it may have run, or may still run."""
+    """An attempt by a lost gateway; a server may have executed it, or may still execute it."""
 
     server: int
     build: int
     zone: int
     cell: int
-    sent_ms: float  # no earlier than this on this gateway's clock
+    sent_ms: float  # earliest time of sending, on this gateway's clock
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request that was admitted and is owed one final answer; times are on the clock of the events."""
+    """An admitted request, which gets one final response; times are on the clock of the events."""
 
     request: int
     class_index: int
@@ -80,15 +80,17 @@
     expected_work_ms: float | None = None
     client_retry: bool = False
     write: bool = False
-    adopted: bool = False  # taken over from a lost gateway: adds nothing to the exposure allowance
-    prior_attempt_count: int = 0  # of `max_attempts`, used up by earlier gateways; ours are numbered from 0
-    prior_attempts: tuple[PriorAttempt, ...] = ()  # those of them that may have run, or may still run
-    arm: int = 0  # of an experiment on placements: which one orders the servers; 0 is the policy's own
+    adopted: bool = False  # taken over from a lost gateway; does not add to the allowed exposure
+    # Number of attempts made by earlier gateways; they count towards `max_attempts`. This gateway numbers its
+    # own attempts from 0.
+    prior_attempt_count: int = 0
+    prior_attempts: tuple[PriorAttempt, ...] = ()  # those that may have been, or may still be, executed
+    arm: int = 0  # placement experiment's arm, which orders the servers; 0: the policy's own order
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The first bytes of an answer went to the client: no other attempt may answer it now."""
+    """The first bytes of a response were sent to the client: no other attempt may answer the request."""
 
     request: int
     attempt: int
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one attempt of a request ended; `request_complete` where the client has its final answer."""
+    """The end of one attempt; `request_complete` tells whether the client has its final response."""
 
     request: int
     attempt: int
@@ -111,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request has gone: nobody waits for its answer."""
+    """The client of a request disconnected and no longer waits for the response."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """How a health check of one server ended."""
+    """The result of a health probe of one server."""
 
     server: int
     result: Result
@@ -128,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """Bytes from another gateway: a digest, or anything else."""
+    """A datagram from another gateway; its contents are not checked yet."""
 
     sender: int
     data: bytes
@@ -136,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """The timer that a `SetTimer` with this token asked for has run out."""
+    """The timer set by the `SetTimer` with this token has expired."""
 
     token: int
 
@@ -145,7 +147,7 @@
 class RolloutUpdate:
     """The state of the newest build's rollout.
 
-    As the reply to a vote (`is_vote_reply`), `result` says whether the vote counts.
+    If it is the reply to a vote (`is_vote_reply`), `result` tells whether the vote counts.
     """
 
     build: int
@@ -159,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BuildStatistics:
-    """The platform's count of one build's attempts in one class over its last period."""
+    """The platform's statistics on one build's attempts in one class, over its last reporting period."""
 
     build: int
     class_index: int
@@ -171,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncorrectResponse:
-    """The platform reports that a server gave a wrong answer of one class."""
+    """The platform reports that a server sent an incorrect response to a request of one class."""
 
     server: int
     class_index: int
--- a/meadowpulley/interface/log_events.py
+++ b/meadowpulley/interface/log_events.py
@@ -1,7 +1,7 @@
-"""What decisions and stages have to say to the gateway's log: typed events with their facts as fields.
+"""Typed events that the policy and the stages write to the gateway's log.
 
-`event_name` is the name of the event in the log, the fields are its fields there. `log_wording` puts an event
-into one sentence for hosts whose log takes text.
+`event_name` is the name of the event in the log, and the fields keep their names there. `log_wording` writes
+an event as one sentence, for hosts with a plain text log.
 """
 
 from __future__ import annotations
@@ -12,32 +12,34 @@
 
 
 class RollbackReason(Enum):
-    """Why a gateway votes to roll a build back."""
+    """The reason why a gateway votes to roll a build back."""
 
-    FAILURES = "failures"  # it fails more than its baseline
-    LATENCY = "latency"  # it is slower than its baseline by more than the margin
-    SHARED_SLOWDOWN = "shared_slowdown"  # all builds are slow while it has traffic
-    SLOW_WITHOUT_BASELINE = "slow_without_baseline"  # all stays slow, and no earlier build is left
+    FAILURES = "failures"  # the build fails more often than its baseline
+    LATENCY = "latency"  # the build is slower than its baseline by more than the margin
+    SHARED_SLOWDOWN = "shared_slowdown"  # all builds are slow while the build gets traffic
+    SLOW_WITHOUT_BASELINE = "slow_without_baseline"  # all servers stay slow, and none runs an earlier build
 
 
 @dataclass(frozen=True, slots=True)
 class BuildRejected:
-    """This gateway votes from now on to roll a build back. The figures are those that the reason rests on."""
+    """This gateway votes from now on to roll a build back; the fields hold the measurements behind it."""
 
     event_name: ClassVar[str] = "build_rejected"
 
     build: int
     reason: RollbackReason
-    evidence_ratio: float | None = None  # FAILURES: evidence over what is required; 1 and more reject a build
-    slowdown_low_ms: float | None = None  # LATENCY: the confidence interval of the added latency
-    slowdown_high_ms: float | None = None
-    margin_ms: float | None = None  # LATENCY: added latency up to which a build is accepted
-    baseline_latency_ms: float | None = None  # the slowdowns of all servers: the mean latency before
+    # FAILURES: evidence divided by the required evidence; a build is rejected if this is 1 or more.
+    evidence_ratio: float | None = None
+    slowdown_low_ms: float | None = None  # LATENCY: lower bound of the latency that the build adds
+    slowdown_high_ms: float | None = None  # LATENCY: upper bound of the latency that the build adds
+    margin_ms: float | None = None  # LATENCY: highest added latency that is accepted
+    # SHARED_SLOWDOWN and SLOW_WITHOUT_BASELINE: mean latency before the build got traffic.
+    baseline_latency_ms: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListExpired:
-    """The lease on the endpoint list has ended: only servers that other gateways confirm may be sent to."""
+    """The endpoint list's lease has ended: only servers confirmed by other gateways get requests."""
 
     event_name: ClassVar[str] = "endpoint_list_expired"
 
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListRenewed:
-    """The endpoint list may be acted on again."""
+    """The lease on the endpoint list was renewed, so that the list may be used again."""
 
     event_name: ClassVar[str] = "endpoint_list_renewed"
 
@@ -55,19 +57,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerRecordIgnored:
-    """A record of the ledger can't be decoded; it was left as it is."""
+    """A record of the ledger cannot be decoded and was left unchanged."""
 
     event_name: ClassVar[str] = "ledger_record_ignored"
 
     stage: str
     key: str
     reason: str
-    writer: str | None = None  # the incarnation that wrote it, where that tells more than the key
+    writer: str | None = None  # the incarnation that wrote it, unless the key names it
 
 
 @dataclass(frozen=True, slots=True)
 class AdoptionFailed:
-    """A request of a lost gateway can't be taken over, as what its client sent is missing."""
+    """A request of a lost gateway cannot be adopted because its content is missing."""
 
     event_name: ClassVar[str] = "adoption_failed"
 
@@ -76,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayIndexConflict:
-    """Another gateway lends and borrows under the index of this one."""
+    """Another gateway uses the index of this gateway for lending."""
 
     event_name: ClassVar[str] = "gateway_index_conflict"
 
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPlanInvalid:
-    """The ledger's plan of quotas can't be used; the plan before it stays in force."""
+    """The quota plan in the ledger is invalid; the previous plan stays in force."""
 
     event_name: ClassVar[str] = "quota_plan_invalid"
 
@@ -95,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPlanConflict:
-    """The plan of the settings differs from the ledger's under the same version; the ledger's is in force."""
+    """The settings' quota plan differs from the ledger's plan of the same version, which is in force."""
 
     event_name: ClassVar[str] = "quota_plan_conflict"
 
@@ -104,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentVersionConflict:
-    """The experiment of this gateway's file is not the one that the fleet runs."""
+    """The experiment in this gateway's file differs from the one that the fleet runs."""
 
     event_name: ClassVar[str] = "experiment_version_conflict"
 
@@ -115,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentArmHarmful:
-    """An arm of an experiment on placements costs more than the guard allows."""
+    """An arm of a placement experiment costs more than the guard allows."""
 
     event_name: ClassVar[str] = "experiment_arm_harmful"
 
@@ -125,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentArmEnded:
-    """An arm of an experiment on placements gets no more requests."""
+    """An arm of a placement experiment gets no more requests."""
 
     event_name: ClassVar[str] = "experiment_arm_ended"
 
@@ -135,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentFinished:
-    """An experiment on placements has ended."""
+    """A placement experiment has ended."""
 
     event_name: ClassVar[str] = "experiment_finished"
 
--- a/meadowpulley/interface/log_wording.py
+++ b/meadowpulley/interface/log_wording.py
@@ -1,4 +1,4 @@
-"""Log events as text: one sentence each for hosts whose log takes lines, and fields for a structured log."""
+"""Log events as one sentence each, for a plain text log, and as fields, for a structured log."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def log_fields(event: LogEvent) -> dict[str, object]:
-    """Return the fields of an event for a structured log: plain values, and none that is not given."""
+    """Return an event's fields for a structured log, with enum members as their values and without None."""
     values = {field.name: getattr(event, field.name) for field in fields(event)}
     return {
         name: value.value if isinstance(value, Enum) else value
@@ -34,7 +34,7 @@
 
 
 def log_text(event: LogEvent) -> str:
-    """Return an event in one sentence."""
+    """Return an event as one sentence."""
     match event:
         case BuildRejected():
             return f"back {event.build}: {_rollback_text(event)}"
@@ -43,18 +43,18 @@
         case EndpointListRenewed():
             return "endpoint list in use again"
         case GatewayIndexConflict(index, other):
-            problem = f"lending: number {index} is in use by gateway '{other}'"
+            problem = f"lending: gateway number {index} is also used by gateway '{other}'"
             return f"{problem}: give each gateway a number of its own"
         case QuotaPlanInvalid(reason):
-            return f"{reason}: the earlier shares stay"
+            return f"{reason}; the previous quota plan stays in force"
         case QuotaPlanConflict(version):
             return (
-                f"lending: version {version} of the ledger's shares differs from these settings: "
-                "the ledger's hold; raise the version"
+                f"lending: version {version} of the ledger's quota plan differs from that of these settings; "
+                "the ledger's plan stays in force: raise the version in the settings to replace it"
             )
         case LedgerRecordIgnored(stage, key, reason, writer):
-            source = f" by {writer}" if writer is not None else ""
-            return f"{stage}: record {key!r}{source} left alone: {reason}"
+            source = f" written by {writer}" if writer is not None else ""
+            return f"{stage}: ledger record {key!r}{source} was left alone: {reason}"
         case AdoptionFailed(request_id):
             return f"takeover: request {request_id!r} cannot be adopted: its content is missing"
         case _:
@@ -80,12 +80,12 @@
     match event:
         case ExperimentVersionConflict(_, own, running):
             return (
-                f"version {own[:8]} is not the fleet's, {running[:8]}: its counts are kept apart; "
-                "start this gateway with the fleet's file"
+                f"version {own[:8]} is not the fleet's ({running[:8]}), so its counts are kept separately; "
+                "restart this gateway with the fleet's experiment file"
             )
         case ExperimentArmHarmful(_, reason):
             return reason
         case ExperimentArmEnded(_, arm):
             return f"arm '{arm}' has ended"
         case ExperimentFinished():
-            return "over"
+            return "the experiment is over"
--- a/meadowpulley/interface/vocabulary.py
+++ b/meadowpulley/interface/vocabulary.py
@@ -1,6 +1,6 @@
-"""The vocabularies of events and actions: results, states, phases and verdicts.
+"""Enums used in events and actions: results, states, phases and verdicts.
 
-The numbers are those of the simulator's wire.
+The values are the codes of the simulator's wire format.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class Result(IntEnum):
-    """How an attempt, a probe or a vote ended."""
+    """The result of an attempt, a probe or a vote."""
 
     OK = 200
     NOT_SENT = 409
@@ -22,7 +22,7 @@
 
 
 class ServerState(IntEnum):
-    """Where a server stands in its life cycle, as discovery lists it."""
+    """The state of a server in its life cycle, as discovery lists it."""
 
     REMOVED = 0
     DRAINING = 1
@@ -30,7 +30,7 @@
 
 
 class Phase(IntEnum):
-    """The state of the newest build's rollout."""
+    """The phase of a build's rollout."""
 
     TRIAL = 0
     ROLLING_BACK = 1
@@ -39,7 +39,7 @@
 
 
 class Verdict(IntEnum):
-    """What a gateway votes about the current stage of a rollout."""
+    """A gateway's vote on the current stage of a rollout."""
 
     NONE = 0
     ADVANCE = 1
@@ -48,11 +48,11 @@
 
 
 class EndpointUpdateKind(IntEnum):
-    """How an update of the endpoint list is to be read."""
+    """The kind of an endpoint list update, or of a failure to get one."""
 
     INCREMENTAL = 0
     FULL = 1
     CACHED = 2
     FAILED = 3
-    TIMED_OUT = 4  # a poll or a watch got no answer within its time-out
-    BROKEN = 5  # its connection broke, or what came can't be read: a list may have been lost
+    TIMED_OUT = 4  # a poll or a watch got no response within its time-out
+    BROKEN = 5  # the connection broke, or the response was malformed: a list may have been lost
--- a/meadowpulley/settings/__init__.py
+++ b/meadowpulley/settings/__init__.py
@@ -1,6 +1,6 @@
 """The settings that a gateway gets from its platform.
 
-`types` holds them, `reader` reads them from JSON by the typed access of `object_reader`.
+`types` defines their types, and `reader` reads them from JSON with the typed accessors of `object_reader`.
 """
 
 from meadowpulley.settings.object_reader import SettingsError
--- a/meadowpulley/settings/object_reader.py
+++ b/meadowpulley/settings/object_reader.py
@@ -1,4 +1,4 @@
-"""Typed reading of one JSON object, with errors that name the place of a wrong value."""
+"""Typed access to the values of one JSON object, with errors that name the location of a wrong value."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from meadowpulley.errors import MeadowpulleyError
 
 T = TypeVar("T")
-NO_MINIMUM = -sys.float_info.max  # for numbers that are corrected where they cannot be right
+NO_MINIMUM = -sys.float_info.max  # for numbers without a lower limit: the caller corrects them
 
 
 class SettingsError(MeadowpulleyError, ValueError):
     """The settings object is malformed.
 
     Attributes:
-        location: What is wrong: the object, and the key in it.
-        problem: What is wrong with it.
+        location: The JSON object that holds the wrong value, and the key of the value.
+        problem: What is wrong with the value.
     """
 
     def __init__(self, location: str, problem: str) -> None:
-        """Take a place and its problem; together they are the text, in one line."""
+        """Store the location and the problem; the message is both of them, in one line."""
         super().__init__(f"{location} {problem}")
         self.location = location
         self.problem = problem
@@ -31,19 +31,19 @@
 class ObjectReader:
     """Reads the values of one JSON object by their keys.
 
-    `location` names the object in error messages. A key that is absent or null takes the default of its call.
-    Every method raises SettingsError for a value of another type.
+    `location` names the object in error messages. For a key that is absent or null, a method returns its
+    default. Every method raises SettingsError if a value has the wrong type.
     """
 
     def __init__(self, raw: object, location: str) -> None:
-        """Read from a decoded JSON value. Raises SettingsError if it is no object."""
+        """Wrap a decoded JSON value. Raises SettingsError if the value is not an object."""
         if not isinstance(raw, dict):
             raise SettingsError(location, "is no object")
         self._raw: dict[str, object] = raw
         self._location = location
 
     def error(self, key: str, problem: str) -> SettingsError:
-        """Return an error about the value of a key."""
+        """Return an error that names this object, the key and the problem."""
         return SettingsError(f"{self._location}: '{key}'", problem)
 
     def _wrong_type(self, key: str, value: object) -> SettingsError:
@@ -52,7 +52,7 @@
     def number(self, key: str, default: float = 0.0, minimum: float = 0.0) -> float:
         """Return a finite number of at least `minimum`.
 
-        JSON's reader lets NaN and Infinity pass, and integers that no float can hold.
+        Python's JSON parser accepts NaN, Infinity and integers too large for a float; they are rejected here.
         """
         raw = self._raw.get(key)
         if raw is None:
@@ -68,11 +68,11 @@
         return value
 
     def integer(self, key: str, default: int = 0, minimum: float = 0.0) -> int:
-        """Return a number without its fraction."""
+        """Return a number, truncated to an integer."""
         return int(self.number(key, default, minimum))
 
     def boolean(self, key: str) -> bool:
-        """Return true or false; false by default."""
+        """Return a boolean; the default is false."""
         value = self._raw.get(key)
         if value is None:
             return False
@@ -81,7 +81,7 @@
         return value
 
     def string(self, key: str, default: str = "") -> str:
-        """Return a string."""
+        """Return a string value or the default."""
         value = self._raw.get(key)
         if value is None:
             return default
@@ -90,7 +90,7 @@
         return value
 
     def array(self, key: str) -> list[object]:
-        """Return an array's values; none by default."""
+        """Return the values of an array; the default is an empty list."""
         value = self._raw.get(key)
         if value is None:
             return []
@@ -99,14 +99,14 @@
         return list(value)
 
     def number_array(self, key: str) -> tuple[float, ...]:
-        """Return an array of finite numbers of at least 0."""
+        """Return the values of an array, which must be finite numbers of at least 0."""
         values = self.array(key)
         if not all(isinstance(value, int | float) for value in values):
-            raise self.error(key, "holds something that is no number")
+            raise self.error(key, "holds a value that is no number")
         return tuple(ObjectReader({key: value}, self._location).number(key) for value in values)
 
     def nested(self, key: str) -> ObjectReader:
-        """Return a reader of a nested object; of an empty one by default."""
+        """Return a reader of a nested object; the default is an empty object."""
         value = self._raw.get(key)
         if value is None:
             value = {}
@@ -115,17 +115,17 @@
         return ObjectReader(value, f"{self._location}: '{key}'")
 
     def objects(self, key: str) -> list[ObjectReader]:
-        """Return readers of the objects of an array."""
+        """Return a reader of each object in an array."""
         return [ObjectReader(raw, f"{self._location}: '{key}' {n}") for n, raw in enumerate(self.array(key))]
 
     def choice(self, key: str, choices: Mapping[str, T], default: T) -> T:
-        """Return what a word stands for; the default for an empty word."""
+        """Return the choice that a string value names; the default for an empty string."""
         word = self.string(key)
         if word and word not in choices:
-            raise self.error(key, f"is '{word}', not one of {', '.join(choices)}")
+            raise self.error(key, f"is '{word}', but must be one of {', '.join(choices)}")
         return choices[word] if word else default
 
     def number_items(self) -> tuple[tuple[str, float], ...]:
-        """Return all keys whose values are numbers, in order, with these."""
+        """Return all keys with numeric values, in sorted order, together with their values."""
         keys = [key for key, value in sorted(self._raw.items()) if type(value) in (int, float)]
         return tuple((key, self.number(key, minimum=NO_MINIMUM)) for key in keys)
--- a/meadowpulley/settings/reader.py
+++ b/meadowpulley/settings/reader.py
@@ -1,6 +1,6 @@
-"""Reading of the settings object that a gateway is given, for the simulator's adapter and the real gateway.
+"""Read a gateway's settings from JSON, for the simulator adapter and for the real gateway.
 
-Keys that are not known are ignored: later platforms may add some. Keys that are absent take a default.
+Unknown keys are ignored, since later versions of the platform may add keys. Missing keys take a default.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     "token": Effect.IDEMPOTENT_WITH_KEY,
     "side_effect": Effect.NON_IDEMPOTENT,
 }
-LOAD_REPORT_COLUMNS = {  # the platform's names of the columns of a load report, and the policy's
+LOAD_REPORT_COLUMNS = {  # column names of load reports: from the platform's names to the policy's
     "busy_reqs": "in_flight",
     "pending": "queued",
     "cpu_share": "cpu",
@@ -83,7 +83,10 @@
 
 
 def _read_request_classes(reader: ObjectReader) -> tuple[RequestClass, ...]:
-    """Read the classes, by unique names: a request names its class by the first part of its path."""
+    """Read the classes, whose names must be unique.
+
+    A request names its class in the first part of its path.
+    """
     classes = dict[str, RequestClass]()
     for class_reader in reader.objects("classes"):
         request_class = _read_request_class(class_reader)
@@ -93,7 +96,7 @@
         if name in classes:
             raise class_reader.error("name", f"is '{name}', that of another class")
         if not request_class.deadline_ms:
-            raise class_reader.error("hard-limit-ms", "is 0: no answer could come in time")
+            raise class_reader.error("hard-limit-ms", "is 0: no response could be in time")
         classes[name] = request_class
     return tuple(classes.values())
 
@@ -134,7 +137,7 @@
 
 
 def parse_settings(encoded: bytes, location: str) -> Settings:
-    """Parse the settings from JSON. Raises SettingsError."""
+    """Parse the settings from JSON text. Raises SettingsError."""
     try:
         loaded = json.loads(encoded)
     except (ValueError, RecursionError) as error:
@@ -146,8 +149,8 @@
 def read_settings(loaded: object, location: str) -> Settings:
     """Read the settings from a decoded JSON value. Raises SettingsError.
 
-    The index of this gateway is taken modulo the number of gateways: delays that depend on it have to lie
-    within those of the others.
+    This gateway's index is taken modulo the number of gateways, so that delays computed from it stay within
+    the range of the other gateways' delays.
     """
     reader = ObjectReader(loaded, f"{location}: settings")
     report_reader = reader.nested("report")
--- a/meadowpulley/settings/types.py
+++ b/meadowpulley/settings/types.py
@@ -1,4 +1,4 @@
-"""The types of the settings that a policy gets at its start; `meadowpulley/interface` exports them."""
+"""The types of a policy's settings; `meadowpulley/interface` exports them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Effect(Enum):
-    """Whether a request may be executed more than once: always, with an idempotency key, or never."""
+    """Whether a request may be executed more than once: always, only with its idempotency key, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENT_WITH_KEY = "keyed"
@@ -15,7 +15,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which servers share their idempotency keys, so that a retry at another of them has no second effect."""
+    """The group of servers that share idempotency keys: a retry at any of them has no second effect."""
 
     ALL = "all"
     ZONE = "zone"
@@ -23,7 +23,7 @@
 
 
 class StageGate(Enum):
-    """How votes move a rollout from stage to stage."""
+    """The rule by which a rollout advances to its next stage."""
 
     ANY = "any"
     SHARE = "share"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: its latency objective, deadline, idempotency and weight."""
+    """A class of requests with its latency objective, deadline, idempotency and priority weight."""
 
     name: str
     latency_objective_ms: float
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and the quota that the platform grants it."""
+    """A tenant, and the quota that the platform grants to it in requests per second."""
 
     name: str
     share: float = 0.0
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The rules for slow start, overload, draining and polling that every gateway has to keep."""
+    """The platform's rules on slow start, overload, draining and polling, which every gateway must keep."""
 
     response_slack_ms: float = 0.0
     max_poll_interval_ms: float = 0.0
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a gateway may do, and how much of it."""
+    """The optional functions that a gateway may use, and the limits on attempts and connections."""
 
     max_attempts: int = 1
     hedging: bool = False
@@ -81,12 +81,12 @@
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 0.0
     max_open_connections: int = 0
-    idle_timeout_ms: float = 0.0  # after which a server may close a connection that stands idle; 0: never
+    idle_timeout_ms: float = 0.0  # a server may close a connection idle for so long; 0: never
 
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """How the platform brings in builds and counts votes."""
+    """How the platform rolls out builds, counts votes and limits exposure."""
 
     gate: StageGate = StageGate.ANY
     in_place: bool = False
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one gateway of a deployment."""
+    """All settings of one gateway."""
 
     gateway_index: int
     gateway_count: int
@@ -136,4 +136,4 @@
     over_share_weight: float = 1.0
     prices: tuple[tuple[str, float], ...] = ()
     goal: tuple[tuple[str, float], ...] = ()
-    kinds: tuple[str, ...] = ()  # names of the kinds of machine, in the order of their numbers
+    kinds: tuple[str, ...] = ()  # names of the machine kinds, indexed by their numbers
--- a/tests/digests.py
+++ b/tests/digests.py
@@ -1,4 +1,4 @@
-"""Digests of gossip for tests, from plain rows of numbers."""
+"""Helpers for tests: build gossip digests from rows of numbers."""
 
 from __future__ import annotations
 
@@ -14,6 +14,6 @@
     classes: Iterable[Sequence[int]] = (),
     failures: Iterable[Sequence[int]] = (),
 ) -> Digest:
-    """Return a digest: rows of `ClassCounts` for the classes, of `FailedResponse` for the failures."""
+    """Return a digest; rows hold the fields of `ClassCounts` and of `FailedResponse`, in order."""
     counts = tuple(ClassCounts(*row) for row in classes)
     return Digest(incarnation, sequence, build, counts, tuple(FailedResponse(*row) for row in failures))
