--- a/meadowpulley/interface/log_wording.py
+++ b/meadowpulley/interface/log_wording.py
@@ -43,13 +43,13 @@
         case EndpointListRenewed():
             return "endpoint list in use again"
         case GatewayIndexConflict(index, other):
-            problem = f"lending: gateway number {index} is also used by gateway '{other}'"
+            problem = f"lending: gateway number {index} is also in use by gateway '{other}'"
             return f"{problem}: give each gateway a number of its own"
         case QuotaPlanInvalid(reason):
             return f"{reason}; the previous quota plan stays in force"
         case QuotaPlanConflict(version):
             return (
-                f"lending: version {version} of the ledger's quota plan differs from that of these settings; "
+                f"lending: the ledger and these settings hold different quota plans of version {version}; "
                 "the ledger's plan stays in force: raise the version in the settings to replace it"
             )
         case LedgerRecordIgnored(stage, key, reason, writer):
@@ -81,7 +81,7 @@
         case ExperimentVersionConflict(_, own, running):
             return (
                 f"version {own[:8]} is not the fleet's ({running[:8]}), so its counts are kept separately; "
-                "restart this gateway with the fleet's experiment file"
+                "start this gateway with the fleet's experiment file"
             )
         case ExperimentArmHarmful(_, reason):
             return reason
--- a/meadowpulley/settings/reader.py
+++ b/meadowpulley/settings/reader.py
@@ -96,7 +96,7 @@
         if name in classes:
             raise class_reader.error("name", f"is '{name}', that of another class")
         if not request_class.deadline_ms:
-            raise class_reader.error("hard-limit-ms", "is 0: no response could be in time")
+            raise class_reader.error("hard-limit-ms", "is 0: no answer could arrive in time")
         classes[name] = request_class
     return tuple(classes.values())
 
