--- a/meadowpulley/settings/object_reader.py
+++ b/meadowpulley/settings/object_reader.py
@@ -10,7 +10,7 @@
 from meadowpulley.errors import MeadowpulleyError
 
 T = TypeVar("T")
-NO_MINIMUM = -sys.float_info.max  # for numbers without a lower limit: the caller corrects them
+NO_MINIMUM = -sys.float_info.max  # for numbers of any size, where the caller corrects invalid ones
 
 
 class SettingsError(MeadowpulleyError, ValueError):
--- a/meadowpulley/settings/types.py
+++ b/meadowpulley/settings/types.py
@@ -81,7 +81,7 @@
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 0.0
     max_open_connections: int = 0
-    idle_timeout_ms: float = 0.0  # a server may close a connection idle for so long; 0: never
+    idle_timeout_ms: float = 0.0  # servers may close a connection that is idle for this long; 0: never
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/state/confirmation.py
+++ b/meadowpulley/state/confirmation.py
@@ -19,4 +19,4 @@
         self.queried_range = -1  # index of the range of servers in the last query; -1 before the first
         self.open_queries: dict[int, float] = {}  # time of each query by its nonce, oldest first
         self.last_confirmed_by = -1  # index of the gateway that replied last; -1 before the first reply
-        self.ready_servers: list[Server] | None = None  # sorted by number; None until computed
+        self.ready_servers: list[Server] | None = None  # sorted by number; None: to be computed
--- a/meadowpulley/state/endpoint_list.py
+++ b/meadowpulley/state/endpoint_list.py
@@ -11,8 +11,8 @@
     def __init__(self, must_poll: bool) -> None:
         """Start without a list; `must_poll` is true where discovery does not push updates."""
         self.confirmed_at = -math.inf  # the list contains all changes up to this time
-        self.watch_covers_until = -math.inf  # discovery responds to the outstanding watch call by then
-        self.lost_at = -math.inf  # when a list that discovery may have sent was last lost
+        self.watch_covers_until = -math.inf  # time by which discovery responds to the outstanding watch call
+        self.lost_at = -math.inf  # time of the last loss of a list that discovery may have sent
         self.poll_at = -math.inf if must_poll else math.inf  # when to poll discovery for the list
         self.consecutive_failures = 0
         self.lease_expired = False  # whether the last logged event said that the lease had expired
--- a/meadowpulley/state/estimation.py
+++ b/meadowpulley/state/estimation.py
@@ -36,7 +36,7 @@
     `blocks` holds each request's block: requests of the two arms are compared only within the same block.
     """
 
-    latencies: list[float]  # ms
+    latencies: list[float]  # latency cost of each request in ms
     queue_lengths: list[float]  # outstanding attempts per server when the request was sent
     arms: list[int]  # BASELINE_ARM, TRIAL_ARM or NO_ARM
     blocks: list[tuple[float, int]]
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -166,7 +166,7 @@
             return False
         self.last_digest_by_sender.pop(source, None)
         self.last_digest_by_sender[source] = digest.sequence
-        if len(self.last_digest_by_sender) > max_incarnations:  # the first entry is the oldest
+        if len(self.last_digest_by_sender) > max_incarnations:  # the first entry was updated longest ago
             del self.last_digest_by_sender[next(iter(self.last_digest_by_sender))]
         return True
 
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -25,7 +25,7 @@
         self.state = endpoint.state
         self.fingerprint = fingerprint(endpoint.server, endpoint.build, endpoint.started_unix_ms)
         self.outstanding = 0  # number of this gateway's attempts at the server without an outcome
-        self.slow_start_slot = -1  # number of the time slot that the budget below applies to
+        self.slow_start_slot = -1  # number of the time slot that `slow_start_budget` is for
         self.slow_start_budget = -1  # attempts that may still be sent in that slot
         self.failure_rate = 0.0  # exponentially weighted moving average, 0 to 1
         self.ejected_until = 0.0
--- a/meadowpulley/state/state.py
+++ b/meadowpulley/state/state.py
@@ -202,7 +202,7 @@
         return in_flight
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Record an attempt that is sent now, and count it at its server and request."""
+        """Record an attempt that is sent now, and count it for its server and its request."""
         if attempt.in_flight.attempt_count == 0:
             self.latency_samples.append(attempt)
         self.attempts[attempt.in_flight.request.request, attempt.number] = attempt
@@ -282,7 +282,7 @@
             del self.build_evidence[build]
 
     def _release_keys_between(self, baseline_build: int, newest_build: int) -> None:
-        """Drop the keys bound to builds between the two, which were rolled back."""
+        """Unbind keys from the builds between the baseline and the newest build: they were rolled back."""
         self.oldest_sticky_build = min(self.oldest_sticky_build, baseline_build)
         self.sticky_builds = {
             key: build
