--- a/meadowpulley/gossip/list_confirmation_codec.py
+++ b/meadowpulley/gossip/list_confirmation_codec.py
@@ -2,9 +2,9 @@
 
 A gateway sends a query with a nonce to ask which servers discovery lists. A gateway with a recent list
 replies with the age of that list and with fingerprints of ready servers, as many as fit. If a fingerprint
-matches a server that the asking gateway knows, then its entry for the server was correct at that time. The
-asking gateway subtracts the age from the time of its query, so a slow reply never makes a list look newer
-than it is, and a message that is lost, late or repeated confirms nothing false.
+matches a server that the asking gateway knows, then discovery listed that server unchanged at the time of the
+list. The asking gateway computes that time by subtracting the age from the time of its query, so a slow reply
+never makes a list look newer than it is, and a message that is lost, late or repeated confirms nothing false.
 """
 
 from __future__ import annotations
--- a/meadowpulley/gossip/outcome_digest.py
+++ b/meadowpulley/gossip/outcome_digest.py
@@ -18,7 +18,7 @@
 _CLASS = struct.Struct("!BBBBB")  # class; successes and failures of the newest build, then of its baseline
 _FAILURE = struct.Struct("!HB")  # server, class
 MAX_FAILURES = 24
-# 33 classes: they fit into the space that the header and the failures leave.
+# 33 classes: as many as fit into the bytes that the header and MAX_FAILURES failures leave.
 MAX_CLASSES = (MAX_BYTES - _HEAD.size - MAX_FAILURES * _FAILURE.size) // _CLASS.size
 SERVER_MODULUS = 1 << 16  # digests carry server numbers modulo this
 WORD_MODULUS = 1 << 32
@@ -46,7 +46,7 @@
 class Digest:
     """The outcomes that one gateway reports.
 
-    A gateway draws a new `incarnation` at each start; `sequence` rises by one with each of its digests.
+    A gateway draws a new `incarnation` at each start; within it, `sequence` rises by one with each digest.
     """
 
     incarnation: int
@@ -59,8 +59,8 @@
 def encode(digest: Digest) -> bytes:
     """Encode a digest into at most MAX_BYTES.
 
-    Counts are capped at MAX_COUNT. Classes beyond MAX_CLASSES, failures beyond MAX_FAILURES, and those of
-    classes whose number needs more than a byte are left out.
+    Counts are capped at MAX_COUNT. Classes whose number does not fit into a byte are left out, and so are
+    their failures. Of the rest, the first MAX_CLASSES classes and the first MAX_FAILURES failures are kept.
     """
     classes = [counts for counts in digest.classes if counts.class_index <= MAX_COUNT][:MAX_CLASSES]
     failures = [failure for failure in digest.failures if failure.class_index <= MAX_COUNT][:MAX_FAILURES]
--- a/meadowpulley/interface/actions.py
+++ b/meadowpulley/interface/actions.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Responds to a request with a failure; a server may have executed it."""
+    """Responds to a request with a failure; a server may have executed the request."""
 
     request: int
 
--- a/meadowpulley/interface/events.py
+++ b/meadowpulley/interface/events.py
@@ -84,8 +84,10 @@
     # Number of attempts made by earlier gateways; they count towards `max_attempts`. This gateway numbers its
     # own attempts from 0.
     prior_attempt_count: int = 0
-    prior_attempts: tuple[PriorAttempt, ...] = ()  # those that may have been, or may still be, executed
-    arm: int = 0  # placement experiment's arm, which orders the servers; 0: the policy's own order
+    # The attempts of earlier gateways that a server may have executed or may still execute.
+    prior_attempts: tuple[PriorAttempt, ...] = ()
+    # Arm of the placement experiment whose placement policy orders the servers; 0: the policy's own order.
+    arm: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/interface/log_events.py
+++ b/meadowpulley/interface/log_events.py
@@ -30,10 +30,11 @@
     reason: RollbackReason
     # FAILURES: evidence divided by the required evidence; a build is rejected if this is 1 or more.
     evidence_ratio: float | None = None
-    slowdown_low_ms: float | None = None  # LATENCY: lower bound of the latency that the build adds
-    slowdown_high_ms: float | None = None  # LATENCY: upper bound of the latency that the build adds
-    margin_ms: float | None = None  # LATENCY: highest added latency that is accepted
-    # SHARED_SLOWDOWN and SLOW_WITHOUT_BASELINE: mean latency before the build got traffic.
+    # LATENCY: lower and upper end of the confidence interval of the latency that the build adds.
+    slowdown_low_ms: float | None = None
+    slowdown_high_ms: float | None = None
+    margin_ms: float | None = None  # LATENCY: added latency up to which a build is accepted
+    # SHARED_SLOWDOWN and SLOW_WITHOUT_BASELINE: mean latency before the servers became slow.
     baseline_latency_ms: float | None = None
 
 
@@ -43,7 +44,7 @@
 
     event_name: ClassVar[str] = "endpoint_list_expired"
 
-    age_ms: float  # since discovery was asked for it
+    age_ms: float  # age of the list: it contains all changes up to this many ms ago
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +53,7 @@
 
     event_name: ClassVar[str] = "endpoint_list_renewed"
 
-    age_ms: float  # since discovery was asked for it
+    age_ms: float  # age of the list: it contains all changes up to this many ms ago
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +65,7 @@
     stage: str
     key: str
     reason: str
-    writer: str | None = None  # the incarnation that wrote it, unless the key names it
+    writer: str | None = None  # incarnation that wrote the record, where it tells more than the key
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayIndexConflict:
-    """Another gateway uses the index of this gateway for lending."""
+    """Another gateway lends and borrows quota under the index of this gateway."""
 
     event_name: ClassVar[str] = "gateway_index_conflict"
 
--- a/meadowpulley/interface/log_wording.py
+++ b/meadowpulley/interface/log_wording.py
@@ -24,7 +24,7 @@
 
 
 def log_fields(event: LogEvent) -> dict[str, object]:
-    """Return an event's fields for a structured log, with enum members as their values and without None."""
+    """Return an event's fields for a structured log: values of enum members, and no fields that are None."""
     values = {field.name: getattr(event, field.name) for field in fields(event)}
     return {
         name: value.value if isinstance(value, Enum) else value
--- a/meadowpulley/settings/object_reader.py
+++ b/meadowpulley/settings/object_reader.py
@@ -32,7 +32,7 @@
     """Reads the values of one JSON object by their keys.
 
     `location` names the object in error messages. For a key that is absent or null, a method returns its
-    default. Every method raises SettingsError if a value has the wrong type.
+    default. The methods that read a value raise SettingsError if it has the wrong type.
     """
 
     def __init__(self, raw: object, location: str) -> None:
@@ -50,7 +50,7 @@
         return self.error(key, f"has the wrong type ({type(value).__name__})")
 
     def number(self, key: str, default: float = 0.0, minimum: float = 0.0) -> float:
-        """Return a finite number of at least `minimum`.
+        """Return a finite number of at least `minimum`; raise SettingsError for any other number.
 
         Python's JSON parser accepts NaN, Infinity and integers too large for a float; they are rejected here.
         """
--- a/meadowpulley/settings/types.py
+++ b/meadowpulley/settings/types.py
@@ -23,7 +23,11 @@
 
 
 class StageGate(Enum):
-    """The rule by which a rollout advances to its next stage."""
+    """How votes move a rollout from stage to stage.
+
+    With TIMER, a stage ends after a set time unless enough gateways vote to hold. Otherwise it ends when
+    enough gateways have voted to advance and its soak time is over.
+    """
 
     ANY = "any"
     SHARE = "share"
--- a/meadowpulley/state/averages.py
+++ b/meadowpulley/state/averages.py
@@ -6,8 +6,8 @@
 from collections import defaultdict, deque
 from functools import partial
 
-# A window keeps events for this many milliseconds beyond its length, so that a conservative count can include
-# events that are slightly too old.
+# A window keeps events for this many milliseconds beyond its length, so that a count that must not be too low
+# can include events slightly older than the window.
 WINDOW_MARGIN_MS = 1000.0
 
 
--- a/meadowpulley/state/estimation.py
+++ b/meadowpulley/state/estimation.py
@@ -1,7 +1,7 @@
 """The mixed Differences-in-Q estimator, for an A/B test on a queueing system.
 
-The formulas are (12), (15)-(20), (39) and those of appendix C.3 in the paper on Differences-in-Q. Callers
-pass all tuned values.
+The formula numbers in this module are those of the paper on Differences-in-Q: it implements (12), (15)-(20),
+(39) and appendix C.3. Callers pass all tuned values.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from meadowpulley.state.requests import Attempt
 
-# Sum of squared differences between the two Q functions, in square milliseconds, up to which they are taken
-# as equal: the weights of the two then have no effect.
+# The two Q functions are taken as equal if the sum of their squared differences is at most this, in square
+# milliseconds: their weights then make no difference to the weighted mean.
 MIN_VARIANCE = 1e-9
 BASELINE_ARM = 0
 TRIAL_ARM = 1
@@ -43,7 +43,11 @@
 
 
 class QMix(NamedTuple):
-    """Parameters of Q functions: sums over the next `horizon` requests, arrival rate per ms (39)."""
+    """Parameters of the Q functions, formula (39) of the paper.
+
+    A request's Q value sums up its own cost and those of the next `horizon` requests. `arrival_rate` is the
+    number of requests per ms.
+    """
 
     horizon: int
     arrival_rate: float
@@ -58,7 +62,7 @@
 
     @property
     def weight(self) -> float:
-        """The inverse variance of the difference of the two means, if one request has a variance of 1."""
+        """The inverse variance of the difference between the arms' means, for values of variance 1."""
         return 1 / (1 / len(self.trial) + 1 / len(self.baseline))
 
     def difference(self, values: list[float]) -> float:
@@ -71,8 +75,8 @@
 def mixed_q(costs: CostSeries, mix: QMix) -> QDifference:
     """Estimate by how many ms the trial arm raises the mean latency of all requests, within blocks.
 
-    A request's Q value is the sum of its own cost and the costs of the following requests (12). Queue lengths
-    are divided by the arrival rate to convert them to milliseconds (15).
+    A request's Q value is the sum of its own cost and the costs of the following requests, by formula (12) of
+    the paper. Queue lengths are divided by the arrival rate to convert them to milliseconds, by formula (15).
     """
     count = len(costs.latencies) - mix.horizon  # the last `horizon` requests have too few successors
     blocks = _blocks_with_both_arms(costs.arms[: max(count, 0)], costs.blocks)
@@ -82,7 +86,7 @@
     trial_count = sum([len(block.trial) for block in blocks])
     baseline_count = sum([len(block.baseline) for block in blocks])
     squares = [value * value for value in _centred(mixed, blocks)]
-    variance = sum(squares, 0.0) / (trial_count + baseline_count)  # appendix C.3
+    variance = sum(squares, 0.0) / (trial_count + baseline_count)  # as in appendix C.3 of the paper
     weights = [block.weight for block in blocks]
     total_weight = sum(weights, 0.0)
     difference = _weighted_difference(mixed, blocks, weights) / total_weight
@@ -97,7 +101,10 @@
 
 
 def _mixed_q_function(costs: CostSeries, mix: QMix, blocks: list[_Block]) -> list[float]:
-    """Return for each request the weighted mean of its latency Q and its queue length Q (20)."""
+    """Return for each request the weighted mean of its latency Q and its queue length Q.
+
+    This is formula (20) of the paper.
+    """
     latency_q = _q_function(costs.latencies, mix.horizon)
     queue_q = [total / mix.arrival_rate for total in _q_function(costs.queue_lengths, mix.horizon)]
     best_alpha = _best_alpha(_centred(latency_q, blocks), _centred(queue_q, blocks))
@@ -116,7 +123,10 @@
 
 
 def _q_function(costs: list[float], horizon: int) -> list[float]:
-    """Return for each request the sum of its own cost and those of the next `horizon` requests (12)."""
+    """Return for each request the sum of its own cost and those of the next `horizon` requests.
+
+    This is formula (12) of the paper.
+    """
     sums = [0.0, *accumulate(costs)]
     return [sums[first + horizon + 1] - sums[first] for first in range(len(costs) - horizon)]
 
@@ -132,9 +142,9 @@
 
 
 def _best_alpha(latency_q: list[float], queue_q: list[float]) -> float:
-    """Return the weight of the latency Q that minimizes the variance of the mix (19).
+    """Return the weight of the latency Q that minimizes the variance of the weighted mean.
 
-    Both lists hold centred values.
+    This is formula (19) of the paper. Both lists hold Q values minus the mean of their block.
     """
     pairs = list(zip(latency_q, queue_q, strict=True))
     variance = sum([(latency - queue) ** 2 for latency, queue in pairs], 0.0)
@@ -164,7 +174,11 @@
         return fmean(baseline or [0.0])
 
     def compare(self, block_ms: float, mix: QMix) -> QDifference:
-        """Compare the arms with `mixed_q`, in blocks of `block_ms` milliseconds and one machine kind each."""
+        """Compare the arms with `mixed_q`.
+
+        Attempts are compared only if they were sent in the same period of `block_ms` milliseconds, to servers
+        of the same machine kind.
+        """
         queue_lengths = [attempt.slow_start_fraction * attempt.queue_length for attempt in self.attempts]
         blocks = [(attempt.sent_at // block_ms, attempt.server.kind) for attempt in self.attempts]
         return mixed_q(CostSeries(self.latencies, queue_lengths, self.arms, blocks), mix)
--- a/meadowpulley/state/failure_test.py
+++ b/meadowpulley/state/failure_test.py
@@ -19,9 +19,9 @@
 class FailureTestBounds:
     """The failure rates that the test tells apart, each from 0 to 1.
 
-    `increases` lists the smallest increases over the baseline's failure rate to test for. `relative_increase`
-    is such an increase as a fraction of the baseline's rate; the larger of the two is used. The baseline's
-    rate is limited to the range from `min_rate` to `max_rate`.
+    `increases` lists by how much a bad build's failure rate exceeds the baseline's, at least; each is tested
+    separately. `relative_increase` is such an increase as a fraction of the baseline's rate; the larger of
+    the two is used. The test limits the baseline's rate to the range from `min_rate` to `max_rate`.
     """
 
     increases: tuple[float, ...]
@@ -41,7 +41,7 @@
 
 
 class SequentialFailureTest:
-    """A CUSUM of log likelihood ratios per class, increase and server; none falls below 0."""
+    """One CUSUM of log likelihood ratios per class, increase and server, which never falls below 0."""
 
     def __init__(self, bounds: FailureTestBounds) -> None:
         """Start without evidence."""
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -113,8 +113,9 @@
 class GossipState:
     """The outcomes and digests that the gateways of a fleet exchange.
 
-    `incarnation` is a random number drawn when this gateway starts. `clock_skew_s` is the number of seconds
-    that the digests received within one second may cover together.
+    `incarnation` is a random number drawn when this gateway starts. In a large fleet, a gateway does not send
+    a digest every second, so the digests received in one second may report outcomes of several seconds:
+    `clock_skew_s` is about how many.
     """
 
     def __init__(self, incarnation: int, clock_skew_s: int) -> None:
@@ -122,11 +123,12 @@
         self.incarnation = incarnation
         self.sequence = 0  # sequence number of the last digest that this gateway sent
         self.unpublished: deque[OutcomeCounts] = deque(maxlen=MAX_UNPUBLISHED)
-        # Sequence number of the last digest, by sender and incarnation.
+        # Sequence number of the last new digest received, by sender and incarnation of the sender.
         self.last_digest_by_sender: dict[tuple[int, int], int] = {}
         self.rejected_digests = 0
         self.received: list[tuple[int, Digest]] = []  # digests of the current second, with their senders
-        # The baseline's last failure rates, at most `clock_skew_s` of them, by class.
+        # The latest failure rates of the baseline by class, at most `clock_skew_s` for each class, since the
+        # digests of one second may report several seconds. A build is compared with the highest of them.
         self.baseline_failure_rates: dict[int, deque[float]] = defaultdict(lambda: deque(maxlen=clock_skew_s))
         self.last_baseline_fault_at = -math.inf  # when the baseline last failed at any gateway
 
@@ -160,7 +162,10 @@
         self.unpublished.append(OutcomeCounts(TIMEOUT_CLASS, server.build, server.id, 0, 1))
 
     def accept(self, sender: int, digest: Digest, max_incarnations: int) -> bool:
-        """Tell whether a digest is new, and remember it; at most `max_incarnations` senders are kept."""
+        """Tell whether a digest is new, and record its sequence number if so.
+
+        Sequence numbers are kept for at most `max_incarnations` incarnations of senders.
+        """
         source = (sender, digest.incarnation)
         if self.last_digest_by_sender.get(source, -1) >= digest.sequence:
             return False
--- a/meadowpulley/state/requests.py
+++ b/meadowpulley/state/requests.py
@@ -49,7 +49,7 @@
     def deduplicated_everywhere(self) -> bool:
         """Whether every server discards a repeat of the request, including a retry by the client.
 
-        False if another gateway had made attempts of the request.
+        False if an earlier gateway may have sent the request to a server.
         """
         everywhere = self.request_class.deduplication_scope is DeduplicationScope.ALL
         return self.effect is Effect.IDEMPOTENT_WITH_KEY and everywhere and not self.request.prior_attempts
--- a/meadowpulley/state/rollout.py
+++ b/meadowpulley/state/rollout.py
@@ -19,7 +19,7 @@
         """Start without evidence; attempts at the build are counted over the last `memory_ms`."""
         self.own_failures = own_failures  # from this gateway's outcomes and the platform's statistics
         self.pooled_failures = pooled_failures  # from the outcomes of all gateways
-        self.timeout_evidence = 0.0  # log likelihood ratio, from the time-outs at all gateways
+        self.timeout_evidence = 0.0  # log likelihood ratio, from time-outs and responses at all gateways
         # Exponentially weighted moving averages of failure rates. A key holds the class, and whether the rate
         # comes from the platform's statistics.
         self.failure_rates: dict[tuple[int, bool], float] = {}
@@ -27,20 +27,20 @@
         self.sent_windows = event_windows(memory_ms)  # attempts at the build, by exposure class
 
     def add_timeouts(self, timeouts: int, responses: int, usual_rate: float, bad_rate: float) -> None:
-        """Update the evidence that requests to the build time out at the bad rate, not the usual one."""
+        """Update the evidence that requests to the build time out at `bad_rate`, not at `usual_rate`."""
         timeout_ratio = math.log(bad_rate / usual_rate)
         response_ratio = math.log((1 - bad_rate) / (1 - usual_rate))
         added = self.timeout_evidence + timeouts * timeout_ratio
         self.timeout_evidence = max(added + responses * response_ratio, 0.0)
 
     def update_failure_rate(self, scope: tuple[int, bool], rate: float, weight: float) -> None:
-        """Add a failure rate to the moving average of a class; the first rate starts the average."""
+        """Add a rate to a moving average in `failure_rates`; the first rate starts the average."""
         average = self.failure_rates.setdefault(scope, rate)
         self.failure_rates[scope] += weight * (rate - average)
 
 
 class Slowdown(NamedTuple):
-    """Bounds of the latency that a build adds, the accepted margin, and the smaller sample's size."""
+    """Confidence bounds of the latency that a build adds, accepted margin, smaller sample's size."""
 
     low_ms: float
     high_ms: float
--- a/meadowpulley/state/sample_summary.py
+++ b/meadowpulley/state/sample_summary.py
@@ -15,7 +15,7 @@
     deviation: float
 
     def lower_bound(self, confidence_z: float) -> float:
-        """Return the mean minus `confidence_z` of its standard errors."""
+        """Return the mean minus `confidence_z` standard errors of the mean."""
         return self.mean - confidence_z * self.deviation * math.sqrt(self.size) / max(self.size - 1, 1)
 
 
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -25,7 +25,9 @@
         self.state = endpoint.state
         self.fingerprint = fingerprint(endpoint.server, endpoint.build, endpoint.started_unix_ms)
         self.outstanding = 0  # number of this gateway's attempts at the server without an outcome
-        self.slow_start_slot = -1  # number of the time slot that `slow_start_budget` is for
+        # The slot of the overload window that `slow_start_budget` was drawn for; -1 before the first draw. A
+        # window is divided into several slots, numbered from time 0 on.
+        self.slow_start_slot = -1
         self.slow_start_budget = -1  # attempts that may still be sent in that slot
         self.failure_rate = 0.0  # exponentially weighted moving average, 0 to 1
         self.ejected_until = 0.0
@@ -33,7 +35,7 @@
         self.ejection_ms = 0.0
         self.last_failure_at = -math.inf
         self.last_response_at = -math.inf
-        # According to another gateway, discovery listed the server unchanged at this time.
+        # Up to this time, according to another gateway, discovery listed the server as this gateway knows it.
         self.peer_confirmed_at = -math.inf
 
     def as_candidate(self, slow_start_fraction: float, mean_latency_ms: float, home_zone: int) -> Candidate:
--- a/meadowpulley/state/state.py
+++ b/meadowpulley/state/state.py
@@ -1,6 +1,6 @@
 """The complete state of one gateway's policy, and the bookkeeping on it.
 
-Decisions are made elsewhere. The only tuned values here are how much is kept and for how long.
+This module makes no decisions. Its only tuned constants set how much data is kept and for how long.
 """
 
 from __future__ import annotations
@@ -80,13 +80,15 @@
         self.trial_servers: list[Server] = []
         self.baseline_servers: list[Server] = []
         self.peak_ready_servers = 1
-        # Moving average of latency by machine kind, scaled to warmed-up servers.
+        # Exponentially weighted moving average of latency, by machine kind. Latencies of servers in slow
+        # start are scaled down to those of warmed-up servers.
         self.kind_latency_ms: dict[int, float] = {}
         self.endpoint_list = EndpointListState(settings.must_poll)
         self.confirmation = ConfirmationState(Random(seed + CONFIRMATION_SEED))
         # Number of sends that were not allowed, by the rule that forbade them.
         self.send_refusals: Counter[str] = Counter()
-        # Number of sends by the lease that allowed them: on the list, or on a reply of another gateway.
+        # Number of sends by what allowed them: the lease on the endpoint list, or a reply by which another
+        # gateway confirmed the server.
         self.sends_by_lease_basis: Counter[str] = Counter()
 
     def _init_requests(self) -> None:
@@ -94,24 +96,26 @@
         self.waiting: list[InFlightRequest] = []
         # Outstanding attempts by request and attempt number, oldest first.
         self.attempts: dict[tuple[int, int], Attempt] = {}
-        # The latest requests' first attempts.
+        # The first attempts of the latest requests: samples of latency cost.
         self.latency_samples: deque[Attempt] = deque(maxlen=MAX_SAMPLES)
         # Arrivals of requests, without retries by clients and without adopted requests.
         self.request_rate = DecayingRate(RATE_MEMORY_MS)
         self.goodput = DecayingRate(RATE_MEMORY_MS)
-        self.mean_latency_ms = 0.0  # exponentially weighted moving average over all servers
+        self.mean_latency_ms = 0.0  # exponentially weighted moving average over responses of all servers
         self.concurrency_limit = math.inf
 
     def _init_rollout(self, settings: Settings) -> None:
-        # The update received last, which the rules of the platform refer to.
+        # The rollout update received last. The platform's rules, such as the exposure cap, refer to it.
         self.latest_rollout: RolloutUpdate | None = None
-        # The furthest rollout state reported, which evaluation and votes refer to.
+        # The most advanced state of a rollout received so far, as ordered by `progress`. Evaluation and votes
+        # refer to it.
         self.furthest_rollout: RolloutUpdate | None = None
         self.baseline_build = NO_BUILD  # the build that the newest build is compared with
         self.rollback_build = NO_BUILD  # the build that this gateway votes to roll back
         self.trial_started_at = 0.0
         self.stage_started_at = 0.0
-        # Mean latency before the newest build. It follows the baseline's latency while nothing slows it down.
+        # Mean latency cost before the newest build's trial. It is updated from attempts at the baseline while
+        # the baseline is not slower and the newest build gets too little traffic to slow it down.
         self.baseline_latency_ms = 0.0
         self.baseline_request_rate = 0.0  # the highest rate during the first stage of the newest build
         self.trial_probability = 0.0
@@ -121,7 +125,7 @@
         self.request_windows = event_windows(settings.rollout.exposure_window_ms)
         # With monotonic keys: the newest build that may have responded to each key.
         self.sticky_builds: dict[int, int] = {}
-        # No key may go to a build older than this one: the keys bound to builds up to it were dropped.
+        # The keys bound to builds up to this one were dropped, so no key may go to an older build.
         self.oldest_sticky_build = NO_BUILD
         self.traffic_pause = TrafficPause()
         # Outcomes, each with the time from which it counts as evidence.
@@ -156,7 +160,10 @@
         return [server for server in self.servers.values() if server.build == build]
 
     def slow_start_fraction(self, server: Server, age_offset_ms: float = 0.0) -> float:
-        """Return the least fraction of its capacity that a server has at its age minus the offset."""
+        """Return the least fraction of its full capacity that a server has at its age, 0 to 1.
+
+        `age_offset_ms` is first subtracted from the age.
+        """
         age_ms = max(self.now - server.started_ms - age_offset_ms, 0.0)
         if not server.started_ms or age_ms >= self.rules.slow_start_ms:
             return 1.0
@@ -253,8 +260,8 @@
     def apply_rollout(self, update: RolloutUpdate) -> None:
         """Process an update on the newest build's rollout.
 
-        An update on an earlier state may arrive late. It becomes the latest rollout, which the rules refer
-        to, but not the furthest one.
+        Every update is stored in `latest_rollout`, which the platform's rules refer to. An update that
+        arrives late, with an earlier state than one before it, does not replace `furthest_rollout`.
         """
         furthest = self.furthest_rollout
         self.latest_rollout = update
--- a/meadowpulley/state/traffic_pause.py
+++ b/meadowpulley/state/traffic_pause.py
@@ -11,12 +11,12 @@
     def __init__(self) -> None:
         """Start without a pause."""
         self.active = False
-        self.count = 0  # number of pauses in short succession, with the current one
+        self.count = 0  # number of pauses in short succession, including the last one
         self.changed_at = -math.inf  # time at which the last pause began or ended
-        self.slow_since = math.inf  # start of a slowdown without a baseline to compare with
+        self.slow_since = math.inf  # start of a slowdown without a baseline to compare with; infinite: none
 
     def begin(self, now: float, memory_ms: float) -> None:
-        """Begin a pause; `count` starts anew unless the last pause ended less than `memory_ms` ago."""
+        """Begin a pause; `count` restarts at 1 unless the last pause ended less than `memory_ms` ago."""
         in_succession = now - self.changed_at < memory_ms
         self.count = self.count + 1 if in_succession else 1
         self.active = True
--- a/meadowpulley/state/votes.py
+++ b/meadowpulley/state/votes.py
@@ -17,7 +17,7 @@
         self.last_vote = Vote(NO_BUILD, 0, Verdict.NONE)
         self.sent_at = -math.inf
         self.valid_until = -math.inf
-        self.backoff_until = -math.inf  # no vote is sent before this time: the platform got too many
+        self.backoff_until = -math.inf  # no vote is sent before this time: the platform got too many votes
         self.acknowledged = True
 
     def acknowledge(self, result: Result, valid_until: float) -> None:
