--- a/meadowpulley/gossip/list_confirmation_codec.py
+++ b/meadowpulley/gossip/list_confirmation_codec.py
@@ -64,7 +64,7 @@
 
 
 def decode(data: bytes) -> ListQuery | ListReply | None:
-    """Decode a message; return None if it is truncated, too long, unknown or of another version."""
+    """Decode a message; return None for other data, and for a message of a wrong size or version."""
     if len(data) == _QUERY.size and data[0] == QUERY_VERSION:
         _, nonce, first_server = _QUERY.unpack(data)
         return ListQuery(nonce, first_server)
--- a/meadowpulley/gossip/outcome_digest.py
+++ b/meadowpulley/gossip/outcome_digest.py
@@ -88,7 +88,7 @@
 
 
 def decode(data: bytes) -> Digest | None:
-    """Decode a digest; return None if it is truncated, too long, no digest or of another version."""
+    """Decode a digest; return None for other data, and for a digest of a wrong size or version."""
     if not _HEAD.size <= len(data) <= MAX_BYTES or data[0] != VERSION:
         return None
     _, incarnation, sequence, build, class_count, failure_count = _HEAD.unpack_from(data)
--- a/meadowpulley/interface/log_events.py
+++ b/meadowpulley/interface/log_events.py
@@ -65,7 +65,7 @@
     stage: str
     key: str
     reason: str
-    writer: str | None = None  # incarnation that wrote the record, where it tells more than the key
+    writer: str | None = None  # incarnation that wrote the record; None if it adds nothing to the key
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/interface/log_wording.py
+++ b/meadowpulley/interface/log_wording.py
@@ -24,7 +24,10 @@
 
 
 def log_fields(event: LogEvent) -> dict[str, object]:
-    """Return an event's fields for a structured log: values of enum members, and no fields that are None."""
+    """Return an event's fields for a structured log.
+
+    Enum members are replaced by their values, and fields that are None are left out.
+    """
     values = {field.name: getattr(event, field.name) for field in fields(event)}
     return {
         name: value.value if isinstance(value, Enum) else value
--- a/meadowpulley/state/__init__.py
+++ b/meadowpulley/state/__init__.py
@@ -1,4 +1,6 @@
-"""The policy's state and the bookkeeping on it. Decisions and tuned values are outside this package.
+"""The policy's state and the bookkeeping on it.
+
+Decisions, and the values that are tuned for them, are outside this package.
 
 The modules in reading order: `averages` (rates and windows), `servers`, `requests` (with their attempts),
 `endpoint_list`, `confirmation`, `failure_test` (a CUSUM), `estimation` (the mixed Differences-in-Q formula),
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -58,7 +58,7 @@
     def __init__(self, digests: list[Digest]) -> None:
         """Sum up the digests on one build."""
         self._class_counts: list[ClassCounts] = []
-        # Keys hold the class and the server number modulo SERVER_MODULUS, as digests do.
+        # Number of failed responses by class and by server number modulo SERVER_MODULUS, as in digests.
         self.failures_by_server: Counter[FailedResponse] = Counter()
         for digest in digests:
             self._class_counts += digest.classes
--- a/meadowpulley/state/rollout.py
+++ b/meadowpulley/state/rollout.py
@@ -40,7 +40,10 @@
 
 
 class Slowdown(NamedTuple):
-    """Confidence bounds of the latency that a build adds, accepted margin, smaller sample's size."""
+    """The confidence interval of the latency that a build adds, and the margin up to which it is accepted.
+
+    `samples` is the size of the smaller of the two samples that were compared.
+    """
 
     low_ms: float
     high_ms: float
--- a/meadowpulley/state/sample_summary.py
+++ b/meadowpulley/state/sample_summary.py
@@ -20,7 +20,7 @@
 
 
 def summarize(values: list[float]) -> SampleSummary:
-    """Summarize a list of values."""
+    """Return the size, mean and population standard deviation of a list of values."""
     if not values:
         return SampleSummary(0, 0.0, 0.0)
     return SampleSummary(len(values), fmean(values), pstdev(values))
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -25,8 +25,8 @@
         self.state = endpoint.state
         self.fingerprint = fingerprint(endpoint.server, endpoint.build, endpoint.started_unix_ms)
         self.outstanding = 0  # number of this gateway's attempts at the server without an outcome
-        # The slot of the overload window that `slow_start_budget` was drawn for; -1 before the first draw. A
-        # window is divided into several slots, numbered from time 0 on.
+        # The slot of the overload window for which `slow_start_budget` was drawn at random; -1 before the
+        # first draw. Windows are divided into slots, which are numbered from time 0 on.
         self.slow_start_slot = -1
         self.slow_start_budget = -1  # attempts that may still be sent in that slot
         self.failure_rate = 0.0  # exponentially weighted moving average, 0 to 1
--- a/meadowpulley/state/state.py
+++ b/meadowpulley/state/state.py
@@ -115,7 +115,7 @@
         self.trial_started_at = 0.0
         self.stage_started_at = 0.0
         # Mean latency cost before the newest build's trial. It is updated from attempts at the baseline while
-        # the baseline is not slower and the newest build gets too little traffic to slow it down.
+        # these are not slower than before and the newest build gets too little traffic to slow them down.
         self.baseline_latency_ms = 0.0
         self.baseline_request_rate = 0.0  # the highest rate during the first stage of the newest build
         self.trial_probability = 0.0
--- a/meadowpulley/state/traffic_pause.py
+++ b/meadowpulley/state/traffic_pause.py
@@ -13,7 +13,7 @@
         self.active = False
         self.count = 0  # number of pauses in short succession, including the last one
         self.changed_at = -math.inf  # time at which the last pause began or ended
-        self.slow_since = math.inf  # start of a slowdown without a baseline to compare with; infinite: none
+        self.slow_since = math.inf  # start of a slowdown without a baseline to compare with; inf if none
 
     def begin(self, now: float, memory_ms: float) -> None:
         """Begin a pause; `count` restarts at 1 unless the last pause ended less than `memory_ms` ago."""
