--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -1,7 +1,8 @@
-"""The limit of this gateway's attempts in flight, by additive increase and decrease on late responses.
+"""The limit on this gateway's attempts in flight, with additive increase and additive decrease.
 
-A response within its objective raises the limit while it is in use; a late one lowers it. In balance one
-response in five is late. The limit is what sheds load: requests beyond it are rejected at once.
+A response within its latency objective raises the limit if at least about half of the limit is in use; a
+late response lowers it. The increase and the decrease balance when one response in five is late. The limit
+sheds load: a request that would exceed it is rejected at once.
 """
 
 import math
@@ -9,19 +10,24 @@
 from meadowpulley.interface import Outcome, RequestClass, Result
 from meadowpulley.state import State
 
-LIMIT_INCREASE = 0.1  # attempts, for a response within its objective
-LIMIT_DECREASE = 0.4  # attempts, for a late one
-MIN_LIMIT_PER_SERVER = 2.0  # attempts in flight per server, of all gateways, that are never too many
-MAX_DEVIATIONS = 3.0  # of a Poisson count: few in flight vary so much by chance
+LIMIT_INCREASE = 0.1  # attempts added to the limit for each response within its latency objective
+LIMIT_DECREASE = 0.4  # attempts subtracted from the limit for each late response
+MIN_LIMIT_PER_SERVER = 2.0  # attempts per server that all gateways together may always have in flight
+# Standard deviations of a Poisson count by which the number of attempts in flight may exceed its typical
+# value by chance, which matters when only a few are in flight.
+MAX_DEVIATIONS = 3.0
 
 
 def is_reached(state: State) -> bool:
-    """Tell whether another request would exceed the limit; by chance, as the limit may be below 1."""
+    """Return whether another request would exceed the limit.
+
+    The limit is rounded up or down at random, because it is not a whole number and may be below 1.
+    """
     return len(state.attempts) + state.rng.random() > state.concurrency_limit
 
 
 def update(state: State, request_class: RequestClass, outcome: Outcome) -> None:
-    """Take in how an attempt ended that has left the count of outstanding ones just now."""
+    """Adjust the limit by the outcome of an attempt, which is no longer among the outstanding ones."""
     outstanding = len(state.attempts) + 1
     objective_ms = request_class.latency_objective_ms
     ok = outcome.result is Result.OK
@@ -36,11 +42,18 @@
 
 
 def _is_overload_timeout(state: State, outcome: Outcome, objective_ms: float) -> bool:
-    """Tell whether an attempt timed out while responses are slow: else its server is to blame alone."""
+    """Return whether an attempt timed out while responses are slow in general.
+
+    If other responses are fast, the timeout is the fault of its server alone.
+    """
     return outcome.result is Result.TIMEOUT and 2 * state.mean_latency_ms > objective_ms
 
 
 def _highest_limit(state: State, outstanding: int) -> float:
-    """Return the limit that ends an overload: twice what is in flight or served, by Little's law."""
-    usual = max(outstanding, state.goodput.value(state.now) * state.mean_latency_ms)
-    return usual + max(usual, MAX_DEVIATIONS * math.sqrt(usual)) + 1
+    """Return the highest limit that still ends an overload: about twice the typical attempts in flight.
+
+    The typical number is that of the outstanding attempts or, if higher, goodput times mean latency, which
+    by Little's law is the number of attempts that are being served.
+    """
+    typical = max(outstanding, state.goodput.value(state.now) * state.mean_latency_ms)
+    return typical + max(typical, MAX_DEVIATIONS * math.sqrt(typical)) + 1
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -1,20 +1,21 @@
-"""The lease on what is known of the servers: until when a server may be sent to, and what renews that.
+"""The lease on the endpoint list: until when a gateway may use the list, and what renews the lease.
 
-Discovery counts a change of the endpoint list as notified to a gateway at a certain time, whether or not it
-arrived. From the drain grace after that time nothing may be sent to a server that drains or is gone. So what
-is known of a server may be acted on until the first change that it could lack binds, and no longer.
+From a certain time on, discovery regards a gateway as notified of a change of the endpoint list, whether
+or not the gateway received it. When the drain grace after that time is over, the gateway may no longer
+send to a server that is draining or removed. So the gateway may use an entry of its list only until the
+drain grace ends for the earliest change that its list could be missing.
 
-Only what discovery says renews it, as of the time at which discovery was asked. A response of a server does
-not, good as it may be: it may come from a later incarnation at the same address, which discovery does not
-list yet, and nothing in it says which one responds.
+Only information from discovery renews the lease, and it counts from the time at which discovery was asked. A
+server's response does not renew it, even if successful: it may come from a later incarnation at the same
+address, which discovery does not list yet, and a response does not say which incarnation sent it.
 
-With g for the drain grace less `allowance_ms`, the list may be acted on
+If g is the drain grace minus `allowance_ms`, the list may be used
 
-- where it is polled, until 6 s and g after discovery was asked for it;
-- while a call for the next change is out, until 2 s and g after its wait ends, if that is later;
-- where it is pushed, while the watch is open; then until g after it closed;
-- where it came with the configuration, until g after the start;
-- where a list may have been lost, until g less 150 ms after the loss was found, at most.
+- if it is polled: until 6 s + g after discovery was asked for it;
+- if a call for the next change is open: until 2 s + g after the end of that call's wait, if that is later;
+- if it is pushed: while the watch is open, and then until g after the watch closed;
+- if it came with the configuration: until g after the start of the process;
+- if a later list may have been lost: at most until g minus 150 ms after the loss was detected.
 """
 
 import math
@@ -23,50 +24,51 @@
 from meadowpulley.interface import EndpointListExpired, EndpointListRenewed
 from meadowpulley.state import Server, State
 
-# By the platform's protocol page a change counts as notified so long after discovery had it, at the latest;
-# for a call that may wait, so long after its wait is over, if that is later.
+# The platform's protocol page defines when a change counts as notified: at the latest 6 s after discovery
+# has it, or 2 s after the wait of an open long poll is over, if that is later.
 NOTIFICATION_MS = 6_000.0
 LONG_POLL_NOTIFICATION_MS = 2_000.0
-# How long a gateway may be held up between reading its clock and writing: the one allowance for that, of the
-# drain grace and of deduplication windows.
+# How long, in ms, a gateway may stall between reading its clock and writing a request. It is subtracted from
+# the drain grace and from deduplication windows; no other constant allows for such stalls.
 STALL_ALLOWANCE_MS = 150.0
 
 
 class LeaseBasis(Enum):
-    """What allows requests to be written to a server; the value names its counter."""
+    """Whose confirmation of the endpoint list permits a send; the value is the name of its counter."""
 
     LIST = "list"
     PEER = "peer"
 
 
 def allowance_ms(state: State, span_ms: float) -> float:
-    """Return by how much sooner than a span of time ends a write has to be decided; half of it at most."""
+    """Return how many ms before the end of a time span writes have to stop: at most half of the span."""
     return min(STALL_ALLOWANCE_MS + state.settings.tick_ms, span_ms / 2)
 
 
 def _notification_ms(state: State) -> float:
-    """Return the delay within which changes count as notified; pushed ones count at once."""
+    """Return the delay, in ms, after which a change counts as notified; 0 if discovery pushes changes."""
     return NOTIFICATION_MS if state.settings.must_poll else 0.0
 
 
 def _grace_ms(state: State) -> float:
-    """Return how long after its notification a change may still be disregarded, on this gateway's clock."""
+    """Return how many ms after its notification this gateway may still ignore a change."""
     grace_ms = state.rules.drain_grace_ms
     return grace_ms - allowance_ms(state, grace_ms)
 
 
-# What renews the lease
+# Renewal of the lease
 
 
 def start_from_cache(state: State) -> None:
-    """Take in a list of unknown age: its changes count as notified from the start of the process."""
+    """Start the lease on a list of unknown age: changes to it count as notified when the process starts."""
     _confirm_as_of(state, state.now - _notification_ms(state))
 
 
 def confirm_list(state: State, as_of_ms: float | None) -> None:
-    """Take in a list that holds all changes up to a time.
+    """Renew the lease by a list that holds all changes up to the time `as_of_ms`.
 
-    None where the transport does not tell: it pushes each later change, or a failure.
+    The time is None if discovery pushes each later change, or reports a failure; the lease then lasts until
+    the watch ends.
     """
     if as_of_ms is None:
         state.endpoint_list.confirmed_at = state.now
@@ -76,12 +78,12 @@
 
 
 def watch_opened(state: State, wait_ms: float) -> None:
-    """Note that discovery has a call that it answers within the wait, or sooner if anything changes."""
+    """Extend the lease by a call that discovery answers within `wait_ms`, or sooner after a change."""
     state.endpoint_list.watch_covers_until = state.now + wait_ms
 
 
 def watch_ended(state: State, as_of_ms: float | None) -> None:
-    """Note that no call is out any more; the list still holds all changes up to a time, None for now."""
+    """End a watch; the list holds all changes up to the time `as_of_ms`, or up to now if that is None."""
     state.endpoint_list.watch_covers_until = -math.inf
     _confirm_as_of(state, state.now if as_of_ms is None else as_of_ms)
 
@@ -91,15 +93,15 @@
 
 
 def list_lost(state: State) -> None:
-    """Note that a list may have been written to this gateway and lost: its changes count as notified now."""
+    """Record that a list sent to this gateway may have been lost; its changes count as notified now."""
     state.endpoint_list.lost_at = state.now
 
 
-# When it ends
+# End of the lease
 
 
 def list_lease_until(state: State) -> float:
-    """Return until when the endpoint list may be acted on."""
+    """Return until when the endpoint list may be used."""
     endpoint_list = state.endpoint_list
     notified_at = endpoint_list.confirmed_at + _notification_ms(state)
     watch_notified_at = endpoint_list.watch_covers_until + LONG_POLL_NOTIFICATION_MS
@@ -108,17 +110,18 @@
 
 
 def usable_until(state: State, server: Server) -> float:
-    """Return until when requests may be written to the server, by the list or another gateway's word."""
-    if not state.rules.drain_grace_ms:  # a deployment without such a rule
+    """Return until when requests may be written to the server, by the list or by a peer's confirmation."""
+    if not state.rules.drain_grace_ms:  # this deployment has no drain rule
         return math.inf
     until = server.peer_confirmed_at + _notification_ms(state) + _grace_ms(state)
     return max(list_lease_until(state), _unless_lost(state, server.peer_confirmed_at, until))
 
 
 def _unless_lost(state: State, confirmed_at: float, until: float) -> float:
-    """Cut a lease short where a list was lost since it was renewed.
+    """Return the end of a lease, earlier if a list may have been lost since the lease was renewed.
 
-    The loss may have been found as late as this gateway may be held up; the list was written before.
+    The list was written before its loss was detected, at most `STALL_ALLOWANCE_MS` before: a stalled gateway
+    detects the loss late.
     """
     lost_at = state.endpoint_list.lost_at
     if confirmed_at >= lost_at:
@@ -127,7 +130,7 @@
 
 
 def lease_basis(state: State) -> LeaseBasis:
-    """Return what allows a server to be sent to now: the list, or else what another gateway confirmed."""
+    """Return what permits sending now: the list, or a peer's confirmation once the list has expired."""
     return LeaseBasis.PEER if _list_expired(state) else LeaseBasis.LIST
 
 
@@ -136,18 +139,18 @@
 
 
 def is_usable(state: State, server: Server) -> bool:
-    """Tell whether what is known of the server may still be acted on."""
+    """Return whether requests may still be sent to the server by this gateway's list or by a peer."""
     return state.now < usable_until(state, server)
 
 
 def all_expired(state: State) -> bool:
-    """Tell whether there are ready servers and none may be sent to: no request needs to wait for one."""
+    """Return whether there are ready servers but all leases have expired; waiting is then pointless."""
     ready = state.trial_servers + state.baseline_servers
     return bool(ready) and not any(is_usable(state, server) for server in ready)
 
 
 def log_transitions(state: State) -> None:
-    """Log when the list's lease expires and when it is renewed."""
+    """Log when the lease on the endpoint list expires and when it is renewed."""
     expired = _list_expired(state)
     if expired == state.endpoint_list.lease_expired or not state.servers:
         return
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -1,9 +1,10 @@
-"""Confirming servers by other gateways, while discovery cannot answer this one in time.
+"""Confirmation of listed servers by other gateways, while discovery cannot answer this one in time.
 
-Discovery is asked by many and answers them in turn; what it told one gateway holds for all. A gateway whose
-lease on the list is about to end asks others. A reply confirms each server that both know alike, as of the
-time at which the other gateway had asked discovery, and nothing else: neither that a server responds, nor
-anything that is not in this gateway's own list.
+Discovery answers the calls of all gateways in turn, and its answer to one gateway is valid for all. A
+gateway whose lease on the list is about to end asks other gateways. A reply confirms each server that both
+gateways list with the same build and start time, as of the time at which the other gateway asked
+discovery. It confirms nothing else: neither that a server responds, nor any server that is missing from
+this gateway's own list.
 """
 
 import math
@@ -22,32 +23,36 @@
 from meadowpulley.policy.outcome_gossip import handle_digest
 from meadowpulley.state import Server, State
 
-QUERY_AHEAD_MS = 3_000.0  # before the lease on the list ends: others are asked from then on
-QUERY_INTERVAL_MS = 500.0  # between two rounds of questions
-GATEWAYS_PER_QUERY = 2  # asked in a round: the one that confirmed most lately, and others by chance
-GATEWAYS_PER_URGENT_QUERY = 8  # once the lease has ended: soon after an outage few have a recent list
-MAX_OPEN_QUERIES = 8  # questions whose replies still count
-MAX_QUERIED_RANGES = 4  # of servers, one in a round: they hold this gateway's subset, however many there are
-MAX_REPLY_AGE_MS = NOTIFICATION_MS - 1_000.0  # older lists would renew a lease by a second or two at most
+QUERY_AHEAD_MS = 3_000.0  # how long before the lease on the list ends queries to other gateways start
+QUERY_INTERVAL_MS = 500.0  # interval between two rounds of queries
+GATEWAYS_PER_QUERY = 2  # queried in a round: the last one that confirmed servers, and random others
+# Gateways queried in a round once the lease has ended: shortly after an outage few have a recent list.
+GATEWAYS_PER_URGENT_QUERY = 8
+MAX_OPEN_QUERIES = 8  # latest queries whose replies are still accepted
+# Ranges of servers that are queried in turn, one in each round. However many servers there are, the ranges
+# include this gateway's subset.
+MAX_QUERIED_RANGES = 4
+# Maximum age of a list for a reply: an older one would extend a lease by 1 or 2 seconds at most.
+MAX_REPLY_AGE_MS = NOTIFICATION_MS - 1_000.0
 NONCE_BITS = 32
 
 
 def _is_allowed(state: State) -> bool:
-    """Tell whether lists expire here and gateways may talk to each other."""
+    """Return whether endpoint lists expire in this deployment and gateways may exchange gossip."""
     may_expire = state.settings.must_poll and bool(state.rules.drain_grace_ms)
     return may_expire and state.settings.limits.gossip and state.gateway_count > 1
 
 
 def next_query_at(state: State) -> float:
-    """Return when to ask other gateways next; never while the lease on the list lasts for long."""
+    """Return when to query other gateways next: not before the lease on the list is about to end."""
     if not _is_allowed(state) or not state.servers:
         return math.inf
-    ahead_at = list_lease_until(state) - QUERY_AHEAD_MS
-    return max(ahead_at, state.confirmation.queried_at + QUERY_INTERVAL_MS)
+    first_query_at = list_lease_until(state) - QUERY_AHEAD_MS
+    return max(first_query_at, state.confirmation.queried_at + QUERY_INTERVAL_MS)
 
 
 def query_gateways(state: State) -> None:
-    """Ask some gateways which servers discovery lists."""
+    """Ask some other gateways which ready servers discovery lists."""
     confirmation = state.confirmation
     confirmation.queried_at = state.now
     nonce = confirmation.rng.getrandbits(NONCE_BITS)
@@ -59,7 +64,10 @@
 
 
 def _first_server(state: State) -> int:
-    """Return the server from which on to ask: where this gateway's subset begins, then the ranges after."""
+    """Return the first server of the range to ask for.
+
+    Successive rounds ask for successive ranges, of which the first begins where this gateway's subset does.
+    """
     confirmation = state.confirmation
     ready = _ready_servers(state)
     if not ready:
@@ -72,7 +80,7 @@
 
 
 def _queried_gateways(state: State) -> list[int]:
-    """Return the gateway that confirmed servers last, and others by chance."""
+    """Return the gateways to query: the last one that confirmed servers, and random others."""
     own_index = state.settings.gateway_index
     others = [index for index in range(state.gateway_count) if index != own_index]
     expired = state.now >= list_lease_until(state)
@@ -85,7 +93,7 @@
 
 
 def handle_gossip(state: State, event: GossipReceived) -> None:
-    """Take in a datagram of another gateway: a question, a reply, or else a digest of outcomes."""
+    """Handle a datagram from another gateway: a query, a reply, or otherwise a digest of outcomes."""
     message = decode(event.data)
     if message is None or event.sender == state.settings.gateway_index:
         handle_digest(state, event)
@@ -96,20 +104,20 @@
 
 
 def _handle_query(state: State, sender: int, query: ListQuery) -> None:
-    """Reply to another gateway, if what is known here is recent enough to be of use."""
+    """Reply to another gateway if this gateway's list is recent enough to extend the other's lease."""
     age_ms = state.now - state.endpoint_list.confirmed_at
     if not _is_allowed(state) or age_ms > min(MAX_REPLY_AGE_MS, MAX_AGE_MS):
         return
     ready = _ready_servers(state)
     first = bisect_left(ready, query.first_server, key=lambda server: server.id)
-    named = (ready[first:] + ready[:first])[:MAX_FINGERPRINTS]
-    fingerprints = tuple([server.fingerprint for server in named])
+    listed = (ready[first:] + ready[:first])[:MAX_FINGERPRINTS]
+    fingerprints = tuple([server.fingerprint for server in listed])
     reply = ListReply(query.nonce, age_ms, fingerprints)
     state.actions.append(SendGossip(sender, encode(reply)))
 
 
 def _handle_reply(state: State, sender: int, reply: ListReply) -> None:
-    """Take the servers that another gateway knows just as this one does for confirmed."""
+    """Mark as confirmed the servers that the other gateway lists exactly as this one does."""
     queried_at = state.confirmation.open_queries.get(reply.nonce)
     if queried_at is None:
         return
@@ -122,7 +130,7 @@
 
 
 def _ready_servers(state: State) -> list[Server]:
-    """Return the ready servers by number; they are sorted once for each list."""
+    """Return the ready servers, sorted by number; the result is kept until the next endpoint list."""
     confirmation = state.confirmation
     if confirmation.ready_servers is None:
         confirmation.ready_servers = state.ready_servers()
--- a/meadowpulley/policy/endpoints.py
+++ b/meadowpulley/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as they come, or fail to come."""
+"""Handling of endpoint lists, of failed calls for them, and of watches that open and close."""
 
 import math
 
@@ -17,13 +17,15 @@
 
 
 def handle_endpoint_update(state: State, update: EndpointUpdate) -> None:
-    """Take in an endpoint list, or the failure of the call for it."""
+    """Apply an endpoint list, or handle the failure of a call for one."""
     if update.kind in CALL_FAILURES:
         _handle_failed_call(state, update)
         return
     if update.kind is EndpointUpdateKind.CACHED:
         endpoint_lease.start_from_cache(state)
-        state.confirmation.queried_at = state.now  # in a small fleet the first list call is answered sooner
+        # Delays the first query to other gateways: in a small fleet discovery answers the first list call
+        # sooner than they would.
+        state.confirmation.queried_at = state.now
     else:
         endpoint_lease.confirm_list(state, update.as_of_ms)
         state.endpoint_list.poll_at = math.inf
@@ -34,7 +36,7 @@
 
 
 def _handle_failed_call(state: State, update: EndpointUpdate) -> None:
-    """Plan the next list call, where discovery has to be polled."""
+    """End the watch after a failed call, and schedule the next call if discovery has to be polled."""
     endpoint_lease.watch_ended(state, update.as_of_ms)
     if update.kind is EndpointUpdateKind.BROKEN:
         endpoint_lease.list_lost(state)
@@ -45,11 +47,11 @@
 
 
 def handle_watch_opened(state: State, event: EndpointWatchOpened) -> None:
-    """Take in that discovery has the call for the next change."""
+    """Renew the lease, now that discovery holds an open call for the next change."""
     endpoint_lease.confirm_list(state, event.as_of_ms)
     endpoint_lease.watch_opened(state, event.wait_ms)
 
 
 def handle_watch_closed(state: State, event: EndpointWatchClosed) -> None:
-    """Take in that the gateway has ended the call for the next change itself."""
+    """End the watch after this gateway itself has closed the call for the next change."""
     endpoint_lease.watch_ended(state, event.as_of_ms)
--- a/meadowpulley/policy/exposure.py
+++ b/meadowpulley/policy/exposure.py
@@ -1,6 +1,7 @@
-"""The exposure cap on a build on trial, its guarded stages, and the builds that keys are bound to.
+"""The exposure cap of a build on trial, its guarded stages, and the builds that keys are bound to.
 
-Over a window, attempts at a build on trial number at most an allowance plus the cap's part of the requests.
+Within a time window, the number of attempts sent to a build on trial is at most the exposure allowance plus
+the cap times the number of requests.
 """
 
 from meadowpulley.interface import Effect
@@ -9,7 +10,7 @@
 
 
 def within_exposure(state: State, in_flight: InFlightRequest, server: Server) -> bool:
-    """Tell whether key, stage and cap let the request go to the server's build."""
+    """Return whether key, rollout stage and exposure cap allow the request to use the server's build."""
     if not _key_allows(state, in_flight, server):
         return False
     if not is_on_trial(state, server.build):
@@ -23,9 +24,9 @@
 
 
 def _key_allows(state: State, in_flight: InFlightRequest, server: Server) -> bool:
-    """Tell whether no newer build may have answered the request's key.
+    """Return whether the key allows the build: no newer build may have answered a request with this key.
 
-    A build that is rolled back does not count as newer.
+    A build that is being or has been rolled back does not count as newer.
     """
     key = in_flight.request.key
     if not key:
@@ -37,14 +38,18 @@
         return False
     if is_on_trial(state, server.build) or not state.rollout_settings.monotonic_keys:
         return True
-    # What is outstanding at a later build may be answered by now.
+    # A later build may already have answered an outstanding attempt.
     attempts = state.attempts.values()
     later = [attempt.in_flight.request.key for attempt in attempts if attempt.server.build > newest_build]
     return key not in later
 
 
 def _within_cap(state: State, in_flight: InFlightRequest, build: int, cap: float) -> bool:
-    """Tell whether one more attempt at the build is within the cap, on the safe side by a tick."""
+    """Return whether one more attempt at the build stays within the cap.
+
+    Attempts are counted over a window that is one tick longer, and requests over one that is one tick
+    shorter, so that a tick's inaccuracy of time cannot exceed the cap.
+    """
     tick_ms = state.settings.tick_ms
     exposure_class = in_flight.exposure_class
     requests = state.request_windows[exposure_class].count(state.now, -tick_ms)
--- a/meadowpulley/policy/final_response.py
+++ b/meadowpulley/policy/final_response.py
@@ -1,11 +1,11 @@
-"""The final response of a request that no server answers, and what becomes of its attempts."""
+"""The final response to a request that no server answers, and the cancellation of its attempts."""
 
 from meadowpulley.interface import Cancel, Effect, Fail, Reject
 from meadowpulley.state import InFlightRequest, State
 
 
 def give_up(state: State, in_flight: InFlightRequest) -> None:
-    """Give a request up: reject it if the client's retry can do no harm, else fail it."""
+    """Give a request up: reject it if a retry by the client is harmless, otherwise fail it."""
     request = in_flight.request.request
     state.in_flight.pop(request, None)
     if _client_may_retry(in_flight):
@@ -16,14 +16,14 @@
 
 
 def _client_may_retry(in_flight: InFlightRequest) -> bool:
-    """Tell whether a retry by the client has no second effect, wherever it goes."""
+    """Return whether a retry by the client has no second effect, whichever server it reaches."""
     if not in_flight.possible_executions:
         return True
     return in_flight.effect is Effect.IDEMPOTENT or in_flight.deduplicated_everywhere
 
 
 def cancel_outstanding(state: State, in_flight: InFlightRequest) -> None:
-    """Cancel the attempts of a request that is over: it should burden no server that can drop it."""
+    """Cancel the outstanding attempts of a finished request, to spare the servers useless work."""
     if state.settings.limits.cancellation and not in_flight.streaming:
         numbers = state.outstanding_attempts(in_flight)
         state.actions += [Cancel(in_flight.request.request, number) for number in numbers]
--- a/meadowpulley/policy/outcomes.py
+++ b/meadowpulley/policy/outcomes.py
@@ -1,4 +1,7 @@
-"""Outcomes of attempts: what is learnt from them, and whether their requests end, are retried or given up."""
+"""Outcomes of attempts: updates what is known of servers and builds, and decides how requests go on.
+
+After an outcome a request ends, is retried or is given up.
+"""
 
 import math
 
@@ -9,8 +12,12 @@
 from meadowpulley.policy.routing import route
 from meadowpulley.state import Attempt, OutcomeCounts, State
 
-WARMED_UP_FRACTION = 0.8  # slow start fraction from which a server tells of its build: before, requests queue
-FAILURE_DELAY_LATENCIES = 2.0  # from sending until a failure counts: errors overtake good responses
+# Slow start fraction from which a timeout counts as evidence on the build of its server. A server with a
+# smaller fraction may time out only because requests queue at it.
+WARMED_UP_FRACTION = 0.8
+# Time from sending an attempt until its failure counts as evidence, in mean latencies: errors arrive
+# sooner than the successful responses to requests sent at the same time.
+FAILURE_DELAY_LATENCIES = 2.0
 LATENCY_EWMA_WEIGHT = 0.05  # weight of the newest response in the mean latencies
 NEVER_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
 NO_RESPONSE = (*NEVER_EXECUTED, Result.ERROR)
@@ -18,7 +25,7 @@
 
 
 def handle_outcome(state: State, outcome: Outcome) -> None:
-    """Learn from how an attempt ended; then end its request, send it again, or give it up."""
+    """Record how an attempt ended; then end its request, send it again, or give it up."""
     attempt = state.finish_attempt(outcome.request, outcome.attempt)
     if attempt is None:
         return
@@ -37,27 +44,32 @@
 
 
 def _learn(state: State, attempt: Attempt, outcome: Outcome) -> None:
-    """Take an outcome into the health of its server, the evidence on its build and the limits."""
+    """Update server health, evidence on the build and the concurrency limit by an outcome."""
     result = outcome.result
     ok = result is Result.OK
-    timed = attempt.sent_at >= state.resumed_at  # else a stall hid how long it took: nothing is learnt
-    if timed and result not in NO_HEALTH_SIGNAL:
+    # A stall of this gateway hides how long the attempts sent before it took. Their timing is not used,
+    # neither for the health of servers nor for mean latencies and the concurrency limit.
+    latency_known = attempt.sent_at >= state.resumed_at
+    if latency_known and result not in NO_HEALTH_SIGNAL:
         update_health(state, attempt.server, result)
     state.goodput.add(state.now, float(ok))
     if result not in NO_RESPONSE:
         state.bind_key(attempt.in_flight, attempt.server.build)
     _collect_evidence(state, attempt, outcome)
-    if timed and result is Result.TIMEOUT and attempt.slow_start_fraction >= WARMED_UP_FRACTION:
+    if latency_known and result is Result.TIMEOUT and attempt.slow_start_fraction >= WARMED_UP_FRACTION:
         state.gossip.record_timeout(attempt.server)
-    if timed:
+    if latency_known:
         concurrency_limit.update(state, attempt.in_flight.request_class, outcome)
-    _attribute_latency(state, attempt, outcome, timed)
-    if ok and timed:
+    _attribute_latency(state, attempt, outcome, latency_known)
+    if ok and latency_known:
         state.record_latency(attempt, outcome.elapsed_ms, LATENCY_EWMA_WEIGHT)
 
 
 def _collect_evidence(state: State, attempt: Attempt, outcome: Outcome) -> None:
-    """Keep a response as evidence on its build; a broken connection is the network's or the machine's."""
+    """Keep a response as evidence on the build that sent it.
+
+    A broken connection is no such evidence: the network or the machine is to blame for it.
+    """
     ok = outcome.result is Result.OK
     error = outcome.result is Result.ERROR
     if not (ok or error):
@@ -73,14 +85,15 @@
     state.pending_outcomes.append((due_at, counts))
 
 
-def _attribute_latency(state: State, attempt: Attempt, outcome: Outcome, timed: bool) -> None:
-    """Set the latency cost of an attempt; a mean one where its build is not the cause.
+def _attribute_latency(state: State, attempt: Attempt, outcome: Outcome, latency_known: bool) -> None:
+    """Set the latency cost of an attempt, which is the mean latency if its build is not the cause.
 
-    An error costs as much as the deadline, unless its server fails with any build.
+    An error costs as much as the request's deadline, unless the failure rate of its server shows a fault
+    of the machine.
     """
     ok = outcome.result is Result.OK
     healthy_error = outcome.result is Result.ERROR and attempt.server.failure_rate < SERVER_FAULT_RATE
-    attributable = timed and (ok or healthy_error)
+    attributable = latency_known and (ok or healthy_error)
     attempt.unattributable = not attributable
     if not attributable:
         attempt.latency_ms = state.mean_latency_ms
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -1,4 +1,4 @@
-"""The policy of one gateway: each event goes to the function that handles it, and there is one timer."""
+"""The policy of one gateway: dispatches each event to its handler and keeps a single timer set."""
 
 import math
 from collections import defaultdict
@@ -25,17 +25,25 @@
 from meadowpulley.policy.outlier_detection import eject_unresponsive
 from meadowpulley.state import GossipState, State
 
-STALL_MS = 250.0  # a timer that is later than this: the gateway stalled, and attempts only look slow
-MIN_SUBSET_SIZE = 8  # servers that a gateway prefers, at least
-TIMER_TOKEN = 1  # of the only timer
-OUTSTANDING_POLL_INTERVAL_MS = 200.0  # between two looks at outstanding attempts
-GOSSIP_SEED = 1  # added to the seed: the incarnation in digests is drawn from a stream of its own
-BASE_CONFIDENCE_Z = 2.0  # standard errors between an estimate and its bounds, with one gateway
-FLEET_CONFIDENCE_Z = 0.5  # more for each e-fold of gateways: one of many is wrong by chance
+# Delay of the timer, in ms, beyond which the gateway counts as stalled: the stall adds to the measured
+# latencies of the attempts that were in flight, so that their servers only look slow.
+STALL_THRESHOLD_MS = 250.0
+MIN_SUBSET_SIZE = 8  # minimum number of servers that a gateway prefers to others
+TIMER_TOKEN = 1  # identifies the only timer of the policy
+OUTSTANDING_POLL_INTERVAL_MS = 200.0  # interval of the checks for servers that do not respond
+# Added to the seed, so that the incarnation number in digests comes from a separate random sequence.
+GOSSIP_SEED = 1
+BASE_CONFIDENCE_Z = 2.0  # standard errors from an estimate to its confidence bounds, for one gateway
+# Standard errors added for each e-fold increase of the number of gateways: the more gateways there are, the
+# likelier one of them is wrong by chance.
+FLEET_CONFIDENCE_Z = 0.5
 
 
 def handle_timer(state: State, _: interface.Timer) -> None:
-    """Do what is due: list calls and queries, outlier ejection, waiting requests, gossip, evaluation."""
+    """Do what is due: list calls and queries, outlier ejection, waiting requests, gossip, evaluation.
+
+    Evaluation compares the build on trial with the baseline and votes on the rollout.
+    """
     state.timer_at = math.inf if state.now >= state.timer_at else state.timer_at
     if state.now >= state.endpoint_list.poll_at:
         _poll_endpoints(state)
@@ -50,13 +58,13 @@
 
 
 def _poll_endpoints(state: State) -> None:
-    """Ask for the endpoint list, and again after a while should no response come."""
+    """Request the endpoint list, and schedule another request in case no response comes."""
     state.actions.append(interface.Watch())
     state.endpoint_list.poll_at = state.now + endpoint_poll_backoff.repeat_interval_ms(state)
 
 
 def _route_waiting(state: State) -> None:
-    """Try the requests that wait for a server again."""
+    """Try again to send the requests that are waiting for a server."""
     waiting = state.waiting
     state.waiting = []
     unfinished = [in_flight for in_flight in waiting if in_flight.request.request in state.in_flight]
@@ -65,7 +73,7 @@
 
 
 def handle_client_disconnected(state: State, event: interface.ClientDisconnected) -> None:
-    """Forget a request whose client has gone."""
+    """Drop a request whose client has disconnected, and cancel its outstanding attempts."""
     if event.request in state.in_flight:
         final_response.cancel_outstanding(state, state.in_flight.pop(event.request))
 
@@ -87,20 +95,23 @@
 
 
 class RolloutPolicy(State):
-    """Decides for one gateway where requests go and how far a rollout goes: events in, actions out."""
+    """Decides where one gateway sends its requests and how it votes on rollouts.
+
+    `handle` takes each event and returns the actions that the gateway has to carry out.
+    """
 
     def __init__(
         self, settings: interface.Settings, seed: int, placements: Sequence[interface.Placement] = ()
     ) -> None:
-        """Begin with nothing known.
+        """Start without any servers, requests or rollout.
 
         Args:
-            settings: What the platform tells a gateway at its start.
-            seed: All draws of chance follow from it.
-            placements: The placement policies of an experiment's arms; the first is not used.
+            settings: The settings that the platform gives a gateway when it starts.
+            seed: The seed of all random decisions.
+            placements: The placement policy of each arm of an experiment; the first one is not used.
         """
         super().__init__(settings, seed)
-        max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION  # no class has to wait longer
+        max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION  # the shortest of all classes
         interval_ms = admission.WAITING_POLL_INTERVAL_MS
         self.waiting_poll_interval_ms = min(interval_ms, max_wait_ms) or interval_ms
         self.retry_budget = retry_budget.INITIAL_BUDGET
@@ -115,12 +126,12 @@
         self.gossip = GossipState(Random(seed + GOSSIP_SEED).getrandbits(32), clock_skew_s)
 
     def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        """Take in an event, at a time in ms, and return the actions to carry out."""
+        """Handle an event that occurred at the time `now`, in ms, and return the actions to carry out."""
         self.now = now
         self.actions = []
         if self.endpoint_list.poll_at == -math.inf and self.servers:
             self.endpoint_list.poll_at = now + endpoint_poll_backoff.first_call_delay_ms(self)
-        if now > self.timer_at + STALL_MS:
+        if now > self.timer_at + STALL_THRESHOLD_MS:
             self.resumed_at = now
         while self.pending_outcomes and self.pending_outcomes[0][0] <= now:
             _, counts = self.pending_outcomes.popleft()
@@ -132,9 +143,10 @@
         return self.actions
 
     def _next_due_at(self) -> float:
-        """Return when there is something to do; never for an idle policy, which costs nothing."""
+        """Return when the timer has to fire next; infinity while the gateway is idle, to use no CPU."""
         idle_ms = OUTSTANDING_POLL_INTERVAL_MS if self.attempts else math.inf
         requests_at = self.now + (self.waiting_poll_interval_ms if self.waiting else idle_ms)
-        gossip_at = self.gossip_at if self.gossip.received else math.inf  # digests get old, idle or not
+        # Received digests go out of date even while there are no requests.
+        gossip_at = self.gossip_at if self.gossip.received else math.inf
         query_at = endpoint_list_confirmation.next_query_at(self)
         return min(self.evaluate_at, self.endpoint_list.poll_at, gossip_at, requests_at, query_at)
--- a/meadowpulley/policy/retry_budget.py
+++ b/meadowpulley/policy/retry_budget.py
@@ -1,27 +1,28 @@
-"""The retry budget: retries are a bounded part of the requests, so that they cannot feed an overload.
+"""The retry budget: limits retries to a fraction of requests, so that they prolong no overload.
 
-Each request that arrives at this gateway adds a part of a retry, also where it is then shed. Each retry of
-an attempt that ended takes one; the first attempt here of a request that was taken over takes none.
+Each request that arrives at this gateway adds a fraction of a retry to the budget, even if the request is
+then shed. Each retry after an attempt has ended takes one from it. The first attempt that this gateway
+makes for an adopted request takes none.
 """
 
 from meadowpulley.state import State
 
-BUDGET_PER_REQUEST = 0.1  # retries
-MAX_BUDGET = 10.0  # retries
-INITIAL_BUDGET = 1.0  # retries
+BUDGET_PER_REQUEST = 0.1  # retries that each request adds to the budget
+MAX_BUDGET = 10.0  # retries that the budget holds at most
+INITIAL_BUDGET = 1.0  # retries available when the gateway starts
 RETRY_COST = 1.0
 
 
 def replenish(state: State) -> None:
-    """Add what a request that arrived at this gateway brings."""
+    """Add the budget for one request that arrived at this gateway."""
     state.retry_budget = min(state.retry_budget + BUDGET_PER_REQUEST, MAX_BUDGET)
 
 
 def allows_retry(state: State) -> bool:
-    """Tell whether the budget has room for another retry."""
+    """Return whether the budget allows another retry."""
     return state.retry_budget >= RETRY_COST
 
 
 def spend(state: State) -> None:
-    """Take a retry that was sent from the budget."""
+    """Subtract a retry that was sent from the budget."""
     state.retry_budget -= RETRY_COST
--- a/meadowpulley/policy/retry_eligibility.py
+++ b/meadowpulley/policy/retry_eligibility.py
@@ -1,7 +1,7 @@
-"""Whether a request that an earlier attempt may have executed may be executed again, where and until when.
+"""Whether, where and until when a request may be executed again after attempts that may have run.
 
-An effect must not happen twice: a non-idempotent request is never repeated, one with an idempotency key only
-at servers that drop its repeats, and only while these remember the key.
+A request must not take effect twice. A non-idempotent request is therefore never repeated. A request with an
+idempotency key is repeated only at servers that drop duplicates of it, and only while they remember the key.
 """
 
 import math
@@ -12,12 +12,12 @@
 
 
 def may_repeat(state: State, in_flight: InFlightRequest, server: Server) -> bool:
-    """Tell whether the request may be executed at the server after all that may have executed it."""
+    """Return whether the server may execute the request despite all attempts that may have executed it."""
     return all([_may_follow(state, previous, server) for previous in in_flight.possible_executions])
 
 
 def _may_follow(state: State, previous: Attempt, server: Server) -> bool:
-    """Tell whether the request may be executed at the server though an attempt may have executed it."""
+    """Return whether the server may execute the request although `previous` may have executed it."""
     if state.now >= _repeatable_until(state, previous):
         return False
     request_class = previous.in_flight.request_class
@@ -27,14 +27,14 @@
 
 
 def repeatable_until(state: State, in_flight: InFlightRequest) -> float:
-    """Return until when the request may be written again; infinite where no attempt stands against it."""
+    """Return until when the request may be written again; infinity if no earlier attempt forbids it."""
     return min(
         [_repeatable_until(state, previous) for previous in in_flight.possible_executions] or [math.inf]
     )
 
 
 def _repeatable_until(state: State, previous: Attempt) -> float:
-    """Return until when a request that an attempt may have executed may be executed again."""
+    """Return until when the request may be executed again, given that `previous` may have executed it."""
     request_class = previous.in_flight.request_class
     if request_class.effect is Effect.IDEMPOTENT:
         return math.inf
--- a/meadowpulley/policy/send_permission.py
+++ b/meadowpulley/policy/send_permission.py
@@ -1,10 +1,11 @@
-"""The one place that says whether a request may be sent to a server now, why not, and until when it holds.
+"""Decides whether a request may be sent to a server now, for which reason not, and until when it may.
 
-Every attempt passes `may_send`: the first, a retry, one after a health check, one of an adopted request. The
-gateway checks again when it writes (`net/write_permission.py`), by the time that `write_by` gives it.
+`may_send` checks every attempt: the first of a request, a retry, one that follows a health check, and one
+of an adopted request. The gateway checks again when it writes the request (`net/write_permission.py`), and
+refuses to write it once the time that `write_by` returned has passed.
 
-These are the rules. That an ejected server gets nothing is a preference, and no rule: `server_selection`
-leaves it out before.
+The checks here are strict rules. Sending nothing to an ejected server is only a preference:
+`server_selection` leaves such servers out beforehand.
 """
 
 from enum import Enum
@@ -17,11 +18,12 @@
 
 
 class SendRefusal(Enum):
-    """Why a request may not be sent to a server now; the value names its counter.
+    """Why a request may not be sent to a server now; the value is the name of the reason's counter.
 
-    A new reason goes here and, in its place, into `send_refusal`; where it can change until the request is
-    written, into `write_by` or `net/write_permission.py` too. Its counter `send_refused.*` and its part of
-    `interval_metrics` follow by themselves; docs/on-call.md and the table of rules in docs/design.md don't.
+    To add a reason, define it here and check it in `send_refusal`, at its place in the order of the
+    checks. If it can arise before the request is written, also check it in `write_by` or
+    `net/write_permission.py`. The counter `send_refused.*` and the entry in `interval_metrics` are added
+    automatically, but docs/on-call.md and the table of rules in docs/design.md have to be edited.
     """
 
     REQUEST_FINISHED = "request_finished"
@@ -37,7 +39,7 @@
 
 
 def may_send(state: State, in_flight: InFlightRequest, server: Server) -> bool:
-    """Check an attempt against all rules, and count why it may not be sent."""
+    """Return whether all rules allow the attempt; a refusal is counted by its reason."""
     refusal = send_refusal(state, in_flight, server)
     if refusal is not None:
         state.send_refusals[refusal.value] += 1
@@ -45,7 +47,7 @@
 
 
 def send_refusal(state: State, in_flight: InFlightRequest, server: Server) -> SendRefusal | None:
-    """Return why a request may not be sent to a server now; None if it may."""
+    """Return why the request may not be sent to the server now, or None if it may."""
     if refusal := _request_refusal(state, in_flight):
         return refusal
     if not server.is_ready or state.servers.get(server.id) is not server:
@@ -62,7 +64,7 @@
 
 
 def _request_refusal(state: State, in_flight: InFlightRequest) -> SendRefusal | None:
-    """Return why a request may not be sent anywhere."""
+    """Return why the request may not be sent to any server now, or None if no such reason exists."""
     request = in_flight.request
     limits = state.settings.limits
     if request.request not in state.in_flight:
@@ -79,5 +81,5 @@
 
 
 def write_by(state: State, in_flight: InFlightRequest, server: Server) -> float:
-    """Return until when a request that may be sent now may be written, on the clock of the events."""
+    """Return until when a request that may be sent now may be written, in ms on the events' clock."""
     return min(usable_until(state, server), repeatable_until(state, in_flight))
--- a/meadowpulley/policy/sending.py
+++ b/meadowpulley/policy/sending.py
@@ -1,4 +1,4 @@
-"""Sending an attempt that `send_permission` allows, with the records that the rules need of it."""
+"""Sends an attempt that `send_permission` allows, and records what later checks of the rules need."""
 
 from meadowpulley.interface import Send
 from meadowpulley.policy.endpoint_lease import lease_basis
@@ -12,7 +12,8 @@
 ) -> None:
     """Send the next attempt of a request.
 
-    It has no time-out of its own: at many sites abandoned work runs on, and repeats feed an overload.
+    An attempt has no timeout of its own: at many sites, servers continue work that the gateway has
+    abandoned, so retries after a timeout would make an overload worse.
     """
     write_by_ms = write_by(state, in_flight, server)
     state.sends_by_lease_basis[lease_basis(state).value] += 1
