--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""Drives one policy: hands it events and collects its actions."""
+"""A test driver for the policy of one gateway, and the settings that the tests share."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 class Driver:
-    """One gateway's policy, with its clock, its requests and the numbers of their attempts."""
+    """Passes events to the policy of one gateway on a clock that the test sets."""
 
     def __init__(self, policy_settings: Settings | None = None, seed: int = 7, released: bool = True) -> None:
         self.policy = RolloutPolicy(policy_settings or settings(), seed)
--- a/tests/test_endpoint_lease.py
+++ b/tests/test_endpoint_lease.py
@@ -1,4 +1,4 @@
-"""An endpoint list may be acted on for a bounded time, and is renewed before its changes bind."""
+"""The lease on the endpoint list ends before a missed change takes effect; only discovery renews it."""
 
 from __future__ import annotations
 
@@ -24,13 +24,14 @@
 from tests.driver import RULES, Driver, sends, server_entry, settings
 
 SEEDS = range(40)
-QUEUE_MS = 2_000.0  # how long discovery keeps a call that it cannot answer
+QUEUE_MS = 2_000.0  # how long a call waits for its failure while discovery is down
 OUTAGE_MS = 8_000.0
-DRAIN_GRACE_MS = 2_000.0  # of the fleet whose gateways broke the rule
+# Drain grace, in ms, of the fleet whose gateways sent requests to drained servers.
+DRAIN_GRACE_MS = 2_000.0
 
 
 def start_with_cached_list(seed: int) -> DiscoveryHarness:
-    """A gateway of a fleet of 200 that has just started with the list of its configuration."""
+    """Return a gateway of a fleet of 200 that has just started with the list of its configuration."""
     harness = DiscoveryHarness(must_poll=True, seed=seed)
     harness.queue_ms = QUEUE_MS
     harness.dispatch(EndpointUpdate(EndpointUpdateKind.CACHED, 0, (server_entry(1),)))
@@ -38,7 +39,7 @@
 
 
 def sends_at(harness: DiscoveryHarness, step_ms: float, until: Callable[[], bool]) -> list[float]:
-    """Ask for a server every `step_ms` until a condition holds; return when a request was sent."""
+    """Make a request every `step_ms` until a condition holds; return when requests were sent."""
     sent_at = []
     while not until():
         harness.run(step_ms)
@@ -49,9 +50,10 @@
     return sent_at
 
 
-def test_a_started_gateway_sends_nothing_past_the_grace_until_its_list_is_confirmed() -> None:
-    # Restarted gateways went on with the list of their configuration until discovery answered, first for
-    # want of any bound (incident-1), then by the good responses of servers that had come back unlisted.
+def test_a_started_gateway_sends_nothing_after_the_grace_until_its_list_is_confirmed() -> None:
+    # Restarted gateways used the list of their configuration until discovery answered: at first because
+    # nothing limited its age (incident-1), later because successful responses of restarted servers that
+    # discovery did not list yet renewed the lease.
     for seed in SEEDS:
         harness = start_with_cached_list(seed)
         harness.down_until = math.inf
@@ -59,24 +61,25 @@
         assert sent_at and max(sent_at) < DRAIN_GRACE_MS, seed
 
 
-def test_after_an_outage_nothing_is_sent_by_a_list_whose_changes_count_as_told() -> None:
+def test_after_an_outage_nothing_is_sent_by_a_list_whose_changes_count_as_notified() -> None:
     for seed in SEEDS:
         harness = start_with_cached_list(seed)
-        while len(harness.calls_received) < 2:  # the list has come, and the watch is open
+        while len(harness.calls_received) < 2:  # until the list has arrived and the watch is open
             harness.run(10.0)
         harness.down_until = harness.now + OUTAGE_MS
         harness.run(OUTAGE_MS)
         returned_at, harness.version = harness.now, harness.version + 1
         sent_at = sends_at(harness, 100.0, lambda: harness.updates[-1][1] == harness.version)  # noqa: B023
-        binds_at = returned_at + NOTIFIED_AFTER_SILENCE_MS + DRAIN_GRACE_MS
-        assert not [at for at in sent_at[:-1] if at >= binds_at], seed
+        takes_effect_at = returned_at + NOTIFIED_AFTER_SILENCE_MS + DRAIN_GRACE_MS
+        assert not [at for at in sent_at[:-1] if at >= takes_effect_at], seed
         assert harness.updates[-1][0] - returned_at <= MAX_RETRY_MS + 2 * QUEUE_MS, seed
 
 
 CACHED, FULL = EndpointUpdateKind.CACHED, EndpointUpdateKind.FULL
 FAILED, BROKEN = EndpointUpdateKind.FAILED, EndpointUpdateKind.BROKEN
 TICK_MS = 5.0
-GRACE_MS = RULES.drain_grace_ms - STALL_ALLOWANCE_MS - TICK_MS  # that decisions may use up
+# The part of the drain grace during which the policy may still decide to send.
+GRACE_MS = RULES.drain_grace_ms - STALL_ALLOWANCE_MS - TICK_MS
 LONG_POLL_MS = 10_000.0
 ENTRY = (server_entry(1),)
 
@@ -93,7 +96,7 @@
     [
         (True, [(0.0, EndpointUpdate(CACHED, 0, ENTRY))], GRACE_MS),
         (False, [(0.0, EndpointUpdate(CACHED, 0, ENTRY))], GRACE_MS),
-        # A list is true as of its call, however late it comes.
+        # A list is valid as of the time of its call, however late it arrives.
         (
             True,
             [(900.0, EndpointUpdate(FULL, 1, ENTRY, 100.0))],
@@ -108,7 +111,7 @@
             ],
             950.0 + LONG_POLL_MS + NOTIFIED_AFTER_WAIT_MS + GRACE_MS,
         ),
-        # A watch that ends early covers nothing any more, whoever ended it.
+        # A watch that ends early no longer extends the lease, whichever side ended it.
         (
             True,
             [
@@ -127,7 +130,7 @@
             ],
             100.0 + NOTIFIED_AFTER_SILENCE_MS + GRACE_MS,
         ),
-        # What broke off may have been a list: its changes count as notified, until the next list comes.
+        # A broken response may have held a list: its changes count as notified until the next list arrives.
         (
             True,
             [
@@ -145,7 +148,7 @@
             ],
             2100.0 + NOTIFIED_AFTER_SILENCE_MS + GRACE_MS,
         ),
-        # Failed calls do not renew what was never confirmed.
+        # Failed calls do not renew a list that discovery has never confirmed.
         (
             True,
             [
@@ -154,7 +157,7 @@
             ],
             GRACE_MS,
         ),
-        # Discovery that pushes lists and fails a call notifies nobody.
+        # If discovery pushes lists, a failed call ends the watch: the lease then lasts for the grace.
         (
             False,
             [
@@ -166,7 +169,7 @@
         (False, [(0.0, EndpointUpdate(FULL, 1, ENTRY))], math.inf),
     ],
 )
-def test_a_list_may_be_acted_on_until_the_first_change_that_it_may_lack_binds(
+def test_the_lease_ends_when_the_first_missed_change_takes_effect(
     must_poll: bool, events: list[tuple[float, Event]], until: float
 ) -> None:
     driver = Driver(settings(must_poll=must_poll))
@@ -177,7 +180,7 @@
         (send,) = sends(driver.request())
         assert send.write_by_ms == until
         driver.finish(send, Result.REJECTED)
-        driver.now = until + 1000.0  # no backoff of the server is left
+        driver.now = until + 1000.0  # by now the backoff after the rejection is over
         assert [type(action) for action in driver.request() if not sends([action])][:1] == [Reject]
 
 
@@ -188,7 +191,7 @@
     assert usable_until(driver.policy, server) == math.inf
 
 
-def test_a_lost_list_ends_the_lease_and_is_asked_for_again_within_the_grace() -> None:
+def test_a_lost_list_shortens_the_lease_and_is_requested_again_within_the_grace() -> None:
     for seed in SEEDS:
         driver = Driver(settings(must_poll=True, gateway_count=200), seed)
         server = handle_all(driver, [(0.0, EndpointUpdate(FULL, 1, ENTRY, 0.0))])
@@ -202,8 +205,8 @@
 
 
 def test_a_response_does_not_renew_the_lease_on_a_server() -> None:
-    # Discovery alone says what is listed. Responses kept servers in use, and with thin traffic nothing told
-    # that the one who responded was a later incarnation, not listed yet.
+    # Only discovery knows which servers are listed. When responses renewed the lease, a gateway with little
+    # traffic went on using an address without noticing that a later incarnation, not listed yet, responded.
     driver = Driver(settings(must_poll=True))
     server = handle_all(driver, [(0.0, EndpointUpdate(FULL, 1, ENTRY, 0.0))])
     until = usable_until(driver.policy, server)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The limits that the project sets its decision module."""
+"""Limits on the source of the policy package: file sizes, imports and absence of I/O."""
 
 import re
 import tomllib
@@ -8,38 +8,42 @@
 from tests.test_sizes import imports_of
 
 ROOT = Path(__file__).parent.parent
-POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
+POLICY_FILES = [
+    ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+]
 MAX_LINES_PER_FILE = 200
 PACKAGE = ROOT / "meadowpulley" / "policy"
 
 
-def test_policy_names_all_files_of_the_module() -> None:
-    assert sorted(POLICY) == sorted(PACKAGE.glob("*.py"))
+def test_deployed_policy_lists_all_files_of_the_package() -> None:
+    assert sorted(POLICY_FILES) == sorted(PACKAGE.glob("*.py"))
 
 
-def test_module_s_files_stay_small() -> None:
-    # The operators withdrew the limit on the module's lines; each file has one job and stays short.
-    files = [file.read_text().splitlines() for file in POLICY]
+def test_policy_files_stay_small() -> None:
+    # The operators withdrew the limit on the lines of the whole package; each file has one task and stays
+    # short.
+    files = [file.read_text().splitlines() for file in POLICY_FILES]
     assert max(len(lines) for lines in files) <= MAX_LINES_PER_FILE
     assert max(len(line) for lines in files for line in lines) <= 110
 
 
-def test_module_names_its_interface_at_the_top() -> None:
-    assert "meadowpulley/interface" in "\n".join(POLICY[0].read_text().splitlines()[:5])
+def test_policy_package_names_its_interface_at_the_top() -> None:
+    assert "meadowpulley/interface" in "\n".join(POLICY_FILES[0].read_text().splitlines()[:5])
 
 
-def test_module_s_files_need_each_other_one_way_only() -> None:
-    needs = {file.stem: imports_of(file, "meadowpulley.policy") for file in POLICY}
-    assert list(TopologicalSorter(needs).static_order())[-1] == "__init__"  # raises CycleError on a circle
+def test_policy_files_do_not_import_each_other_in_circles() -> None:
+    imports_by_file = {file.stem: imports_of(file, "meadowpulley.policy") for file in POLICY_FILES}
+    # static_order raises CycleError if the imports are circular.
+    assert list(TopologicalSorter(imports_by_file).static_order())[-1] == "__init__"
 
 
-def test_module_does_no_io_and_reads_no_clock() -> None:
-    text = "".join(file.read_text() for file in POLICY)
+def test_policy_does_no_io_and_reads_no_clock() -> None:
+    text = "".join(file.read_text() for file in POLICY_FILES)
     for word in ("import os", "import sys", "import time", "open(", "print(", "global "):
         assert word not in text
 
 
-def test_adapter_and_interface_import_only_what_they_may() -> None:
+def test_adapter_interface_and_settings_import_only_what_is_allowed() -> None:
     for name in ("codec.py", "reply.py"):
         assert "meadowpulley.policy" not in (ROOT / "meadowpulley" / "simulator_adapter" / name).read_text()
     for file in (ROOT / "meadowpulley" / "interface").glob("*.py"):
--- a/tests/test_list_call_load.py
+++ b/tests/test_list_call_load.py
@@ -1,4 +1,4 @@
-"""Calls for the endpoint list by a whole fleet, at a discovery that handles them in turn."""
+"""Calls for the endpoint list by a whole fleet, with a discovery that handles one call at a time."""
 
 from __future__ import annotations
 
@@ -21,34 +21,35 @@
 from tests.driver import server_entry, settings
 
 ENTRIES = (server_entry(1), server_entry(2))
-FLEET_SERVICE_MS = 7_000.0  # in which discovery can answer one call of each gateway
-CALL_TIMEOUT_MS = 2_000.0  # after which a call that waits fails; its turn is used up all the same
-MAX_BACKLOG_MS = 2 * CALL_TIMEOUT_MS  # beyond it calls fail at once, and cost nothing
+FLEET_SERVICE_MS = 7_000.0  # time in which discovery can answer one call of each gateway
+CALL_TIMEOUT_MS = 2_000.0  # time after which a waiting call fails, but still takes its turn
+MAX_BACKLOG_MS = 2 * CALL_TIMEOUT_MS  # with a longer queue calls fail at once, without taking a turn
 WATCH_MS = 10_000.0
 OUTAGE_MS = 8_000.0
-CURRENT_FRACTION = 0.9
-CURRENT_WITHIN_MS = 10_000.0
+MIN_WATCHING_FRACTION = 0.9
+RECOVERY_MS = 10_000.0
 SEEDS = range(5)
 
 
-class CrowdedFleet:
-    """Policies of a fleet on a virtual clock, and a discovery of finite capacity that they call.
+class FleetWithLimitedDiscovery:
+    """The policies of a fleet on a virtual clock, and the discovery of limited capacity that they call.
 
-    As the bench's page describes it: calls take their turn, a call that waits too long fails, and a change
-    costs a turn for each watch that is open.
+    Discovery works as the documentation of the test bench describes it: it handles calls in turn, a call
+    that waits too long fails, and a change takes one turn for each open watch.
     """
 
     def __init__(self, gateway_count: int, seed: int) -> None:
         self.now, self._events = 0.0, list[tuple[float, int, Callable[[], None]]]()
         self._sequence = 0
         self._turn_ms = FLEET_SERVICE_MS / gateway_count
-        self._free_at = 0.0  # when discovery has handled all calls that it has accepted
+        self._free_at = 0.0  # when discovery will have handled all calls that it has accepted
         self._down_until = 0.0
         self.policies = [
             RolloutPolicy(settings(must_poll=True, gateway_count=gateway_count), seed * 1000 + n)
             for n in range(gateway_count)
         ]
-        self._epochs = [0] * gateway_count  # of the calls of each gateway: an older one was given up
+        # The number of each gateway's latest call; the gateway has abandoned its earlier calls.
+        self._epochs = [0] * gateway_count
         self.watching: set[int] = set()
         for number in range(gateway_count):
             self._dispatch(number, EndpointUpdate(EndpointUpdateKind.CACHED, 0, ENTRIES))
@@ -103,29 +104,29 @@
             self._open_watch(number, epoch, as_of_ms)
 
     def _open_watch(self, number: int, epoch: int, as_of_ms: float) -> None:
-        """Open the next long poll within the time that continues a watch: it costs a turn once answered."""
+        """Open the next long poll at once, which continues the watch; only its answer takes a turn."""
         if epoch == self._epochs[number]:
             self.watching.add(number)
             self._dispatch(number, EndpointWatchOpened(WATCH_MS, as_of_ms))
 
     def fail(self, duration_ms: float) -> None:
-        """Make discovery unavailable for a while: all watches end."""
+        """Make discovery unavailable for some time, which ends all watches."""
         self._down_until, self._free_at = self.now + duration_ms, 0.0
         watching, self.watching = sorted(self.watching), set[int]()
         for number in watching:
             self._fail(number, self._epochs[number])
 
 
-def test_no_queue_at_discovery_is_kept_full_by_calls_that_fail_in_it() -> None:
-    # After an outage calls ended with 503 until the end of the day: those that had waited too long to be of
-    # use filled the queue that made them wait. The same after a start of the whole fleet.
-    current = {}
+def test_failing_calls_do_not_keep_the_queue_of_discovery_full() -> None:
+    # After an outage all calls failed with 503 until the end of the day: calls that had already timed out
+    # filled the queue, so that later calls timed out too. A start of the whole fleet had the same effect.
+    watching_fractions = {}
     for gateway_count, seed in product((60, 200), SEEDS):
-        fleet = CrowdedFleet(gateway_count, seed)
-        fleet.run_until(CURRENT_WITHIN_MS)
-        current["start", gateway_count, seed] = len(fleet.watching) / gateway_count
-        fleet.run_until(2 * CURRENT_WITHIN_MS)
+        fleet = FleetWithLimitedDiscovery(gateway_count, seed)
+        fleet.run_until(RECOVERY_MS)
+        watching_fractions["start", gateway_count, seed] = len(fleet.watching) / gateway_count
+        fleet.run_until(2 * RECOVERY_MS)
         fleet.fail(OUTAGE_MS)
-        fleet.run_until(fleet.now + OUTAGE_MS + CURRENT_WITHIN_MS)
-        current["outage", gateway_count, seed] = len(fleet.watching) / gateway_count
-    assert min(current.values()) >= CURRENT_FRACTION, current
+        fleet.run_until(fleet.now + OUTAGE_MS + RECOVERY_MS)
+        watching_fractions["outage", gateway_count, seed] = len(fleet.watching) / gateway_count
+    assert min(watching_fractions.values()) >= MIN_WATCHING_FRACTION, watching_fractions
--- a/tests/test_list_confirmation.py
+++ b/tests/test_list_confirmation.py
@@ -1,4 +1,4 @@
-"""Gateways confirm each other's endpoint lists by what discovery told them, and by nothing else."""
+"""Gateways confirm each other's endpoint lists with what discovery told them, and with nothing else."""
 
 from __future__ import annotations
 
@@ -37,7 +37,11 @@
 
 
 def gateway(index: int, entries: tuple[ServerEntry, ...], as_of_ms: float | None) -> Driver:
-    """A gateway of three with a list: that of its configuration, or one that it asked discovery for."""
+    """Return a gateway of three that has an endpoint list.
+
+    The list is from its configuration if `as_of_ms` is None, and otherwise from discovery, asked at that
+    time.
+    """
     base = settings(must_poll=True, gateway_count=3, limits=replace(LIMITS, gossip=True))
     driver = Driver(replace(base, gateway_index=index))
     kind = CACHED if as_of_ms is None else FULL
@@ -49,13 +53,15 @@
     return [a for a in actions if isinstance(a, SendGossip) and isinstance(decode(a.data), ListQuery)]
 
 
-def exchange(asking: Driver, replying: Driver, asked_at: float, replied_at: float, back_at: float) -> None:
-    """Carry a question to the other gateway, and its reply, if there is one, back."""
-    asking.now = asked_at
+def exchange(
+    asking: Driver, replying: Driver, queried_at: float, replied_at: float, reply_received_at: float
+) -> None:
+    """Deliver a query to the other gateway and its reply, if there is one, to the gateway that asked."""
+    asking.now = queried_at
     query = queries(asking.handle(Timer(TIMER_TOKEN)))[0]
     replying.now = replied_at
     answers = replying.handle(GossipReceived(ASKING, query.data))
-    asking.now = back_at
+    asking.now = reply_received_at
     for answer in [a for a in answers if isinstance(a, SendGossip) and a.peer == ASKING]:
         asking.handle(GossipReceived(REPLYING, answer.data))
 
@@ -64,11 +70,14 @@
     return [usable_until(driver.policy, driver.policy.servers[n]) for n in sorted(driver.policy.servers)]
 
 
-@pytest.mark.parametrize("back_at", [650.0, 1500.0])
-def test_a_reply_renews_the_lease_as_of_when_the_other_had_asked_discovery(back_at: float) -> None:
+@pytest.mark.parametrize("reply_received_at", [650.0, 1500.0])
+def test_a_reply_renews_the_lease_as_of_when_the_other_gateway_asked_discovery(
+    reply_received_at: float,
+) -> None:
     asking, replying = gateway(ASKING, ENTRIES, None), gateway(REPLYING, ENTRIES, 40.0)
-    exchange(asking, replying, 600.0, 640.0, back_at)
-    # The list was 600 ms old, rounded up, when the reply was made; that was no earlier than the question.
+    exchange(asking, replying, 600.0, 640.0, reply_received_at)
+    # When the reply was made, the age of the list was 600 ms, which the codec increases to 601 ms. The
+    # asking gateway subtracts that from the time of its query, because the reply cannot be earlier.
     as_of_ms = 600.0 - 601.0
     assert leases(asking) == [as_of_ms + NOTIFICATION_MS + GRACE_MS] * len(ENTRIES)
 
@@ -78,11 +87,11 @@
     [
         {"state": ServerState.DRAINING},
         {"state": ServerState.REMOVED},
-        {"started_unix_ms": 9000.0},  # ended and back at its address: another incarnation
+        {"started_unix_ms": 9000.0},  # the server has restarted at its address: another incarnation
         {"build": 42},
     ],
 )
-def test_a_server_that_the_other_lists_differently_is_not_confirmed(change: dict[str, Any]) -> None:
+def test_a_server_that_the_other_gateway_lists_differently_is_not_confirmed(change: dict[str, Any]) -> None:
     changed = (replace(ENTRIES[0], **change), *ENTRIES[1:])
     asking, replying = gateway(ASKING, ENTRIES, None), gateway(REPLYING, changed, 90.0)
     exchange(asking, replying, 600.0, 600.0, 610.0)
@@ -93,7 +102,7 @@
     assert {send.server for _ in range(30) for send in sends(asking.request())} <= {1, 2, 3}
 
 
-def test_an_old_list_a_late_reply_to_no_question_and_a_foreign_one_confirm_nothing() -> None:
+def test_an_old_list_an_unrequested_reply_and_an_invalid_datagram_confirm_nothing() -> None:
     asking, replying = gateway(ASKING, ENTRIES, None), gateway(REPLYING, ENTRIES, 0.0)
     before = leases(asking)
     exchange(asking, replying, 600.0, NOTIFICATION_MS, NOTIFICATION_MS + 100.0)
@@ -103,7 +112,7 @@
     assert leases(asking) == before
 
 
-def test_gateways_are_asked_only_as_the_lease_ends_and_where_lists_expire() -> None:
+def test_gateways_are_queried_only_near_the_end_of_the_lease_and_if_lists_expire() -> None:
     asking = gateway(ASKING, ENTRIES, 0.0)
     asking.now = NOTIFICATION_MS + GRACE_MS - 3100.0
     assert not queries(asking.handle(Timer(TIMER_TOKEN)))
@@ -120,7 +129,7 @@
         assert not queries(driver.handle(Timer(TIMER_TOKEN)))
 
 
-def test_of_many_servers_those_are_asked_for_that_the_gateway_prefers() -> None:
+def test_if_there_are_many_servers_the_subset_is_queried_first() -> None:
     count = 50 * MAX_FINGERPRINTS
     entries = tuple(replace(ENTRIES[0], server=n) for n in range(count))
     asking, replying = gateway(ASKING, entries, None), gateway(REPLYING, entries, 90.0)
@@ -132,7 +141,7 @@
     assert confirmed == set(range(2 * MAX_FINGERPRINTS))
 
 
-def test_messages_fit_into_a_datagram_and_other_bytes_are_none() -> None:
+def test_messages_fit_into_a_datagram_and_invalid_bytes_are_not_decoded() -> None:
     reply = ListReply(7, 1234.2, tuple(range(MAX_FINGERPRINTS)))
     assert decode(encode(reply)) == replace(reply, age_ms=1235.0)
     assert decode(encode(replace(reply, age_ms=1e9))) == replace(reply, age_ms=65535.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each of the five rules at its edges, and odd input that is legal."""
+"""Edge cases of each of the five rules that the policy must keep, and unusual but valid input."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
     settings,
 )
 
-ONE_MORE = (Result.REJECTED, Result.CONNECT_FAILED)
+NEVER_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED)
 
 
-# No request is lost
+# Each request gets a final response
 
 
 def test_a_request_without_servers_is_answered_before_its_deadline() -> None:
@@ -48,8 +48,9 @@
     assert answers == [Reject(1, 500.0)]
 
 
-def test_a_request_with_hardly_any_time_left_is_answered_at_once() -> None:
-    # A request that waited past its deadline for the next tick was lost on an overloaded day.
+def test_a_request_with_almost_no_time_left_is_answered_at_once() -> None:
+    # During an overload a request got no response: it waited for the next tick, which came after its
+    # deadline.
     driver = Driver()
     driver.update_endpoints([])
     assert [a for a in driver.request(SAFE, time_left_ms=60.0) if isinstance(a, Reject)] == [Reject(1, 500.0)]
@@ -64,7 +65,7 @@
     assert not driver.handle(ClientDisconnected(1))
 
 
-def test_outcomes_after_the_end_change_nothing() -> None:
+def test_outcomes_after_the_end_of_a_request_have_no_effect() -> None:
     driver = Driver()
     list_servers(driver)
     [send] = sends(driver.request(SAFE))
@@ -73,7 +74,7 @@
     assert driver.finish(send, Result.OK) == []
 
 
-# No effect happens twice
+# No request takes effect twice
 
 
 def test_a_non_idempotent_request_that_may_have_been_executed_fails() -> None:
@@ -84,7 +85,7 @@
         assert driver.finish(send, result) == [Fail(1)]
 
 
-@pytest.mark.parametrize("result", ONE_MORE)
+@pytest.mark.parametrize("result", NEVER_EXECUTED)
 def test_a_non_idempotent_request_that_was_not_executed_is_retried(result: Result) -> None:
     driver = Driver()
     list_servers(driver)
@@ -101,7 +102,7 @@
     assert again.server != send.server
 
 
-def test_a_request_with_idempotency_key_is_retried_within_its_window_only() -> None:
+def test_a_request_with_idempotency_key_is_retried_only_within_its_deduplication_window() -> None:
     last_ms = CLASSES[KEYED].deduplication_window_ms - STALL_ALLOWANCE_MS - settings().tick_ms
     for waited, repeated in ((last_ms - 1.0, True), (last_ms + 1.0, False), (2100.0, False)):
         driver = Driver()
@@ -111,7 +112,7 @@
         assert bool(sends(driver.finish(send, Result.ERROR))) is repeated
 
 
-def test_a_request_with_idempotency_key_stays_in_its_scope_and_fails_outside() -> None:
+def test_a_request_with_idempotency_key_is_retried_only_within_its_deduplication_scope() -> None:
     keyed = replace(CLASSES[KEYED], deduplication_scope=DeduplicationScope.CELL)
     driver = Driver(settings(classes=(*CLASSES[:2], keyed)))
     driver.update_endpoints([server_entry(1, cell=1), server_entry(2, cell=2)])
@@ -128,7 +129,7 @@
     assert not sends(driver.finish(send, Result.REJECTED))
 
 
-# Drains are kept
+# Nothing is sent to drained servers
 
 
 def test_nothing_goes_to_a_draining_or_removed_server() -> None:
@@ -149,49 +150,51 @@
     assert {s.server for _ in range(20) for s in sends(driver.request(SAFE))} == {2}
 
 
-def test_the_list_is_called_for_and_again_after_a_failure() -> None:
+def test_the_list_is_requested_and_requested_again_after_a_failure() -> None:
     driver = Driver(settings(must_poll=True))
     driver.update_endpoints([server_entry(1)], EndpointUpdateKind.CACHED)
     assert Watch() in driver.fire_timer()
     driver.update_endpoints([server_entry(1)])
     driver.now = 20_000.0
     assert Watch() not in driver.fire_timer()
-    for n in range(3):  # at once after the first failure, then slower
+    for n in range(3):  # the first retry comes at once, later ones after a pause
         driver.update_endpoints([], EndpointUpdateKind.FAILED)
         assert (Watch() in driver.fire_timer()) == (n == 0)
         driver.now += 5_000.0
         assert (Watch() in driver.fire_timer()) == (n > 0)
-    driver.now += 10_100.0  # no answer came at all
+    driver.now += 10_100.0  # the last call got no response at all
     assert Watch() in driver.fire_timer()
 
 
-# A cold server is not pushed over
+# A server in slow start is not overloaded
 
 
 def requests_by_server(driver: Driver, count: int, every: float) -> dict[int, int]:
-    got: dict[int, int] = {}
+    request_counts: dict[int, int] = {}
     for _ in range(count):
         driver.now += every
         for send in sends(driver.request(SAFE)):
-            got[send.server] = got.get(send.server, 0) + 1
+            request_counts[send.server] = request_counts.get(send.server, 0) + 1
             driver.finish(send)
-    return got
+    return request_counts
 
 
 def test_a_server_in_slow_start_gets_no_more_than_its_budget() -> None:
     driver = Driver(settings(gateway_count=1))
     list_servers(driver, 4)
     requests_by_server(driver, 400, 20.0)
-    # The others drain, so that all would go to the cold one: of 75 requests in its span an average server has
-    # done 15, twice that at 0.4 to 0.55 of its capacity (at most 16.5) is the limit.
+    # The other servers drain, so that without a limit the new server would get all requests. In its
+    # overload window of 75 requests an average server handles 15. The limit is twice that, multiplied by
+    # the slow start fraction of 0.4 to 0.55, which makes at most 16.5 requests.
     drained = [server_entry(n, state=ServerState.DRAINING) for n in range(4)]
     driver.update_endpoints([*drained, server_entry(9, started_ms=driver.now)])
     assert 3 < requests_by_server(driver, 74, 20.0).get(9, 0) <= 2.0 * 0.55 * 15
 
 
-def test_what_trial_servers_in_slow_start_may_not_have_does_not_overload_a_warm_one() -> None:
-    # Found on a day of spoilt answers: two warm trial servers got the part of six cold ones, three times an
-    # earlier one's, were slow by that, and a good build went back.
+def test_requests_refused_by_trial_servers_in_slow_start_do_not_overload_a_warm_one() -> None:
+    # Found on a day with faulty responses: two warm trial servers also got the requests meant for six
+    # servers in slow start, three times those of a server of the earlier build. This made them slow, and a
+    # good build was rolled back.
     driver = Driver()
     list_servers(driver, 8)
     driver.update_endpoints([*(server_entry(n) for n in range(8)), server_entry(10, 42)])
@@ -204,8 +207,8 @@
             *(server_entry(n, 42, driver.now) for n in range(11, 18)),
         ]
     )
-    got = requests_by_server(driver, 2500, 2.0)
-    assert got[10] < 1.5 * sum(got[n] for n in range(8)) / 8
+    request_counts = requests_by_server(driver, 2500, 2.0)
+    assert request_counts[10] < 1.5 * sum(request_counts[n] for n in range(8)) / 8
 
 
 def test_a_restarted_or_reused_id_is_a_new_server_in_slow_start() -> None:
@@ -215,6 +218,5 @@
         driver.now = 9000.0
         driver.update_endpoints([again])
         assert len(sends(driver.request(SAFE))) == 1
-        assert not sends(
-            driver.request(SAFE)
-        )  # nothing is known of its capacity yet: one at a time in each span
+        # The capacity of the new server is unknown: it gets one request per slot of the slow start budget.
+        assert not sends(driver.request(SAFE))
--- a/tests/test_watch_timeouts.py
+++ b/tests/test_watch_timeouts.py
@@ -1,4 +1,4 @@
-"""A watch without a response has to be found and reopened before the changes it missed count as notified."""
+"""A watch without a response is reopened before the changes that it missed count as notified."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 
 @pytest.mark.parametrize("must_poll", [True, False], ids=["polled", "pushed"])
 @pytest.mark.parametrize("answers", [0, 1, 2])
-def test_a_silent_watch_is_reopened_before_the_updates_it_misses_count_as_notified(
+def test_a_watch_without_a_response_is_reopened_before_missed_updates_count_as_notified(
     must_poll: bool, answers: int
 ) -> None:
-    """A silent watch of 10 s was given up 4 s after its wait, and retried up to 5 s later.
+    """Guard against reopening a watch without a response too late.
 
-    The jitter of the retry is meant for calls that fail at all gateways at once. 2 s after the wait changes
-    count as notified: for seconds a gateway of a full fleet sent to servers that were known to drain.
+    A watch of 10 s was given up 4 s after the end of its wait, and retried up to 5 s later, with the
+    jitter that is meant for calls that fail at all gateways at once. But changes count as notified 2 s
+    after the wait, so for seconds a gateway of a full-size fleet sent requests to servers that discovery
+    had reported as draining.
     """
     harness = DiscoveryHarness(must_poll)
     harness.silent_from = answers
@@ -28,12 +30,12 @@
         harness.dispatch(EndpointUpdate(EndpointUpdateKind.CACHED, 0, (server_entry(1),)))
     else:
         harness.discovery.start()
-    for _ in range(500):  # until the call that is not answered
+    for _ in range(500):  # until discovery has received the call that it does not answer
         if len(harness.calls_received) <= answers:
             harness.run(50.0)
     since, wait_ms = harness.calls_received[answers]
     harness.silent_from = float("inf")
-    harness.version += 1  # a change that this call will never report
+    harness.version += 1  # a change that the unanswered call never reports
     harness.run(wait_ms + 8_000.0)
     notified_by = max(since + NOTIFIED_AFTER_SILENCE_MS, since + wait_ms + NOTIFIED_AFTER_WAIT_MS)
     update_times = [at for at, version in harness.updates if at > since and version == harness.version]
@@ -44,12 +46,14 @@
 
 @pytest.mark.parametrize("must_poll", [True, False], ids=["polled", "pushed"])
 @pytest.mark.parametrize("step", ["moved", "outage"])
-def test_the_first_watch_after_sighup_or_an_outage_may_fall_silent(must_poll: bool, step: str) -> None:
+def test_the_first_watch_after_sighup_or_an_outage_is_reopened_if_it_gets_no_response(
+    must_poll: bool, step: str
+) -> None:
     harness = DiscoveryHarness(must_poll)
     harness.dispatch(EndpointUpdate(EndpointUpdateKind.CACHED, 0, (server_entry(1),)))
     if not must_poll:
         harness.discovery.start()
-    while len(harness.calls_received) < 2:  # the list has come, and the watch is open
+    while len(harness.calls_received) < 2:  # until the list has arrived and the watch is open
         harness.run(50.0)
     harness.silent_from = 1
     if step == "moved":
@@ -69,7 +73,7 @@
 
 
 def test_retries_after_a_failure_common_to_all_gateways_are_jittered() -> None:
-    """Only a silent watch, which each gateway detects at another time, is retried at once."""
+    """Only a watch without a response is retried at once: each gateway detects it at a different time."""
 
     def backoff_ms(kind: EndpointUpdateKind, seed: int) -> float:
         driver = Driver(settings(must_poll=True, gateway_count=200), seed=seed)
