--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -27,7 +27,7 @@
 
 
 def update(state: State, request_class: RequestClass, outcome: Outcome) -> None:
-    """Adjust the limit by the outcome of an attempt, which is no longer among the outstanding ones."""
+    """Adjust the limit after the outcome of an attempt that is no longer counted as outstanding."""
     outstanding = len(state.attempts) + 1
     objective_ms = request_class.latency_objective_ms
     ok = outcome.result is Result.OK
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -65,7 +65,7 @@
 
 
 def confirm_list(state: State, as_of_ms: float | None) -> None:
-    """Renew the lease by a list that holds all changes up to the time `as_of_ms`.
+    """Renew the lease with a list that holds all changes up to the time `as_of_ms`.
 
     The time is None if discovery pushes each later change, or reports a failure; the lease then lasts until
     the watch ends.
@@ -78,7 +78,7 @@
 
 
 def watch_opened(state: State, wait_ms: float) -> None:
-    """Extend the lease by a call that discovery answers within `wait_ms`, or sooner after a change."""
+    """Extend the lease while discovery holds a call, which it answers within `wait_ms`."""
     state.endpoint_list.watch_covers_until = state.now + wait_ms
 
 
@@ -110,7 +110,7 @@
 
 
 def usable_until(state: State, server: Server) -> float:
-    """Return until when requests may be written to the server, by the list or by a peer's confirmation."""
+    """Return until when the list or a peer's confirmation permits writing requests to the server."""
     if not state.rules.drain_grace_ms:  # this deployment has no drain rule
         return math.inf
     until = server.peer_confirmed_at + _notification_ms(state) + _grace_ms(state)
@@ -139,7 +139,7 @@
 
 
 def is_usable(state: State, server: Server) -> bool:
-    """Return whether requests may still be sent to the server by this gateway's list or by a peer."""
+    """Return whether the list or a peer's confirmation still permits sending to the server."""
     return state.now < usable_until(state, server)
 
 
--- a/meadowpulley/policy/exposure.py
+++ b/meadowpulley/policy/exposure.py
@@ -48,7 +48,7 @@
     """Return whether one more attempt at the build stays within the cap.
 
     Attempts are counted over a window that is one tick longer, and requests over one that is one tick
-    shorter, so that a tick's inaccuracy of time cannot exceed the cap.
+    shorter, so that times which are wrong by up to a tick do not break the cap.
     """
     tick_ms = state.settings.tick_ms
     exposure_class = in_flight.exposure_class
--- a/meadowpulley/policy/outcomes.py
+++ b/meadowpulley/policy/outcomes.py
@@ -1,6 +1,7 @@
-"""Outcomes of attempts: updates what is known of servers and builds, and decides how requests go on.
+"""Handles outcomes of attempts: records what they show, and decides what happens to the requests.
 
-After an outcome a request ends, is retried or is given up.
+After an outcome, the request ends, is retried or is given up. What is recorded concerns the health of the
+server, the build, latencies and the concurrency limit.
 """
 
 import math
@@ -44,7 +45,7 @@
 
 
 def _learn(state: State, attempt: Attempt, outcome: Outcome) -> None:
-    """Update server health, evidence on the build and the concurrency limit by an outcome."""
+    """Update server health, the evidence on the build and the concurrency limit with an outcome."""
     result = outcome.result
     ok = result is Result.OK
     # A stall of this gateway hides how long the attempts sent before it took. Their timing is not used,
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -26,9 +26,9 @@
 from meadowpulley.state import GossipState, State
 
 # Delay of the timer, in ms, beyond which the gateway counts as stalled: the stall adds to the measured
-# latencies of the attempts that were in flight, so that their servers only look slow.
+# latencies of the attempts that were in flight, so their servers only appear to be slow.
 STALL_THRESHOLD_MS = 250.0
-MIN_SUBSET_SIZE = 8  # minimum number of servers that a gateway prefers to others
+MIN_SUBSET_SIZE = 8  # minimum number of servers in the subset that a gateway prefers
 TIMER_TOKEN = 1  # identifies the only timer of the policy
 OUTSTANDING_POLL_INTERVAL_MS = 200.0  # interval of the checks for servers that do not respond
 # Added to the seed, so that the incarnation number in digests comes from a separate random sequence.
--- a/meadowpulley/policy/retry_budget.py
+++ b/meadowpulley/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: limits retries to a fraction of requests, so that they prolong no overload.
+"""The retry budget: limits retries to a fraction of requests, so that they do not prolong overloads.
 
 Each request that arrives at this gateway adds a fraction of a retry to the budget, even if the request is
 then shed. Each retry after an attempt has ended takes one from it. The first attempt that this gateway
--- a/meadowpulley/policy/send_permission.py
+++ b/meadowpulley/policy/send_permission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may be sent to a server now, for which reason not, and until when it may.
+"""Decides whether a request may be sent to a server now, and until when, or gives the reason why not.
 
 `may_send` checks every attempt: the first of a request, a retry, one that follows a health check, and one
 of an adopted request. The gateway checks again when it writes the request (`net/write_permission.py`), and
