--- a/tests/test_list_call_load.py
+++ b/tests/test_list_call_load.py
@@ -118,7 +118,7 @@
 
 
 def test_failing_calls_do_not_keep_the_queue_of_discovery_full() -> None:
-    # After an outage all calls failed with 503 until the end of the day: calls that had already timed out
+    # After an outage calls failed with 503 until the end of the day: calls that had already timed out
     # filled the queue, so that later calls timed out too. A start of the whole fleet had the same effect.
     watching_fractions = {}
     for gateway_count, seed in product((60, 200), SEEDS):
