--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -1,7 +1,8 @@
-"""Evidence that a build fails more than its baseline, from own outcomes and the platform's statistics.
+"""Evidence that a build fails more often than its baseline.
 
-The evidence is a log likelihood ratio (`state/failure_test`); what it needs to reach grows with the gateways
-that may vote, so that false alarms of a fleet stay as rare as those of one gateway.
+The sources are this gateway's own outcomes, the outcomes that other gateways report, and the platform's
+statistics. The evidence is a log likelihood ratio (`state/failure_test`). The required value grows with the
+number of gateways that may vote, so that false alarms are as rare in a fleet as with a single gateway.
 """
 
 import math
@@ -19,24 +20,27 @@
     State,
 )
 
-MIN_SAMPLES = 20  # outcomes per build before the bounds count
-MIN_FAILURE_RATE = 0.02  # the least that any build is taken to have
-MAX_BASELINE_FAILURE_RATE = 0.8
-RELATIVE_FAILURE_INCREASE = 0.5  # of the baseline's failure rate: the least that is looked for
-FAILURE_INCREASE = 0.1  # over the baseline's failure rate: the least that is looked for
-POOLED_FAILURE_INCREASE = 0.04  # and the least in the outcomes of many gateways together
-MAX_SERVER_FAILURE_SHARE = 0.4  # at most: failure rate in the statistics that one broken server explains
-REQUIRED_EVIDENCE = 4.0  # log likelihood ratio: three failures over the baseline's
-MIN_OWN_EVIDENCE = (
-    0.4  # of the required evidence, else statistics prove nothing: they count time-outs of overloaded servers
-)
-MIN_SERVER_EVIDENCE_LIMIT = 0.25  # of the required evidence, from one of many servers: four must fail
-MAX_SERVER_EVIDENCE_LIMIT = 0.7  # of the required evidence, from one of a few servers: two must fail
-SERVERS_TO_CONDEMN = 2  # of a few: together they may reach the required evidence
-FAULTY_BASELINE_FACTOR = 0.5  # of those limits where servers of the baseline are faulty too
-FAILURE_RATE_EWMA_WEIGHT = 0.05  # of one outcome in a usual failure rate
-MAX_FAILURE_RATE_EWMA_WEIGHT = 0.6  # of many outcomes that come together
-UNKNOWN_RATE = -1.0
+MIN_SAMPLES = 20  # minimum number of outcomes per build before an estimate from them is used
+MIN_FAILURE_RATE = 0.02  # lowest failure rate that the test assumes for any build
+MAX_BASELINE_FAILURE_RATE = 0.8  # highest failure rate that the test assumes for the baseline
+# Smallest increase of the failure rate that the test looks for, relative to the baseline's rate.
+RELATIVE_FAILURE_INCREASE = 0.5
+FAILURE_INCREASE = 0.1  # smallest increase of the failure rate that the test looks for, absolute
+POOLED_FAILURE_INCREASE = 0.04  # smallest absolute increase in the pooled outcomes of many gateways
+# Upper bound on the failure rate in the platform's statistics that one broken server can explain.
+MAX_SERVER_FAILURE_SHARE = 0.4
+REQUIRED_EVIDENCE = 4.0  # log likelihood ratio; three failures more than the baseline's reach it
+# Part of the required evidence that this gateway's own outcomes must exceed before the platform's statistics
+# count. Statistics alone prove nothing, as they include the time-outs of overloaded servers.
+MIN_OWN_EVIDENCE = 0.4
+# Limits on the evidence from one server, as parts of the required evidence.
+MIN_SERVER_EVIDENCE_LIMIT = 0.25  # in a build of many servers: at least four servers must fail
+MAX_SERVER_EVIDENCE_LIMIT = 0.7  # in a build of a few servers: at least two servers must fail
+SERVERS_TO_CONDEMN = 2  # failing servers that suffice to condemn a build of a few servers
+FAULTY_BASELINE_FACTOR = 0.5  # multiplies the limit per server while servers of the baseline are faulty too
+FAILURE_RATE_EWMA_WEIGHT = 0.05  # weight of one outcome in the moving average of a failure rate
+MAX_FAILURE_RATE_EWMA_WEIGHT = 0.6  # greatest weight of a batch of outcomes in that average
+UNKNOWN_RATE = -1.0  # in place of a failure rate, if nothing was counted yet
 
 _OWN_BOUNDS = FailureTestBounds(
     (FAILURE_INCREASE,), MIN_FAILURE_RATE, MAX_BASELINE_FAILURE_RATE, RELATIVE_FAILURE_INCREASE
@@ -50,14 +54,14 @@
 
 
 def new_build_evidence(memory_ms: float) -> BuildEvidence:
-    """Return empty evidence on a build, whose attempts count for so long."""
+    """Return empty evidence on a build whose attempts count for `memory_ms`."""
     return BuildEvidence(SequentialFailureTest(_OWN_BOUNDS), SequentialFailureTest(_POOLED_BOUNDS), memory_ms)
 
 
 def evidence_ratio(
     test: SequentialFailureTest, server_count: int, baseline_faulty: bool, required: float
 ) -> float:
-    """Return the evidence against a build, given its count of servers, relative to what is required."""
+    """Return the evidence against a build of `server_count` servers, as a multiple of `required`."""
     limit = 1.0
     if server_count > 1:
         per_server = min(SERVERS_TO_CONDEMN / server_count, MAX_SERVER_EVIDENCE_LIMIT)
@@ -68,13 +72,13 @@
 
 
 def failure_evidence(state: State, build: int) -> float:
-    """Return the evidence that a build fails more than its baseline; 1 condemns it."""
+    """Return the evidence that a build fails more often than its baseline; 1 condemns the build."""
     baseline_rates = [server.failure_rate for server in state.servers.values() if server.build < build]
     server_count = len(state.servers) - len(baseline_rates)
     required = state.required_evidence
-    # Servers are faulty by what this gateway has met, or by what all have.
-    met_by_all = state.now < state.gossip.last_baseline_fault_at + RATE_MEMORY_MS
-    baseline_faulty = max(baseline_rates, default=0.0) >= SERVER_FAULT_RATE or met_by_all
+    # Faults of the baseline count whether this gateway saw them itself or they were in the pooled digests.
+    reported_by_gossip = state.now < state.gossip.last_baseline_fault_at + RATE_MEMORY_MS
+    baseline_faulty = max(baseline_rates, default=0.0) >= SERVER_FAULT_RATE or reported_by_gossip
     evidence = state.build_evidence[build]
     own = evidence_ratio(evidence.own_failures, server_count, baseline_faulty, required)
     pooled = evidence_ratio(evidence.pooled_failures, server_count, baseline_faulty, required)
@@ -82,13 +86,13 @@
 
 
 def handle_build_statistics(state: State, event: BuildStatistics) -> None:
-    """Take in what the platform counted of a build."""
+    """Record the outcomes that the platform counted for a build."""
     succeeded = event.attempts - event.failed
     record_outcomes(state, OutcomeCounts(event.class_index, event.build, PLATFORM, event.failed, succeeded))
 
 
 def record_outcomes(state: State, counts: OutcomeCounts) -> None:
-    """Count outcomes, against the baseline's failure rate where they are of the newest build."""
+    """Count outcomes; those of the newest build are tested against the baseline's failure rate."""
     by_platform = counts.server == PLATFORM
     if not by_platform and state.gossip_at < math.inf:
         state.gossip.unpublished.append(counts)
@@ -109,5 +113,8 @@
 
 
 def _worst_baseline_rate(state: State, class_index: int, usual_rate: float) -> float:
-    """Return the worst rate of the baseline that any gateway saw of late: errors come in bursts."""
+    """Return the baseline's highest recent failure rate, own or pooled from all gateways.
+
+    Errors come in bursts, so the current rate may be too low to compare with.
+    """
     return max(usual_rate, *state.gossip.baseline_failure_rates[class_index], 0.0)
--- a/meadowpulley/policy/health_probes.py
+++ b/meadowpulley/policy/health_probes.py
@@ -1,6 +1,7 @@
-"""Probes of two servers before the first attempt, where this gateway's own requests tell too little.
+"""Health probes of two servers before the first attempt of a request.
 
-The first server to answer has the shorter queue.
+A gateway with few requests in flight can't tell from these which server is loaded. It probes two candidates
+and sends the request to the first that answers, as this one has the shorter queue.
 """
 
 from meadowpulley.interface import Probe, ProbeResult, Result
@@ -9,11 +10,11 @@
 from meadowpulley.policy.server_selection import mean_load
 from meadowpulley.state import InFlightRequest, Server, State
 
-SPARSE_LOAD = 0.3  # own requests in flight per server, below which two servers are probed first
+SPARSE_LOAD = 0.3  # candidates are probed while this gateway has fewer attempts in flight per server
 
 
 def should_probe(state: State, in_flight: InFlightRequest, candidates: list[Server]) -> bool:
-    """Tell whether the candidates are probed before the request is sent."""
+    """Return whether to probe the candidates before the request is sent."""
     if len(candidates) <= 1 or not state.settings.limits.probes:
         return False
     if in_flight.attempt_count or in_flight.probed_servers:
@@ -22,14 +23,14 @@
 
 
 def probe(state: State, in_flight: InFlightRequest, candidates: list[Server], randomized: bool) -> None:
-    """Probe the candidates; the request waits for the first result."""
+    """Probe the candidates; the request waits for the first successful result."""
     in_flight.probed_servers = [server.id for server in candidates]
     in_flight.randomized = randomized
     state.actions += [Probe(server.id) for server in candidates]
 
 
 def handle_probe_result(state: State, result: ProbeResult) -> None:
-    """Send the requests that wait for the probed server."""
+    """Send the requests that wait for the probed server, if the probe succeeded."""
     server = state.servers.get(result.server)
     if server is None or result.result is not Result.OK:
         return
--- a/meadowpulley/policy/latency_comparison.py
+++ b/meadowpulley/policy/latency_comparison.py
@@ -1,7 +1,7 @@
-"""By how much a build on trial raises the latency of all requests over its baseline's.
+"""Estimates by how much a build on trial raises the latency of all requests over the baseline's.
 
-The paper's mixed Differences-in-Q estimate (`state/estimation`) with its confidence interval, and the margin
-that a build has.
+The estimate is the mixed Differences-in-Q estimate of the paper (`state/estimation`), with its confidence
+interval and with the margin by which a build may be slower.
 """
 
 import math
@@ -23,27 +23,32 @@
     summarize,
 )
 
-MAX_HORIZON = 20  # later requests, at most, whose costs are added to each request's own
-MIN_ALPHA = 0.5  # of latency in the mix: a gateway with few requests in flight has no useful queue lengths
-LATENCY_MARGIN = 0.25  # of the baseline's mean latency
-SERVER_LATENCY_SPREAD = 0.5  # how servers of a kind differ, of the mean latency: load multiplies their speeds
-MIN_BLOCK_MS = 1000.0  # builds are compared in blocks of time, at least so long
-TRIALS_PER_BLOCK = 2.0  # and long enough for so many requests of the build on trial
-MIN_TRIAL_RATE = 1e-6  # requests per ms: keeps a block finite where hardly any goes to the build on trial
-RECENT_SAMPLES = 8 * MIN_SAMPLES  # the newest attempts that tell whether servers are slow now
+MAX_HORIZON = 20  # greatest number of later requests whose costs are added to a request's own
+# Lower bound on the weight of latency in the mix of latencies and queue lengths. The queue lengths that a
+# gateway with few requests in flight sees are of no use.
+MIN_ALPHA = 0.5
+LATENCY_MARGIN = 0.25  # accepted slowdown, as a part of the baseline's mean latency
+# Standard deviation of the latency between servers of one machine kind, as a part of the mean latency: under
+# load, small differences in speed become large ones in latency.
+SERVER_LATENCY_SPREAD = 0.5
+MIN_BLOCK_MS = 1000.0  # minimum length of the time blocks within which builds are compared
+TRIALS_PER_BLOCK = 2.0  # a block is long enough for this many requests to the build on trial, on average
+MIN_TRIAL_RATE = 1e-6  # requests per ms; keeps blocks finite if the build on trial gets hardly any requests
+RECENT_SAMPLES = 8 * MIN_SAMPLES  # number of the newest attempts that show whether servers are slow now
+# Result of a comparison without any sample of the build on trial.
 NOT_COMPARABLE = Slowdown(-math.inf, math.inf, 0.0, 0)
 
 
 class _Load(NamedTuple):
-    """This gateway's traffic."""
+    """The rate of this gateway's requests and their mean number in flight."""
 
-    request_rate: float  # per ms
-    server_rate: float  # per ms and server
-    per_server: float  # requests in flight at a server, by Little's law
+    request_rate: float  # requests per ms
+    server_rate: float  # requests per ms to each server
+    per_server: float  # mean requests in flight at a server, by Little's law
 
 
 def estimate_slowdown(state: State, build: int) -> Slowdown:
-    """Bound by how much a build raises the latency of all requests over its baseline's."""
+    """Return bounds on how much a build raises the latency of all requests over the baseline's."""
     settled_at = state.now - FAILURE_DELAY_LATENCIES * state.mean_latency_ms
     attempts = [
         attempt
@@ -66,7 +71,7 @@
 
 
 def _arm(attempt: Attempt, build: int) -> int:
-    """Return the arm of an attempt, NO_ARM where it tells nothing of the builds."""
+    """Return the arm of an attempt, or NO_ARM if its latency says nothing about the builds."""
     if attempt.unattributable or not attempt.randomized:
         return NO_ARM
     if attempt.server.build > build or attempt.slow_start_fraction < WARMED_UP_FRACTION:
@@ -75,7 +80,7 @@
 
 
 def _compare(state: State, samples: LatencySamples) -> QDifference:
-    """Compare the arms over as many later requests as are in flight at a server at once."""
+    """Compare the arms; the horizon is the mean number of requests in flight at a server, rounded up."""
     load = _load(state)
     trial_rate = max(load.request_rate * state.trial_probability, MIN_TRIAL_RATE)
     block_ms = max(MIN_BLOCK_MS, TRIALS_PER_BLOCK / trial_rate)
@@ -91,17 +96,18 @@
 
 
 def _warm_server_count(state: State, build: int) -> int:
-    """Return how many servers of the build had warmed up when their samples began; 1 at least."""
+    """Return how many servers of the build had warmed up when samples began, a soak time ago; at least 1."""
     soak_ms = state.rollout_settings.soak_ms
     fractions = [state.slow_start_fraction(server, soak_ms) for server in state.servers_of(build)]
     return max(sum([fraction >= WARMED_UP_FRACTION for fraction in fractions]), 1)
 
 
 def _total_error_ms(state: State, estimate: QDifference, baseline_mean_ms: float, warm_servers: int) -> float:
-    """Return the standard error of the estimate, its own uncertainty and the servers' spread included.
+    """Return the standard error of the estimate, with its own uncertainty and the spread of the servers.
 
-    A standard deviation that is estimated from m values has a relative error of 1 / sqrt(2 m); each arm has
-    half of the values here. A slow server or two are no slow build.
+    A standard deviation that is estimated from m values has a relative error of 1 / sqrt(2 m). Here m is
+    twice the size of the smaller arm. The spread of the servers is included because one or two slow servers
+    do not make the build slow.
     """
     smaller_sample = max(min(estimate.trial_count, estimate.baseline_count), 1)
     value_count = 2 * smaller_sample
@@ -111,9 +117,9 @@
 
 
 def _overload_factor(state: State, estimate: QDifference, warm_servers: int) -> float:
-    """Return how many times a baseline server's requests a server of the build gets; 1 at least.
+    """Return the requests per server of the build, relative to those per baseline server; at least 1.
 
-    Overloaded servers are slow whatever their build, so the margin grows with the load.
+    Overloaded servers are slow whatever their build, so the margin grows with the relative load.
     """
     other_servers = max(len(state.servers) - warm_servers, 1)
     relative_load = estimate.trial_count * other_servers / max(estimate.baseline_count * warm_servers, 1)
@@ -121,7 +127,7 @@
 
 
 def is_slower_than_before(state: State, attempts: list[Attempt]) -> bool:
-    """Tell whether the newest attempts are slower than all were before the build came, by the margin."""
+    """Return whether the newest attempts are slower than those before the build, by more than the margin."""
     costs = summarize([attempt.latency_cost(state.now) for attempt in attempts[-RECENT_SAMPLES:]])
     limit_ms = (1 + LATENCY_MARGIN) * state.baseline_latency_ms
     return costs.size >= MIN_SAMPLES and costs.lower_bound(state.confidence_z) > limit_ms > 0
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -1,7 +1,8 @@
-"""Digests of outcomes between gateways: alone each sees too little of a trial in time.
+"""Exchange of outcome digests between gateways.
 
-Once a second gateways tell each other what they saw of the newest build and its baseline, and which servers
-failed. Digests count as evidence only: caps, endpoint lists and the vote stay this gateway's own.
+One gateway alone sees too few outcomes of a trial in time. Once a second, gateways send each other the
+outcomes of the newest build and of its baseline, and the servers that failed. Digests count only as evidence:
+caps, endpoint lists and votes stay each gateway's own.
 """
 
 import math
@@ -12,17 +13,21 @@
 from meadowpulley.policy.outlier_detection import SERVER_FAULT_RATE, eject
 from meadowpulley.state import BuildEvidence, PooledOutcomes, State
 
-GOSSIP_INTERVAL_MS = 1000.0  # between two digests of this gateway, and two looks at those of others
-GOSSIP_SENDERS = 40  # gateways that send in an interval if nothing fails: the load grows by the square
-MAX_DIGESTS_PER_GATEWAY = 4  # that are kept of an interval, in the mean
-TIMEOUT_RATE = 0.5  # of a bad build's requests, FAILURE_INCREASE of others': paused servers cause less
-MIN_REPORTING_GATEWAYS = 2  # that say of a server that it fails
-MIN_REPORTED_FAILURES = 2
-FAILURES_OVER_MEAN = 2  # times the mean of all servers: who fails so often fails more than most
+GOSSIP_INTERVAL_MS = 1000.0  # time between two digests of this gateway; received ones are read as often
+# Mean number of gateways that send a digest per interval while nothing fails. If all did, the number of
+# datagrams would grow with the square of the number of gateways.
+GOSSIP_SENDERS = 40
+MAX_DIGESTS_PER_GATEWAY = 4  # digests kept per interval, on average over all gateways
+# Part of a bad build's requests that is assumed to time out; for a good build it is FAILURE_INCREASE. Paused
+# servers cause fewer time-outs than this.
+TIMEOUT_RATE = 0.5
+MIN_REPORTING_GATEWAYS = 2  # a server is ejected on reports only if this many gateways saw it fail
+MIN_REPORTED_FAILURES = 2  # minimum number of reported failures per interval that ejects a server
+FAILURES_OVER_MEAN = 2  # a server with this multiple of the mean failures per server fails more than most
 
 
 def handle_digest(state: State, event: GossipReceived) -> None:
-    """Take in another gateway's digest, once."""
+    """Accept a digest of another gateway; duplicates and malformed ones count as rejected."""
     digest = decode(event.data)
     max_digests = MAX_DIGESTS_PER_GATEWAY * state.gateway_count
     own = event.sender == state.settings.gateway_index
@@ -33,7 +38,7 @@
 
 
 def exchange_digests(state: State, build: int) -> None:
-    """Tell all gateways what this one saw since the last digest, and take in what they told."""
+    """Send the outcomes since the last digest to all gateways, and evaluate the digests received."""
     state.gossip_at = state.now + GOSSIP_INTERVAL_MS
     _send_digest(state, build)
     _eject_reported_servers(state)
@@ -41,7 +46,7 @@
 
 
 def _send_digest(state: State, build: int) -> None:
-    """Send a digest: at once where something failed, else by a draw that bounds the senders of a fleet."""
+    """Send a digest if a failure was seen, or else by a random draw that bounds the senders of a fleet."""
     gossip = state.gossip
     drawn = state.rng.random() * state.gateway_count < GOSSIP_SENDERS
     if not (drawn or gossip.has_failures()):
@@ -54,7 +59,7 @@
 
 
 def _eject_reported_servers(state: State) -> None:
-    """Eject who fails a good part of all requests, and more than most, by the reports of several gateways."""
+    """Eject servers that, by several gateways' reports, fail many requests and more than most servers do."""
     reports = state.gossip.failure_reports()
     requests = state.request_rate.value(state.now) * state.gateway_count * GOSSIP_INTERVAL_MS
     suspicious = max(SERVER_FAULT_RATE * requests, FAILURES_OVER_MEAN * reports.total)
@@ -67,7 +72,10 @@
 
 
 def _pool_digests(state: State, build: int) -> None:
-    """Take in what all saw of both builds in a second: what begins everywhere at once is no build's."""
+    """Add the outcomes of both builds that all gateways saw in the last interval to the evidence.
+
+    Failures that begin in both builds at once are not caused by the newest build.
+    """
     pooled = state.gossip.take_pooled(build)
     evidence = state.build_evidence[build]
     concurrent = any([server.build < build for server in state.baseline_servers])
@@ -76,14 +84,15 @@
     servers = [server.id for server in state.servers_of(build)]
     for class_index in range(len(state.settings.classes)):
         rate = _observe_baseline(state, pooled, class_index, concurrent)
-        # Where much fails anyhow, good responses come late by overload or slow start, and errors do not.
+        # While much of the baseline fails too, overload or slow start delays good responses but not errors,
+        # so the outcomes of one interval would show too many failures.
         if rate is not None and rate <= FAILURE_INCREASE:
             worst_rate = max(state.gossip.baseline_failure_rates[class_index])
             pooled.add_to(evidence.pooled_failures, class_index, servers, worst_rate)
 
 
 def _add_timeouts(pooled: PooledOutcomes, evidence: BuildEvidence) -> None:
-    """Count time-outs as evidence, where the baseline has few."""
+    """Count time-outs as evidence against the build, if the baseline has few of them."""
     timeouts = pooled.timeouts()
     responses = pooled.responses()
     few_timeouts = timeouts.baseline <= FAILURE_INCREASE * responses.baseline_succeeded
@@ -94,9 +103,10 @@
 def _observe_baseline(
     state: State, pooled: PooledOutcomes, class_index: int, concurrent: bool
 ) -> float | None:
-    """Take in how often the baseline failed in a class; None where too few responses tell.
+    """Record the baseline's failure rate in a class and return it, or None with too few responses.
 
-    The digests of one second may be about several: the worst of these is what a build is compared with.
+    The digests read together may cover several seconds, so a build is compared with the highest of
+    the recent rates.
     """
     outcomes = pooled.of_class(class_index)
     rate = outcomes.baseline_failed / max(outcomes.baseline_total, 1)
--- a/meadowpulley/policy/rollout_stage.py
+++ b/meadowpulley/policy/rollout_stage.py
@@ -1,4 +1,4 @@
-"""Where the newest build stands: which builds are on trial, and what part of the traffic they may get."""
+"""The stage of the newest build: which builds are on trial, and which part of requests they may get."""
 
 import math
 from typing import NamedTuple
@@ -6,19 +6,21 @@
 from meadowpulley.interface import Phase
 from meadowpulley.state import State
 
-MAX_STICKY_KEYS = 8000  # beyond it keys that no ready server needs are forgotten: older builds then get none
+# Greatest number of keys bound to builds. Beyond it, the keys bound to the oldest ready build and to earlier
+# ones are forgotten; builds before the oldest ready one then get no requests with a key.
+MAX_STICKY_KEYS = 8000
 ROLLBACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
 
 
 class TrialStage(NamedTuple):
-    """The stage of a build on trial, and the cap on its part of the requests, 0 to 1."""
+    """The stage of a build on trial, and the cap on its part of the requests (0 to 1)."""
 
     cap: float
     stage: int
 
 
 def is_on_trial(state: State, build: int) -> bool:
-    """Tell whether a build is on trial; while no rollout is known all are."""
+    """Return whether a build is on trial; every build is while no rollout is known."""
     rollout = state.latest_rollout
     if rollout is None or build > rollout.build:
         return True
@@ -26,7 +28,7 @@
 
 
 def trial_stage(state: State, build: int) -> TrialStage:
-    """Return the stage of a build on trial; an unannounced one is at the first stage."""
+    """Return the stage of a build on trial; a build without a rollout update is at the first stage."""
     rollout = state.latest_rollout
     if rollout is not None and build == rollout.build:
         return TrialStage(rollout.cap, rollout.stage)
@@ -35,7 +37,7 @@
 
 
 def partition_servers(state: State) -> None:
-    """Sort the ready servers by arm, after an update of the servers or of the rollout."""
+    """Divide the ready servers between the arms, after an update of the endpoint list or of the rollout."""
     ready = state.ready_servers()
     state.trial_servers = [server for server in ready if is_on_trial(state, server.build)]
     state.baseline_servers = [server for server in ready if not is_on_trial(state, server.build)]
@@ -46,6 +48,6 @@
 
 
 def _limit_sticky_keys(state: State, oldest_ready_build: int) -> None:
-    """Forget keys that no ready server needs, where there are too many."""
+    """Forget the keys bound to builds up to the oldest ready one, if too many keys are bound."""
     if len(state.sticky_builds) > MAX_STICKY_KEYS and oldest_ready_build > state.oldest_sticky_build:
         state.forget_sticky_builds(oldest_ready_build)
--- a/meadowpulley/policy/routing.py
+++ b/meadowpulley/policy/routing.py
@@ -1,4 +1,4 @@
-"""Routing of one attempt: the arm, two candidates in it, and the less loaded of these."""
+"""Routing of one attempt: choose the arm, then two candidates in it, then the less loaded candidate."""
 
 from statistics import fmean
 
@@ -10,7 +10,7 @@
 
 
 def route(state: State, in_flight: InFlightRequest) -> bool:
-    """Choose a server and send the request there, or probe two; return whether it was sent."""
+    """Send the request to a chosen server, or probe the candidates first; return whether it was sent."""
     choice = choose_arm(state, in_flight)
     randomized = choice.randomized
     candidates = find_candidates(state, in_flight, choice.preferred, _sample_size(state, choice))
@@ -28,10 +28,11 @@
 
 
 def _sample_size(state: State, choice: ArmChoice) -> int:
-    """Return how many servers of the preferred arm are looked at.
+    """Return how many servers of the preferred arm are considered.
 
-    What servers of the trial build in slow start may not have goes to the baseline, where the gateways' parts
-    are whole requests; so only two are looked at where there are enough servers for each gateway.
+    Requests that the slow start budgets keep from servers of the trial build go to the baseline. With more
+    than two servers per gateway, a gateway's part of a budget is at least a whole request. Only then are just
+    two servers of the trial build considered; if neither may get the request, the baseline gets it.
     """
     spill_over = choice.randomized and choice.to_trial and 2 * state.gateway_count < state.peak_ready_servers
     return CHOICE_SIZE if spill_over else len(choice.preferred)
--- a/meadowpulley/policy/server_selection.py
+++ b/meadowpulley/policy/server_selection.py
@@ -1,7 +1,7 @@
-"""The choice of a server: two of a random sample, and of these the one with the shorter queue.
+"""Choice of a server: the one with the shorter queue of two from a random sample.
 
-Power of two choices (M. Mitzenmacher, 2001), by this gateway's own attempts in flight: servers report nothing
-that is newer.
+This is the power of two choices (M. Mitzenmacher, 2001). The queue of a server is the number of this
+gateway's own attempts in flight there, as nothing that servers report is more recent.
 """
 
 from meadowpulley.interface import Placement
@@ -10,19 +10,22 @@
 from meadowpulley.policy.server_subset import server_subset
 from meadowpulley.state import InFlightRequest, Server, State
 
-CHOICE_SIZE = 2  # servers that are compared
-TIE_BREAK_LOAD = 0.5  # requests: the mean of the random load that tells equally loaded servers apart
-# Idle servers are chosen in proportion to the square of what each can do, busy ones by their queues.
+CHOICE_SIZE = 2  # number of candidates whose queues are compared
+TIE_BREAK_LOAD = 0.5  # requests; mean of the random load added to each queue to break ties
+# The queue of a server is divided by its capacity to the power of this exponent less the mean load (0 to 1).
+# Idle servers are thus chosen in proportion to the square of their capacity, and busy ones by their queue
+# relative to their capacity.
 IDLE_CAPACITY_EXPONENT = 2.0
 
 
 def find_candidates(
     state: State, in_flight: InFlightRequest, group: list[Server], sample_size: int
 ) -> list[Server]:
-    """Return the servers of the group that the request may go to.
+    """Return the servers of the group that are candidates for the next attempt of the request.
 
-    Two of a random sample, those of the subset and without an earlier attempt first; or the one that the
-    placement of the request's arm prefers.
+    These are two servers of a random sample; servers without an earlier attempt of the request are preferred,
+    and among them those in the subset. If the request's arm has a placement, the only candidate is the first
+    server in the placement's order that may get the request.
     """
     placement = state.placements.get(in_flight.request.arm)
     if placement is not None:
@@ -35,7 +38,7 @@
 def _placed(
     state: State, in_flight: InFlightRequest, group: list[Server], placement: Placement
 ) -> list[Server]:
-    """Return the servers in the order of an experiment's placement policy."""
+    """Return the servers that an experiment's placement policy lists, in its order."""
     candidates = [state.as_candidate(server) for server in group]
     order = placement(state.now, in_flight.request, candidates)
     return [group[index] for index in order]
@@ -44,7 +47,7 @@
 def _allowed(
     state: State, in_flight: InFlightRequest, drawn: list[Server], subset: dict[int, float], limit: int
 ) -> list[Server]:
-    """Return the first servers that may be sent to; ones that were attempted only where there is no other."""
+    """Return up to `limit` servers that may get the request; attempted ones only if there is no other."""
     attempted = in_flight.attempted_servers
     allowed: list[Server] = []
     for server in sorted(drawn, key=lambda server: (server.id in attempted, server.id not in subset)):
@@ -54,12 +57,12 @@
 
 
 def mean_load(state: State) -> float:
-    """Return this gateway's attempts in flight per server, 1 at most."""
+    """Return the mean number of this gateway's attempts in flight per server, at most 1."""
     return min(len(state.attempts) / max(len(state.servers), 1), 1.0)
 
 
 def least_loaded(state: State, candidates: list[Server]) -> Server:
-    """Return the candidate with the shortest queue for what it can do; chance decides between equals."""
+    """Return the candidate with the shortest queue relative to its capacity; ties are broken at random."""
     exponent = IDLE_CAPACITY_EXPONENT - mean_load(state)
     queues = [server.outstanding + TIE_BREAK_LOAD * state.rng.expovariate(1.0) for server in candidates]
     loads = [
--- a/meadowpulley/policy/server_subset.py
+++ b/meadowpulley/policy/server_subset.py
@@ -1,21 +1,24 @@
-"""The subset of servers that this gateway prefers, half of them in its own zone.
+"""The subset of servers that this gateway prefers; half of them are in its own zone.
 
-Gateways with few requests would open a connection for nearly every request if each used all servers. Subsets
-are windows over the servers by the gateway's index, so that those of all gateways cover the fleet evenly.
+If a gateway with few requests used all servers, it would open a connection for nearly every request. A subset
+is a window over the list of servers that starts at a position given by the gateway's index, so that the
+subsets of all gateways cover the servers evenly.
 """
 
 import math
 
 from meadowpulley.state import Server, State
 
-LOCAL_ZONE_FRACTION = 0.5  # of the subset: more would overload a zone that has more than its part of requests
+# Part of the subset that is in the gateway's own zone. A greater part would overload the servers of a zone
+# that gets more than an even share of the requests.
+LOCAL_ZONE_FRACTION = 0.5
 
 
 def server_subset(state: State, group: list[Server]) -> dict[int, float]:
-    """Return the servers of the subset with this gateway's weight at each.
+    """Return the ids of the servers in the subset, with this gateway's weight at each.
 
-    The weight says how many times an average part of the server is this gateway's. Empty where all servers of
-    the group are used.
+    A weight is the gateway's share of a server, as a multiple of the share that it would have if all gateways
+    used all servers. The result is empty if the gateway uses all servers of the group.
     """
     subset: dict[int, float] = {}
     if state.subset_size >= len(group):
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -1,9 +1,9 @@
-"""Builds that slow all servers, old and new: no comparison of both arms can show these.
+"""Detection of builds that slow the servers of all builds, which a comparison of arms can't show.
 
-While all is slow, the traffic to the build on trial pauses. Where latency recovers without it and rises again
-with it, twice over, the build is the cause and is rolled back. A dependency that slows all servers recovers
-at its own time, and the rollout goes on. Where no earlier build is left, a build is rolled back that stays
-slow for longer than faults last.
+While the baseline's servers are slow too, the traffic to the build on trial pauses. If latency recovers
+during the pause and rises again after it, twice in succession, the build is the cause and is rolled back. A
+slowdown caused by a dependency recovers independently of the pauses, and the rollout goes on. Without a
+baseline to compare with, a build is rolled back if it stays slow for longer than faults usually last.
 """
 
 import math
@@ -14,32 +14,40 @@
 from meadowpulley.policy.latency_comparison import LATENCY_MARGIN, MIN_BLOCK_MS, is_slower_than_before
 from meadowpulley.state import RATE_MEMORY_MS, Attempt, State
 
-MIN_PAUSE_PROBABILITY = 0.1  # of the trial build: with less it hardly slows all servers
-PAUSE_MEMORY_SOAKS = 2.0  # soak times within which a slowdown that returns with the traffic is the same one
-MAX_PAUSES = 2  # in succession: a third one shows that the build is the cause
-MIN_PAUSE_MS = 2 * MIN_BLOCK_MS
-MAX_SLOW_SOAKS = 3.0  # soak times of slowness, without a baseline to compare with, that condemn a build
-SETTLED_LATENCIES = 2.0  # usual latencies after which an attempt has its cost, or is slow
-OVERLOAD_MEMORY_MS = 2 * RATE_MEMORY_MS  # an overload that is over for longer is no slowness
-MAX_REQUEST_GROWTH = 2 * LATENCY_MARGIN  # of the request rate: with more, more requests explain slowness
-UNATTRIBUTABLE_WINDOW = 2 * MIN_SAMPLES  # newest attempts among which an overload shows
-MAX_UNATTRIBUTABLE = MIN_SAMPLES / 2  # of these without a response: more hide all else
+# Smallest part of the requests with which the trial build's traffic is paused. With less traffic, the build
+# can hardly be what slows all servers.
+MIN_PAUSE_PROBABILITY = 0.1
+PAUSE_MEMORY_SOAKS = 2.0  # soak times after a pause within which another slowdown counts as the same one
+MAX_PAUSES = 2  # pauses in succession; a further slowdown shows that the build is the cause
+MIN_PAUSE_MS = 2 * MIN_BLOCK_MS  # shortest pause
+MAX_SLOW_SOAKS = 3.0  # a build without a baseline is rolled back after being slow for this many soak times
+# Multiple of the baseline latency after which an attempt is compared: it has a response by then, or is slow.
+SETTLED_LATENCIES = 2.0
+# Attempts older than this are ignored without a baseline, so that a past overload doesn't count as slowness.
+OVERLOAD_MEMORY_MS = 2 * RATE_MEMORY_MS
+MAX_REQUEST_GROWTH = (
+    2 * LATENCY_MARGIN
+)  # relative growth of the request rate above which it explains slowness
+UNATTRIBUTABLE_WINDOW = 2 * MIN_SAMPLES  # number of the newest attempts that are searched for an overload
+# Greatest number of unattributable attempts in that window: more of them show an overload, which hides any
+# other cause of slowness.
+MAX_UNATTRIBUTABLE = MIN_SAMPLES / 2
 
 
 def roll_back(state: State, rejected: BuildRejected) -> None:
-    """Vote from now on to roll a build back, and say why."""
+    """Vote to roll a build back from now on, end a traffic pause, and report the reason."""
     state.rollback_build = rejected.build
     state.traffic_pause.active = False
     state.actions.append(rejected)
 
 
 def suspect_shared_slowdown(state: State, build: int, released: bool) -> bool:
-    """Tell whether a build may slow all servers; pause its traffic, or roll it back.
+    """Return whether a build may slow all servers; pause its traffic or roll it back if needed.
 
     Args:
-        state: What is known; its traffic pause, baseline latency and rollback may change.
+        state: The policy's state; its traffic pause, baseline latency and rollback build may change.
         build: The newest build.
-        released: Whether it has all of the traffic.
+        released: Whether the build is released, and so may get all requests.
     """
     has_baseline = any([server.build < build for server in state.servers.values()])
     if released or not has_baseline:
@@ -48,7 +56,7 @@
 
 
 def _settled_attempts(state: State, memory_ms: float) -> list[Attempt]:
-    """Return the samples whose latency is known by now, or is long enough to tell."""
+    """Return the samples of the last `memory_ms` that have a response or are old enough to count as slow."""
     settled_ms = SETTLED_LATENCIES * state.baseline_latency_ms
     return [
         attempt for attempt in state.latency_samples if settled_ms < state.now - attempt.sent_at < memory_ms
@@ -56,7 +64,7 @@
 
 
 def _check_without_baseline(state: State, build: int) -> bool:
-    """Roll back a build that is slow for longer than faults last, unless by more requests or an overload."""
+    """Roll back a build that is slow for longer than faults last, unless the load explains the slowness."""
     pause = state.traffic_pause
     settled = _settled_attempts(state, OVERLOAD_MEMORY_MS)
     since_change = [attempt for attempt in settled if attempt.sent_at > pause.changed_at]
@@ -73,7 +81,7 @@
 
 
 def _is_explained_by_load(state: State, attempts: list[Attempt]) -> bool:
-    """Tell whether there are more requests than before the build came, or an overload."""
+    """Return whether there are far more requests than before the build came, or an overload."""
     request_limit = (1 + MAX_REQUEST_GROWTH) * state.baseline_request_rate
     if state.request_rate.value(state.now) > request_limit:
         return True
@@ -82,7 +90,7 @@
 
 
 def _check_with_baseline(state: State, build: int) -> bool:
-    """Compare the baseline's servers now with how they were before; begin or end a pause accordingly."""
+    """Compare the baseline's latency with that before the build came; begin or end a pause accordingly."""
     pause = state.traffic_pause
     settled = _settled_attempts(state, math.inf)
     of_baseline = [
@@ -91,7 +99,9 @@
     slower = is_slower_than_before(state, of_baseline)
     has_enough_samples = len(of_baseline) >= MIN_SAMPLES
     recovered = has_enough_samples and not slower
-    if recovered and state.trial_probability < MIN_PAUSE_PROBABILITY / 2:  # it slows no others
+    if (
+        recovered and state.trial_probability < MIN_PAUSE_PROBABILITY / 2
+    ):  # too little trial traffic to matter
         state.baseline_latency_ms = fmean([attempt.latency_cost(state.now) for attempt in of_baseline])
     elif not pause.active and slower and state.trial_probability >= MIN_PAUSE_PROBABILITY:
         _begin_pause(state, build)
@@ -102,7 +112,7 @@
 
 
 def _begin_pause(state: State, build: int) -> None:
-    """Pause the traffic to the build; at the third time in succession roll it back."""
+    """Pause the traffic to the build, or roll the build back at the third time in succession."""
     pause = state.traffic_pause
     pause.begin(state.now, PAUSE_MEMORY_SOAKS * state.rollout_settings.soak_ms)
     if pause.count > MAX_PAUSES:
--- a/meadowpulley/policy/trial_assignment.py
+++ b/meadowpulley/policy/trial_assignment.py
@@ -1,28 +1,33 @@
-"""Which arm a request goes to: a coin under the exposure cap, unless its key binds it to a build.
+"""Assignment of requests to arms: at random, unless a request's key binds it to a build.
 
-The paper's experiment assigns by an even coin; here the odds stay below the cap, in proportion to what the
-servers of the build on trial can do.
+The paper's experiment assigns requests with equal odds. Here the probability of the build on trial is in
+proportion to the capacity of its servers, and stays below the cap on its exposure.
 """
 
 from meadowpulley.interface import Phase
 from meadowpulley.policy.rollout_stage import trial_stage
 from meadowpulley.state import InFlightRequest, Server, State
 
-TRIAL_CAP_FRACTION = 0.8  # of the cap: leaves some for requests bound by their key or without another server
-ROLLBACK_UTILIZATION = 0.75  # of the baseline servers, up to which a build that is rolled back gets nothing
-EVALUATION_INTERVAL_MS = 400.0  # between two evaluations of a build
-STICKY_EWMA_WEIGHT = 0.02  # weight of the newest request in the share of those that follow their key
-MIN_UNBOUND_SHARE = 0.01  # of the requests: the least that the odds are spread over
-SLOW_START_POWER = 2  # servers in slow start are slow at any load: they count for less than they can do
+# Part of the cap up to which requests are assigned at random. The rest of the cap is left for requests that
+# their key binds to the build on trial, or that no other server may get.
+TRIAL_CAP_FRACTION = 0.8
+# Utilization of the baseline's servers up to which a build that is being rolled back gets no requests.
+ROLLBACK_UTILIZATION = 0.75
+EVALUATION_INTERVAL_MS = 400.0  # time between two evaluations of a build
+STICKY_EWMA_WEIGHT = 0.02  # weight of the newest request in the average share of requests bound by their key
+MIN_UNBOUND_SHARE = 0.01  # lower bound on the assumed share of requests that no key binds to a build
+# Exponent of the slow start fraction in the capacity of a server. With a value above 1, servers in slow start
+# get less than their capacity allows, as they are slow at any load.
+SLOW_START_POWER = 2
 
 
 class ArmChoice:
-    """The servers that a request prefers, those to fall back on, and whether chance chose between them."""
+    """The servers of the chosen arm, those of the other as a fallback, and whether the choice was random."""
 
     def __init__(
         self, preferred: list[Server], fallback: list[Server], to_trial: bool, randomized: bool
     ) -> None:
-        """Hold one choice."""
+        """Store the choice for one attempt; `to_trial` says whether it is the build on trial."""
         self.preferred = preferred
         self.fallback = fallback
         self.to_trial = to_trial
@@ -30,7 +35,7 @@
 
 
 def choose_arm(state: State, in_flight: InFlightRequest) -> ArmChoice:
-    """Choose between the build on trial and its baseline for the next attempt of a request."""
+    """Choose the build on trial or its baseline for the next attempt of a request."""
     trial = state.trial_servers
     baseline = state.baseline_servers
     sticky = bool(trial) and state.sticky_builds.get(in_flight.request.key, -1) >= trial[0].build
@@ -43,8 +48,8 @@
 
 
 def _trial_probability(state: State) -> float:
-    """Return the probability that a request whose key binds it to no build goes to the trial build."""
-    if state.now >= state.trial_probability_valid_until:  # capacities change slowly
+    """Return the probability that a request goes to the trial build, if its key binds it to no build."""
+    if state.now >= state.trial_probability_valid_until:  # cached, as capacities change slowly
         state.trial_probability_valid_until = state.now + EVALUATION_INTERVAL_MS
         state.trial_probability = _capacity_share(state)
     probability = 0.0 if _is_paused(state) else state.trial_probability
@@ -53,14 +58,18 @@
 
 
 def _is_paused(state: State) -> bool:
-    """Tell whether the traffic to the build on trial pauses; not where the baseline could not carry it."""
+    """Return whether the traffic to the build on trial pauses.
+
+    It does not pause if the trial build has as many servers as the baseline or more, because the baseline
+    could not serve all requests.
+    """
     return state.traffic_pause.active and len(state.trial_servers) < len(state.baseline_servers)
 
 
 def _capacity_share(state: State) -> float:
-    """Return the trial build's part of all requests, by capacity and under the cap.
+    """Return the trial build's part of all requests, in proportion to its capacity and below the cap.
 
-    A build that is rolled back gets what is beyond the capacity of the baseline.
+    A build that is being rolled back gets only what exceeds the capacity of the baseline's servers.
     """
     cap = trial_stage(state, state.trial_servers[0].build).cap
     trial_capacity = state.capacity(state.trial_servers, SLOW_START_POWER)
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -1,7 +1,9 @@
 """The verdict on the newest build: roll back, hold, advance, or none yet.
 
-In this order: a build that was condemned stays so; failures; latency; a slowdown of all servers; under a
-timer gate a hold; else an advance that the samples prove, or that the fallback deadline allows.
+The rules apply in this order. A build that was condemned once is rolled back. A build is rolled back for
+failures, for latency, or for a slowdown of all servers. With a timer gate, a stage is held while the build
+looks slow. With any other gate, a stage is advanced if the samples show that the build is within the margin,
+or once the fallback deadline has passed.
 """
 
 from meadowpulley.interface import BuildRejected, Phase, RollbackReason, RolloutUpdate, StageGate, Verdict
@@ -10,24 +12,26 @@
 from meadowpulley.policy.shared_slowdown import roll_back, suspect_shared_slowdown
 from meadowpulley.state import Slowdown, State
 
-MAX_ADVANCE_EVIDENCE = 0.5  # of the required evidence: no vote to advance above it
-REQUIRED_EVIDENCE_RATIO = 1.0
-FALLBACK_MS = 4000.0  # after the latest start of a trial server
-MAX_FALLBACK_LEAD_MS = FALLBACK_MS / 2  # by so much sooner, at most, a gateway of a large fleet may vote
-UNSPREAD_VOTES_S = 2.0  # so many seconds' votes may reach the platform at once
-MAX_HOLD_MS = 3000.0  # the longest hold of one stage under a timer gate
-HOLD_MARGIN_FRACTION = 0.5  # of the margin: a slowdown above it holds a stage under a timer gate
+MAX_ADVANCE_EVIDENCE = 0.5  # evidence ratio from which there is no vote to advance
+REQUIRED_EVIDENCE_RATIO = 1.0  # evidence ratio that condemns a build
+# Time to the fallback deadline from the start of the stage, or of the build's newest server if that is later.
+FALLBACK_MS = 4000.0
+MAX_FALLBACK_LEAD_MS = FALLBACK_MS / 2  # gateways of a large fleet vote at most this long before the deadline
+UNSPREAD_VOTES_S = 2.0  # votes are not spread if the platform can take them all within this many seconds
+MAX_HOLD_MS = 3000.0  # longest time for which a stage is held under a timer gate
+HOLD_MARGIN_FRACTION = 0.5  # part of the margin above which a slowdown holds a stage under a timer gate
 MS_PER_S = 1000
 
 
 def decide_verdict(state: State, rollout: RolloutUpdate) -> Verdict:
-    """Decide what this gateway votes about the newest build now."""
+    """Return the verdict that this gateway votes for now."""
     slowdown = estimate_slowdown(state, rollout.build)
     evidence_ratio = failure_evidence(state, rollout.build)
     if state.rollback_build == rollout.build:
         return Verdict.ROLL_BACK
     _reject_if_worse(state, rollout, slowdown, evidence_ratio)
-    # Also for a build that was rejected just now: the pause goes on, and may give a second reason.
+    # The check also runs for a build that was rejected just now, as it updates the state of the traffic pause
+    # and may give a second reason to roll back.
     suspected = suspect_shared_slowdown(state, rollout.build, rollout.phase is Phase.RELEASED)
     if state.rollback_build == rollout.build:
         return Verdict.ROLL_BACK
@@ -48,7 +52,7 @@
 
 
 def _reject_if_worse(state: State, rollout: RolloutUpdate, slowdown: Slowdown, evidence_ratio: float) -> None:
-    """Roll back a build that is proven to fail more, or on trial to be slower, than its baseline."""
+    """Roll back a build that is proven to fail more than its baseline or, while on trial, to be slower."""
     if evidence_ratio >= REQUIRED_EVIDENCE_RATIO:
         roll_back(state, BuildRejected(rollout.build, RollbackReason.FAILURES, evidence_ratio=evidence_ratio))
         return
@@ -65,7 +69,7 @@
 
 
 def _hold_verdict(state: State, rollout: RolloutUpdate, slowdown: Slowdown) -> Verdict:
-    """Hold a stage while the build looks slow, for a bounded time; the timer alone advances it."""
+    """Hold a stage for a limited time while the build looks slow; only the timer advances a stage."""
     looks_slow = slowdown.low_ms > HOLD_MARGIN_FRACTION * slowdown.margin_ms
     if not (_has_enough_samples(slowdown) and looks_slow):
         return Verdict.NONE
@@ -75,10 +79,10 @@
 
 
 def _past_fallback_deadline(state: State, rollout: RolloutUpdate) -> bool:
-    """Tell whether a stage is old enough for a vote to advance without enough outcomes.
+    """Return whether a stage is old enough for a vote to advance without enough outcomes.
 
-    The gateways of a large fleet vote one after another, the last of them at the deadline, as the platform
-    takes only so many votes a second.
+    The platform takes a limited number of votes per second. The gateways of a large fleet therefore vote one
+    after another in the time before the deadline.
     """
     started = [server.started_ms for server in state.servers_of(rollout.build)]
     if not started:
--- a/meadowpulley/policy/voting.py
+++ b/meadowpulley/policy/voting.py
@@ -1,4 +1,4 @@
-"""The votes of this gateway on the newest build: when one is sent, repeated, renewed or held back."""
+"""This gateway's votes on the newest build: when a vote is sent, repeated, renewed or delayed."""
 
 import math
 
@@ -8,12 +8,12 @@
 from meadowpulley.policy.verdict import MS_PER_S, decide_verdict
 from meadowpulley.state import State
 
-MIN_VOTE_INTERVAL_MS = 200.0
-STAGE_VERDICTS = (Verdict.ADVANCE, Verdict.HOLD)  # about one stage; others are about the build
+MIN_VOTE_INTERVAL_MS = 200.0  # shortest time between two votes of this gateway
+STAGE_VERDICTS = (Verdict.ADVANCE, Verdict.HOLD)  # these concern one stage, the others the whole build
 
 
 def evaluate_rollout(state: State) -> None:
-    """Evaluate the newest build, and send the vote that is due."""
+    """Evaluate the newest build, and send a vote if one is due."""
     rollout = state.furthest_rollout
     state.evaluate_at = math.inf
     if rollout is None or rollout.phase in ROLLBACK_PHASES:
@@ -32,14 +32,15 @@
 
 
 def _is_due(state: State, vote: Vote) -> bool:
-    """Tell whether a vote is to be sent now.
+    """Return whether a vote is due now.
 
-    Votes and their replies get lost: unanswered ones are sent again, valid ones renewed in time.
+    Votes and their replies may be lost, so a vote without a reply is sent again after the call timeout. A
+    valid vote is renewed when half of its lifetime is left.
     """
     votes = state.vote_state
     last = votes.last_vote
     if vote.verdict is Verdict.NONE and (last == vote or last.build != vote.build):
-        return False  # there is nothing to take back
+        return False  # no earlier vote on this build to withdraw
     if state.now < max(votes.sent_at + MIN_VOTE_INTERVAL_MS, votes.backoff_until):
         return False
     if last != vote:
@@ -51,7 +52,7 @@
 
 
 def handle_rollout_update(state: State, update: RolloutUpdate) -> None:
-    """Take in where the newest build stands, or the reply to a vote."""
+    """Apply an update of the newest build's rollout, which may be the reply to a vote."""
     if update.is_vote_reply:
         _handle_vote_reply(state, update.result)
     if update.result is Result.OK:
@@ -60,7 +61,7 @@
 
 
 def _handle_vote_reply(state: State, result: Result) -> None:
-    """Take in a reply; where the platform got too many votes the next one comes at a random time."""
+    """Record a reply; if the platform rejected the vote, the next one is sent after a random delay."""
     state.vote_state.acknowledge(result, state.now + state.rollout_settings.vote_ttl_ms)
     if result is Result.REJECTED:
         votes_per_s = state.rollout_settings.votes_per_s
