--- a/tests/test_full_fleet.py
+++ b/tests/test_full_fleet.py
@@ -1,4 +1,4 @@
-"""Two hundred real balancers in virtual time: what is harmless in one and too much in the sum of all."""
+"""Tests of effects that are harmless in one gateway but not in 200 together, in virtual time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def gateway(gateway_index: int, cold: bool = False) -> Driver:
-    """One of many that knows a hundred servers in three zones, the first twenty of them perhaps cold."""
+    """Return a gateway that knows 100 servers in three zones; with `cold`, 20 of them are in slow start."""
     wanted = settings(limits=FLEET, gateway_count=GATEWAYS)
     driver = Driver(
         replace(wanted, gateway_index=gateway_index, zone=gateway_index % ZONES, zones=("a", "b", "c")),
@@ -30,7 +30,10 @@
 
 
 def run_fleet(fleet: list[Driver], seconds: float, per_s: float = 2.0) -> list[tuple[Driver, int]]:
-    """Who sent to whom. Each answer is there before the next request."""
+    """Send requests at random times, and return the gateway and the server of each attempt.
+
+    Every response arrives before the gateway's next request.
+    """
     rng, sent = Random(5), list[tuple[Driver, int]]()
     for _ in range(int(seconds * 20)):
         for driver in fleet:
@@ -43,7 +46,8 @@
 
 
 def test_subsets_need_few_connections_and_give_even_shares() -> None:
-    # Each request of 200 gateways went to a server that its gateway had not asked before: a connection each.
+    # Without subsets, each request of 200 gateways went to a server that its gateway had not used before, so
+    # that each needed a new connection.
     sent = run_fleet([gateway(n) for n in range(GATEWAYS)], 15.0)
     pairs = {(d.policy.settings.gateway_index, server) for d, server in sent}
     assert len(pairs) < len(sent) / 2
@@ -66,32 +70,34 @@
     run_fleet(fleet, 0.5, per_s=8.0)
     sent = run_fleet(
         fleet, RULES.overload_window_ms / 1000, per_s=8.0
-    )  # they have run for 1.5 to 3 s of the 4 that they are cold
+    )  # the cold servers are 1.5 to 3 s into their slow start of 4 s
     shares, average = Counter(server for _, server in sent), len(sent) / SERVERS
     assert 0 < sum(shares[n] for n in range(20)) / 20 <= 0.7 * average
     assert max(shares[n] for n in range(20)) <= RULES.overload_multiple * 0.7 * average
 
 
-def test_a_quiet_fleet_gossips_little_and_failures_at_once() -> None:
-    # 200 that each tell 200 once a second: 40,000 datagrams for 600 requests.
-    def told(d: Driver, result: Result) -> int:
-        for send in sends(d.request(SAFE)):
-            d.finish(send, result, final=True)
-        d.now += 1000.0
-        return sum(isinstance(a, SendGossip) for a in d.fire_timer())
+def test_a_fleet_without_failures_sends_little_gossip_and_reports_failures_at_once() -> None:
+    # If each of 200 gateways sent a digest to all 200 once per second, there would be 40,000 datagrams for
+    # 600 requests.
+    def count_gossip(driver: Driver, result: Result) -> int:
+        for send in sends(driver.request(SAFE)):
+            driver.finish(send, result, final=True)
+        driver.now += 1000.0
+        return sum(isinstance(action, SendGossip) for action in driver.fire_timer())
 
     fleet = [gateway(n) for n in range(GATEWAYS)]
     for d in fleet:
         d.update_rollout(42, 1, 0.5)
         d.update_endpoints([server_entry(200, 42)], EndpointUpdateKind.INCREMENTAL)
-    quiet = [sum(told(d, Result.OK) for d in fleet) for _ in range(5)]
+    quiet = [sum(count_gossip(d, Result.OK) for d in fleet) for _ in range(5)]
     assert 0 < sum(quiet) / len(quiet) < 1.5 * GOSSIP_SENDERS
-    assert sum(told(d, Result.ERROR) for d in fleet) > 0.9 * GATEWAYS
+    assert sum(count_gossip(d, Result.ERROR) for d in fleet) > 0.9 * GATEWAYS
 
 
 def test_occasional_late_responses_reject_few_requests() -> None:
-    # One late answer while nothing else was out left room for two: with one in twenty late, one in ten was
-    # refused by gateways that have three requests in flight on average, now none, now eight.
+    # One late response while nothing else was in flight lowered the concurrency limit to two. Gateways with
+    # three requests in flight on average (from none to eight) and one response in twenty late rejected one
+    # request in ten.
     driver, rng, asked, rejected = gateway(5), Random(1), 0, 0
     out: list[tuple[float, int, float, Send]] = []
     for _ in range(20_000):
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The estimator against numbers worked by hand, the guards, and the votes in each gate mode."""
+"""Tests of the latency estimate against hand-computed values, of the failure test, and of the votes."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from meadowpulley.state import CostSeries, QMix, ServerOutcomes, mixed_q
 from tests.driver import ROLLOUT, SAFE, UNSAFE, Driver, sends, server_entry, settings, votes
 
-ONE = [(0.0, 0)] * 4
+ONE_BLOCK = [(0.0, 0)] * 4
 
 
-def test_without_horizon_and_with_equal_queues_the_estimate_is_a_plain_difference() -> None:
-    # Queues all 2: Vq = Cwq = 0, so alpha = 0 / (r²·Vw) = 0 and the mix is the queue alone: difference 0.
+def test_without_horizon_and_with_equal_queues_the_estimate_is_the_difference_of_queues() -> None:
+    # All queues are 2, so Vq = Cwq = 0 and alpha = 0 / (r²·Vw) = 0. The mix is the queue alone, difference 0.
     difference, error, trial_count, baseline_count = mixed_q(
-        CostSeries([100, 300, 100, 300], [2] * 4, [0, 1, 0, 1], ONE), QMix(0, 0.01, -math.inf)
+        CostSeries([100, 300, 100, 300], [2] * 4, [0, 1, 0, 1], ONE_BLOCK), QMix(0, 0.01, -math.inf)
     )
     assert (difference, error, trial_count, baseline_count) == (0.0, 0.0, 2, 2)
 
 
 def test_mixed_q_matches_a_calculation_by_hand() -> None:
-    # w = 1, 2, 3, 6 (mean 3), q = 0, 2, 1, 1 (mean 1), r = 1.
-    # Sums of squares: w 4+1+0+9 = 14, q 1+1+0+0 = 2, cross 2-1+0+0 = 1.
+    # Latencies w = 1, 2, 3, 6 (mean 3), queue lengths q = 0, 2, 1, 1 (mean 1), arrival rate r = 1.
+    # Sums of squared deviations: w 4+1+0+9 = 14, q 1+1+0+0 = 2. Sum of their products: 2-1+0+0 = 1.
     # alpha = (2 - 1) / (14 + 2 - 2) = 1/14; mixed = w/14 + 13q/14 = 1/14, 28/14, 16/14, 19/14.
     difference, error, trial_count, baseline_count = mixed_q(
-        CostSeries([1, 2, 3, 6], [0, 2, 1, 1], [0, 1, 0, 1], ONE), QMix(0, 1.0, -math.inf)
+        CostSeries([1, 2, 3, 6], [0, 2, 1, 1], [0, 1, 0, 1], ONE_BLOCK), QMix(0, 1.0, -math.inf)
     )
     assert difference == pytest.approx((28 + 19) / 28 - (1 + 16) / 28)
     mixed = [1 / 14, 2.0, 16 / 14, 19 / 14]
@@ -38,16 +38,17 @@
 
 
 def test_q_function_adds_the_next_requests_and_drops_the_incomplete_tail() -> None:
-    # Length 1: Qw = 3, 5, 9 for the first three; queues follow latency, so the mix keeps that order.
+    # With a horizon of 1, the latency Q is 3, 5 and 9 for the first three requests; the last has no whole
+    # sum. The queue lengths equal the latencies, so the mix has the same values.
     w = [1.0, 2.0, 3.0, 6.0]
     difference, _, trial_count, baseline_count = mixed_q(
-        CostSeries(w, w, [0, 1, 0, 1], ONE), QMix(1, 1.0, -math.inf)
+        CostSeries(w, w, [0, 1, 0, 1], ONE_BLOCK), QMix(1, 1.0, -math.inf)
     )
     assert difference == pytest.approx(5 - 6)
     assert (trial_count, baseline_count) == (1, 2)
 
 
-def test_slowness_of_a_whole_block_does_not_count() -> None:
+def test_a_slowdown_of_both_arms_in_a_block_does_not_count() -> None:
     w = [100.0, 120.0, 1000.0, 1020.0]
     arms, blocks = [0, 1, 0, 1], [(0.0, 0), (0.0, 0), (1.0, 0), (1.0, 0)]
     difference, _, _, _ = mixed_q(CostSeries(w, w, arms, blocks), QMix(0, 1.0, -math.inf))
@@ -55,9 +56,10 @@
 
 
 def test_min_alpha_keeps_latency_in_the_mix_when_queue_lengths_do_not_vary() -> None:
-    # A gateway that sees little mostly holds nothing; the formula would then trust the counts alone.
+    # A gateway with little traffic has no request in flight most of the time. Without the lower bound on
+    # alpha, the estimate would then use the queue lengths alone.
     difference, _, _, _ = mixed_q(
-        CostSeries([100, 300, 100, 300], [0] * 4, [0, 1, 0, 1], ONE), QMix(0, 0.01, 0.5)
+        CostSeries([100, 300, 100, 300], [0] * 4, [0, 1, 0, 1], ONE_BLOCK), QMix(0, 0.01, 0.5)
     )
     assert difference == pytest.approx(100.0)
 
@@ -77,7 +79,7 @@
     assert evidence_ratio(failure_test, 1, False, REQUIRED_EVIDENCE) >= 1
 
 
-def test_one_of_several_servers_proves_nothing_and_server_faults_halve_its_limit() -> None:
+def test_one_of_several_servers_proves_nothing_and_baseline_faults_halve_its_limit() -> None:
     failure_test = new_build_evidence(0.0).own_failures
     for _ in range(20):
         failure_test.add(ServerOutcomes(0, 7, 1, 0), 0.0)
@@ -88,7 +90,7 @@
 
 
 def test_rare_errors_on_many_servers_do_not_add_up() -> None:
-    # Three single errors in a thousand answers of 25 servers once sent a good build back.
+    # Three single errors in a thousand responses of 25 servers had a good build rolled back.
     failure_test = new_build_evidence(0.0).own_failures
     for n in range(1000):
         failure_test.add(ServerOutcomes(0, n % 25, n in (300, 600, 900), n not in (300, 600, 900)), 0.0)
@@ -107,7 +109,11 @@
 
 
 def run_traffic(driver: Driver, seconds: float, slow: float = 100.0, fail: int | None = None) -> list[Vote]:
-    """Even traffic at 50 a second over four earlier and two trial servers of build 42."""
+    """Send 50 requests per second at an even pace, and return the votes on the trial build.
+
+    Servers of the trial build 42 respond after `slow` ms and fail the class `fail`; the others after 100 to
+    106 ms.
+    """
     found: list[Vote] = []
     start = driver.now
     while driver.now < start + seconds * 1000:
@@ -145,7 +151,9 @@
 
 
 @pytest.mark.parametrize("gate", [StageGate.ANY, StageGate.SHARE])
-def test_a_good_build_gets_an_advance_vote_by_the_stage_age_and_it_is_renewed(gate: StageGate) -> None:
+def test_a_good_build_gets_an_advance_vote_at_the_fallback_deadline_and_it_is_renewed(
+    gate: StageGate,
+) -> None:
     driver = Driver(settings(rollout=replace(ROLLOUT, gate=gate)))
     start_trial(driver)
     first = run_traffic(driver, 4.2)
@@ -163,7 +171,7 @@
     assert 1 <= len(again) <= 3 and set(again) == {Vote(42, 1, Verdict.ADVANCE)}
 
 
-def test_a_rejected_vote_is_not_valid() -> None:
+def test_a_rejected_vote_is_sent_again() -> None:
     driver = Driver()
     start_trial(driver)
     [*_, vote] = run_traffic(driver, 4.2)
@@ -186,7 +194,8 @@
 
 
 def test_a_slow_kind_of_machine_is_not_a_slow_build() -> None:
-    # Found on a quiet day: the first trial machine was of the slower kind.
+    # With little traffic, a good build looked slow because its first server ran on a slower machine kind than
+    # the servers of the baseline.
     driver = Driver()
     start_trial(driver)
     driver.update_endpoints(
@@ -227,7 +236,11 @@
 
 
 def run_slow_traffic(driver: Driver, seconds: float, shared: bool) -> list[Vote]:
-    """Both builds slow: in step with the trial build's traffic, or whatever it gets."""
+    """Send 50 requests per second to servers that are slow in both builds, and return the votes.
+
+    With `shared`, all servers are slow only if one of the last 20 requests went to the trial build;
+    otherwise they are always slow.
+    """
     found: list[Vote] = []
     end = driver.now + seconds * 1000
     recent: list[bool] = []
@@ -247,7 +260,7 @@
     assert Vote(42, 0, Verdict.ROLL_BACK) in run_slow_traffic(driver, 12, shared=True)
 
 
-def test_a_dependency_that_slows_all_servers_is_waited_out() -> None:
+def test_a_dependency_that_slows_all_servers_only_delays_the_advance() -> None:
     driver = Driver()
     start_trial(driver)
     assert not run_slow_traffic(driver, 10, shared=False)
@@ -257,8 +270,8 @@
 
 
 def test_a_few_very_late_responses_condemn_no_build() -> None:
-    # Found on a day of silent networks: of 57 answers of a good build three took eighty times the usual, and
-    # the mean of all was over the margin.
+    # In a network that dropped packets without an error, three of 57 responses of a good build took eighty
+    # times the usual latency, so that the mean of all was above the margin.
     driver = Driver()
     start_trial(driver)
     found: list[Vote] = []
@@ -283,7 +296,8 @@
 
 
 def test_lasting_slowness_after_the_release_rolls_back_whatever_servers_are_listed() -> None:
-    # Found on a drawn day: the list still named earlier servers, and nothing condemned a build that was out.
+    # The endpoint list still named servers of the earlier build, so the check for builds without a baseline
+    # did not run, and nothing rolled back a slow build that was released.
     driver = Driver()
     start_trial(driver, stage=0)
     run_traffic(driver, 5)
--- a/tests/test_mixed_classes.py
+++ b/tests/test_mixed_classes.py
@@ -1,4 +1,4 @@
-"""Classes of tens of milliseconds beside classes of seconds: neither is judged by the other's measure."""
+"""Tests that classes of tens of ms and classes of seconds are each held to their own objective."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 
 @pytest.mark.parametrize(("class_index", "probes"), [(0, True), (1, True), (0, False), (1, False)])
 def test_a_class_of_tens_of_ms_is_sent_where_servers_are_probed(class_index: int, probes: bool) -> None:
-    # A request that waits for two servers' word was given up at once: its deadline less two ticks of 50 ms
-    # had passed as it came. Of a class of 90 ms a quarter was served.
+    # A request that waited for the probes of two servers was given up at once, as its deadline less two polls
+    # of 50 ms had already passed on arrival. Of a class with a deadline of 90 ms, only a quarter of the
+    # requests were served.
     driver = Driver(settings(limits=replace(LIMITS, probes=probes), classes=BOTH))
     list_servers(driver)
     actions = driver.request(class_index, time_left_ms=BOTH[class_index].deadline_ms)
@@ -31,7 +32,8 @@
 
 @pytest.mark.parametrize(("class_index", "ejected"), [(0, True), (1, False)])
 def test_a_server_is_unresponsive_by_the_objective_of_its_request(class_index: int, ejected: bool) -> None:
-    # By the least aim of all classes each request of seconds had its server rested after tens of ms.
+    # With the smallest latency objective of all classes as the limit, the server of any request that takes
+    # seconds was ejected after tens of ms.
     driver = Driver(settings(classes=BOTH))
     list_servers(driver, count=1)
     assert sends(driver.request(class_index, time_left_ms=BOTH[class_index].deadline_ms))
@@ -40,7 +42,7 @@
     assert bool(sends(driver.request(0, time_left_ms=BRIEF.deadline_ms))) is not ejected
 
 
-def test_a_request_of_tens_of_ms_is_polled_while_it_can_be_in_time() -> None:
+def test_a_request_of_tens_of_ms_is_polled_before_its_objective_is_missed() -> None:
     driver = Driver(settings(limits=replace(LIMITS, probes=True), classes=BOTH))
     list_servers(driver)
     driver.fire_timer()
@@ -48,7 +50,7 @@
     driver.now += timer.delay_ms
     assert (
         driver.now < BRIEF.latency_objective_ms / 2 and len(sends(driver.fire_timer())) == 1
-    )  # without the answers to its probes
+    )  # sent although no probe was answered
 
 
 @pytest.mark.parametrize("time_left_ms", [30.0, 64.0])
--- a/tests/test_placements_hook.py
+++ b/tests/test_placements_hook.py
@@ -1,4 +1,4 @@
-"""Arms of an experiment: whose order is followed, what it can't get past, and that the coin knows nothing."""
+"""Tests of the placements of an experiment: their order, their limits, and the random assignment."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def never(now: float, request: Request, candidates: Sequence[Candidate]) -> Sequence[int]:
-    raise AssertionError("arm 0 is the module's own choice")
+    raise AssertionError("the placement of arm 0 must not be called")
 
 
 def no_candidates(now: float, request: Request, candidates: Sequence[Candidate]) -> Sequence[int]:
@@ -52,7 +52,7 @@
     )
 
 
-def test_arm_0_and_unknown_arms_are_the_policys_own_choice_draw_for_draw() -> None:
+def test_arm_0_and_unknown_arms_use_the_policys_own_choice_with_the_same_random_draws() -> None:
     plain, with_arms = gateway(), gateway(never, highest_first)
     for n in range(200):
         plain.now = with_arms.now = 10_000.0 + 20.0 * n
@@ -86,13 +86,14 @@
         driver.now += 10.0
 
 
-def _is_on_trial(driver: Driver) -> None:  # and the request's key, the cap being 0, may not go there
+def _is_on_trial(driver: Driver) -> None:
+    # The cap of the trial build is 0, so no request may go to it.
     driver.update_endpoints([server_entry(4, 42, 1.0)], EndpointUpdateKind.INCREMENTAL)
     driver.update_rollout(42, 0, 0.0)
 
 
 @pytest.mark.parametrize("make_ineligible", [_drains, _is_gone, _is_warming_up, _is_ejected, _is_on_trial])
-def test_the_first_in_order_that_may_be_sent_to(make_ineligible: object) -> None:
+def test_the_first_eligible_server_in_the_placements_order_is_used(make_ineligible: object) -> None:
     driver = gateway(never, highest_first)
     assert [send.server for send in request_with_arm(driver)] == [4]
     assert callable(make_ineligible)
@@ -100,7 +101,7 @@
     assert [send.server for send in request_with_arm(driver)] == [3]
 
 
-def test_servers_left_out_get_nothing_and_the_request_is_still_answered() -> None:
+def test_servers_left_out_by_the_placement_get_nothing_and_the_request_is_rejected() -> None:
     driver = gateway(never, no_candidates)
     assert not request_with_arm(driver)
     answers: list[Action] = []
@@ -117,7 +118,7 @@
     assert (first.server, second.server) == (4, 3)
 
 
-def test_what_a_placement_is_given() -> None:
+def test_a_placement_gets_the_time_the_request_and_the_candidates() -> None:
     given: list[tuple[float, Request, Sequence[Candidate]]] = []
 
     def first(now: float, request: Request, candidates: Sequence[Candidate]) -> Sequence[int]:
--- a/tests/test_rules_exposure.py
+++ b/tests/test_rules_exposure.py
@@ -1,4 +1,4 @@
-"""Exposure of trial builds, and what is odd but legal."""
+"""Tests of the exposure of trial builds, and of unusual but valid input."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from meadowpulley.state import WINDOW_MARGIN_MS
 from tests.driver import ROLLOUT, SAFE, UNSAFE, Driver, list_servers, sends, server_entry, settings
 
-ONE_MORE = (Result.REJECTED, Result.CONNECT_FAILED)
+RETRYABLE_RESULTS = (Result.REJECTED, Result.CONNECT_FAILED)
 
 
-# Exposure stays within the cap
+# Exposure of trial builds and keys bound to builds
 
 
 def trial_send_times(driver: Driver, count: int, build: int, class_index: int = SAFE) -> list[float]:
-    """When attempts went to servers of the build, of the requests that come at an even pace."""
+    """Send `count` requests, one every 20 ms, and return the times in ms of attempts at the build."""
     at = []
     for _ in range(count):
         driver.now += 20.0
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(("stage", "cap"), [(0, 0.1), (1, 0.5)])
-def test_attempts_at_a_trial_build_stay_within_free_plus_cap(stage: int, cap: float) -> None:
+def test_attempts_at_a_trial_build_stay_within_exposure_allowance_plus_cap(stage: int, cap: float) -> None:
     driver = Driver()
     list_both_builds(driver)
     driver.update_rollout(42, stage, cap)
@@ -71,7 +71,7 @@
     assert len(trial_send_times(driver, 100, 41)) <= 2 + 0.1 * 100
 
 
-def test_cap_zero_and_a_lowered_cap_hold_at_once() -> None:
+def test_a_cap_that_is_lowered_to_zero_takes_effect_at_once() -> None:
     driver = Driver()
     list_both_builds(driver)
     driver.update_rollout(42, 1, 0.5)
@@ -123,7 +123,7 @@
 
 
 def test_a_key_answered_by_a_released_build_is_bound_too() -> None:
-    # Found on a busy day: the key was noted only while the build was on trial.
+    # A key was bound to a build only if the build answered it while on trial, and not after the release.
     driver = Driver(settings(rollout=replace(ROLLOUT, monotonic_keys=True)))
     driver.update_endpoints([server_entry(10, 42)])
     driver.update_rollout(42, 2, 1.0, Phase.RELEASED)
@@ -136,7 +136,8 @@
 
 @pytest.mark.parametrize("result", [Result.RESET, Result.TIMEOUT, Result.CANCELLED])
 def test_a_key_that_the_trial_build_may_have_answered_is_bound_too(result: Result) -> None:
-    # Found on a day of spoilt answers: one that can't be read, or comes late, counts as an answer.
+    # A response that can't be read or that arrives late still counts as an answer of the build. The key was
+    # not bound in that case.
     driver = Driver(settings(rollout=replace(ROLLOUT, monotonic_keys=True)))
     driver.update_endpoints([server_entry(10, 42)])
     driver.update_rollout(42, 1, 1.0)
@@ -159,7 +160,8 @@
 
 
 def test_keys_of_a_rolled_back_build_are_free_when_the_next_comes() -> None:
-    # They stayed bound to later builds than the one in service: nothing but the next trial could serve them.
+    # After a rollback, keys stayed bound to a build later than the one in service, so that only the next
+    # trial build could serve them.
     driver = Driver(settings(rollout=replace(ROLLOUT, monotonic_keys=True)))
     driver.update_endpoints([server_entry(10, 42)])
     driver.update_rollout(42, 1, 1.0)
@@ -174,7 +176,8 @@
 
 
 def test_a_key_with_an_outstanding_attempt_at_the_trial_build_is_bound() -> None:
-    # Found on a day of silent networks: the answer was written but never came: no note was made yet.
+    # The server wrote a response that the network lost. The key was not yet bound, as it was bound only when
+    # a response arrived.
     driver = Driver(settings(rollout=replace(ROLLOUT, monotonic_keys=True)))
     driver.update_endpoints([server_entry(10, 42)])
     driver.update_rollout(42, 1, 1.0)
@@ -188,7 +191,8 @@
 
 
 def test_keys_answered_before_the_first_update_of_a_build_stay_bound() -> None:
-    # Found on a long day with late news: the list names a build first, and the news of it cleared its keys.
+    # With delayed rollout updates, the endpoint list names a build before its first update arrives. That
+    # update cleared the keys that the build had already answered.
     driver = Driver(settings(rollout=replace(ROLLOUT, monotonic_keys=True)))
     driver.update_rollout(42, 0, 0.1)
     driver.update_endpoints([server_entry(10, 43)])
@@ -201,7 +205,8 @@
 
 
 def test_state_of_keys_windows_and_builds_is_bounded() -> None:
-    # Keys are always new: the notes of a released build grew with every request, for good.
+    # When every request had a new key, the table of keys bound to a released build grew with each request and
+    # was never reduced.
     driver = Driver(settings(rollout=replace(ROLLOUT, monotonic_keys=True)))
     for build in range(42, 47):
         driver.update_endpoints([server_entry(10, build, driver.now + 1)])
@@ -224,12 +229,12 @@
     assert driver.policy.oldest_sticky_build > 42
     driver.update_endpoints(
         [server_entry(1, 41)]
-    )  # what the notes said of each key, the lowest build in service says of all
+    )  # forgotten keys are covered by the oldest build that keys may go to
     assert not sends(driver.request(SAFE, key=5))
     assert sends(driver.request(SAFE))
 
 
-# Odd but legal
+# Unusual but valid input
 
 
 def test_updates_and_statistics_of_unknown_builds_and_of_votes_never_sent() -> None:
@@ -260,7 +265,7 @@
     assert len(sends(driver.request(SAFE))) == 1
 
 
-def test_no_classes_and_no_caps_do_not_stop_the_policy() -> None:
+def test_no_classes_and_no_caps_raise_no_error() -> None:
     driver = Driver(settings(classes=(), rollout=Rollout()))
     driver.update_endpoints([server_entry(1)])
     driver.update_rollout(42)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What hundreds of gateways do together, and the failures found at full size, each in small."""
+"""Tests of the combined effect of hundreds of gateways, and of failures found in full simulations."""
 
 from __future__ import annotations
 
@@ -28,17 +28,18 @@
 from meadowpulley.state import PLATFORM, InFlightRequest, Server, ServerOutcomes, State
 from tests.driver import ROLLOUT, SAFE, Driver, sends, server_entry, settings, votes
 
-MANY = 300
+FLEET_SIZE = 300
 
 
 def test_slow_start_budgets_of_hundreds_of_gateways_do_not_add_up() -> None:
-    # "At least one" request a gateway let hundreds push one cold server over.
+    # Each gateway could send at least one request to a server in slow start. Hundreds of them together
+    # overloaded the server.
     got = 0
-    for seed in range(MANY):
-        driver = Driver(settings(gateway_count=MANY), seed=seed)
+    for seed in range(FLEET_SIZE):
+        driver = Driver(settings(gateway_count=FLEET_SIZE), seed=seed)
         driver.update_endpoints(server_entry(n) for n in range(10))
         driver.fire_timer()
-        for _ in range(10):  # about one request a second, as each gateway sees
+        for _ in range(10):  # each gateway gets about one request per second
             driver.now += 1000.0
             for send in sends(driver.request(SAFE)):
                 driver.finish(send)
@@ -47,12 +48,14 @@
         for _ in range(2):
             driver.now += 700.0
             got += len(sends(driver.request(SAFE)))
-    # Ten servers do about 300 requests a second: a cold one may get 2 x 0.55 x 30 a second for 1.5 s.
+    # Ten servers serve about 300 requests per second, so one in slow start may get 2 x 0.55 x 30 per second
+    # for the 1.5 s of an overload window.
     assert 10 < got <= 2 * 0.55 * 30 * 1.5
 
 
 def test_the_first_build_is_not_evaluated_and_its_failures_are_the_baseline() -> None:
-    # Requests that fail at any server began before the trial: both builds were condemned.
+    # Some requests fail at every server, and did so before the trial began. Without the baseline's failure
+    # rate, both builds were condemned.
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(4))
     found: list[Vote] = []
@@ -82,7 +85,8 @@
 
 
 def test_quick_errors_do_not_overtake_the_good_responses_sent_with_them() -> None:
-    # While a trial grows, its errors came back at once and its good answers later: it seemed to fail more.
+    # Errors of a new build return at once and its good responses later. While its traffic grew, it seemed to
+    # fail more often than it did.
     driver = Driver()
     driver.update_endpoints([server_entry(0), server_entry(1)])
     driver.fire_timer()
@@ -105,7 +109,8 @@
 
 
 def test_platform_statistics_prove_nothing_without_own_failures_on_two_servers() -> None:
-    # Time-outs of cold and jammed machines count as failures in a tally: a good build went back.
+    # The platform's statistics count time-outs of servers in slow start or under overload as failures. A good
+    # build was rolled back for these.
     failure_test = new_build_evidence(0.0).own_failures
     failure_test.add(ServerOutcomes(0, PLATFORM, 60, 40), 0.1)
     assert evidence_ratio(failure_test, 8, False, REQUIRED_EVIDENCE) == 0
@@ -133,9 +138,11 @@
 
 def test_votes_of_hundreds_of_gateways_are_spread() -> None:
     at = []
-    for gateway_index in (0, MANY // 2, MANY - 1):
+    for gateway_index in (0, FLEET_SIZE // 2, FLEET_SIZE - 1):
         rollout = replace(ROLLOUT, gate=StageGate.SHARE, votes_per_s=100.0)
-        configuration = replace(settings(rollout=rollout, gateway_count=MANY), gateway_index=gateway_index)
+        configuration = replace(
+            settings(rollout=rollout, gateway_count=FLEET_SIZE), gateway_index=gateway_index
+        )
         driver = Driver(configuration)
         driver.update_endpoints([server_entry(0), server_entry(1, 42, 1.0)])
         driver.update_rollout(42, 1, 0.5)
@@ -146,7 +153,7 @@
 
 
 def test_a_rejected_vote_backs_off() -> None:
-    driver = Driver(settings(rollout=replace(ROLLOUT, gate=StageGate.SHARE), gateway_count=MANY))
+    driver = Driver(settings(rollout=replace(ROLLOUT, gate=StageGate.SHARE), gateway_count=FLEET_SIZE))
     driver.update_endpoints([server_entry(0), server_entry(1, 42, 1.0)])
     driver.update_rollout(42, 1, 0.5)
     while not votes(driver.fire_timer()):
@@ -159,8 +166,8 @@
 
 
 @pytest.mark.parametrize("load", [(), (0.0, 0.0), (1e30, -1.0)])
-def test_odd_input_leaves_the_policy_running(load: tuple[float, ...]) -> None:
-    driver = Driver(settings(gateway_count=MANY))
+def test_malformed_input_leaves_the_policy_running(load: tuple[float, ...]) -> None:
+    driver = Driver(settings(gateway_count=FLEET_SIZE))
     driver.update_endpoints([server_entry(0), server_entry(1)])
     for data in (b"", b"\x00" * 7, b"\xff" * 256, b"x" * 10_000):
         assert driver.handle(GossipReceived(7, data)) == []
@@ -182,18 +189,19 @@
 
 
 def test_a_choice_of_two_checks_two_servers_in_any_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Compiled, a generator became a list, and every server was checked for every request.
+    # The compiled code evaluated a generator expression as a list, so that every server was checked for every
+    # request.
     driver = Driver()
-    driver.update_endpoints(server_entry(n) for n in range(MANY))
+    driver.update_endpoints(server_entry(n) for n in range(FLEET_SIZE))
     checked: list[int] = []
 
-    def watched(b: State, held: InFlightRequest, server: Server) -> bool:
+    def counting_may_send(state: State, in_flight: InFlightRequest, server: Server) -> bool:
         checked.append(server.id)
-        return may_send(b, held, server)
+        return may_send(state, in_flight, server)
 
-    monkeypatch.setattr(server_selection, "may_send", watched)
-    chosen = {send.server for _ in range(4 * MANY) for send in sends(driver.request(SAFE))}
-    assert len(checked) <= 2 * 4 * MANY and len(chosen) > 0.9 * MANY
+    monkeypatch.setattr(server_selection, "may_send", counting_may_send)
+    chosen = {send.server for _ in range(4 * FLEET_SIZE) for send in sends(driver.request(SAFE))}
+    assert len(checked) <= 2 * 4 * FLEET_SIZE and len(chosen) > 0.9 * FLEET_SIZE
 
 
 def test_servers_without_an_attempt_come_first() -> None:
@@ -206,8 +214,10 @@
 
 
 def list_calls(gateway_count: int, failing_until: float, last: float = 20_000.0) -> list[float]:
-    """When the balancers of a fleet that all start at 0 ask for the list, until each has it; calls that are
-    made before `failing_until` fail 50 ms later."""
+    """Return the times in ms at which gateways that all start at 0 call for the endpoint list.
+
+    Each gateway calls until it has the list. Calls before `failing_until` fail after 50 ms.
+    """
     asked: list[float] = []
     for seed in range(gateway_count):
         driver = Driver(settings(must_poll=True, gateway_count=gateway_count), seed=seed)
@@ -230,15 +240,15 @@
 def test_calls_for_the_list_of_a_fleet_that_starts_or_fails_at_once_are_spread(
     failing_until: float, after: float
 ) -> None:
-    # Forty calls in one instant: discovery takes them in turn, most waited too long, failed, were repeated
-    # at once, all together again; for ten seconds nobody heard of a change.
+    # All forty gateways called at the same instant. Discovery handles calls one after another, so most calls
+    # timed out and were repeated together at once. For ten seconds no gateway got an update of the list.
     asked = [at for at in list_calls(40, failing_until) if at >= after]
     assert len(asked) == 40
     maximum = max(sum(at <= other < at + 500.0 for other in asked) for at in asked)
     assert maximum <= 16
 
 
-def test_a_small_fleet_calls_for_the_list_soon_and_again_after_a_failure() -> None:
+def test_a_small_fleet_calls_for_the_list_early_and_again_after_a_failure() -> None:
     asked = list_calls(3, failing_until=350.0)
     assert sum(at < 350.0 for at in asked) >= 3 and max(asked) <= 4000.0
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Health, waiting and refusals: the failures that were found, each in small."""
+"""Tests of server health, probes, concurrency limits and rejections; each guards against a failure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.driver import LIMITS, RULES, SAFE, Driver, sends, server_entry, settings
 
 
-def test_a_server_that_fails_fast_is_ejected_and_tried_by_one_request_at_a_time() -> None:
+def test_a_server_that_fails_fast_is_ejected_and_then_gets_one_request_at_a_time() -> None:
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(4))
     for _ in range(60):
@@ -21,7 +21,7 @@
     held = []
     for _ in range(30):
         held += sends(driver.request(SAFE))
-    assert sum(s.server == 0 for s in held) == 1  # one at a time until it has answered well
+    assert sum(s.server == 0 for s in held) == 1  # one at a time until a request succeeds
 
 
 def test_one_event_that_breaks_many_attempts_is_one_failure() -> None:
@@ -34,7 +34,8 @@
 
 
 def test_no_server_is_ejected_where_most_fail() -> None:
-    # Ejecting every server that timed out under overload sent all the load to the few that were left.
+    # Under overload, every server that timed out was ejected, so that the few remaining servers got all the
+    # requests.
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(4))
     for _ in range(200):
@@ -75,7 +76,7 @@
         driver.fire_timer()
     for send in held[:50]:
         driver.finish(send, elapsed_ms=1200.0)
-    while driver.now < 2400.0:  # until the servers, which were silent for long, are tried again
+    while driver.now < 2400.0:  # until the ejection of the unresponsive servers ends
         driver.now += 200.0
         driver.fire_timer()
     held = [s for _ in range(40) for s in sends(driver.request(SAFE))]
@@ -106,8 +107,8 @@
 
 
 def test_an_idle_policy_prefers_faster_kinds_in_proportion() -> None:
-    # Where there are many gateways, each has no request in flight most of the time. The slower kind of server
-    # then got as many requests as the faster one, and was overloaded.
+    # In a large fleet, each gateway has no request in flight most of the time. Servers of the slower machine
+    # kind then got as many requests as those of the faster one, and were overloaded.
     driver = Driver()
     driver.update_endpoints(server_entry(n, kind=n % 2) for n in range(40))
     got = [0, 0]
@@ -120,8 +121,9 @@
     assert 1.5 < got[0] / got[1] < 2.7
 
 
-def test_attempts_outstanding_during_a_stall_teach_nothing() -> None:
-    # A gateway that was stalled reads all responses at once. They look slow, and the build was blamed for it.
+def test_attempts_outstanding_during_a_stall_are_unattributable() -> None:
+    # After a stall of its own, a gateway reads all responses at once. These seemed to be slow because of the
+    # build.
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(4))
     for _ in range(40):
@@ -143,8 +145,8 @@
 
 
 def test_lost_responses_alone_do_not_lower_the_concurrency_limit() -> None:
-    # Responses got lost while the work was done. Half of all requests were rejected though the servers were
-    # idle.
+    # The network lost responses of requests that the servers had executed. The gateway took this for overload
+    # and rejected half of all requests, though the servers were idle.
     driver = Driver()
     driver.update_endpoints(server_entry(n) for n in range(8))
     for n in range(200):
@@ -156,7 +158,8 @@
 
 
 def test_an_idle_policy_sets_no_timers() -> None:
-    # Hundreds of idle gateways with a timer twenty times a second took more time than a simulated day has.
+    # With a timer twenty times per second in each of hundreds of idle gateways, a simulation took longer than
+    # the day that it simulated.
     driver = Driver()
     driver.update_endpoints([server_entry(0)])
     for _ in range(20):
@@ -167,9 +170,9 @@
     assert driver.fire_timer() == []
 
 
-def test_a_sparse_policy_probes_two_servers_and_takes_the_first_to_answer() -> None:
-    # Where there are hundreds of gateways, each has nothing in flight most of the time. By its own counts it
-    # sends an overloaded server as much as any other.
+def test_a_policy_with_few_requests_probes_two_servers_and_uses_the_first_to_answer() -> None:
+    # In a fleet of hundreds, a gateway has no request in flight most of the time. By its own counts, it would
+    # send an overloaded server as many requests as any other.
     driver = Driver(settings(limits=replace(LIMITS, probes=True)))
     driver.update_endpoints(server_entry(n) for n in range(8))
     actions = driver.request(SAFE)
@@ -191,7 +194,8 @@
 
 
 def test_without_slow_start_a_new_server_gets_requests_at_once() -> None:
-    # Rules with a slow-start fraction and no slow-start time made each request divide by 0.
+    # With a slow start fraction and a slow start time of 0 ms in the rules, each request failed by a division
+    # by 0.
     driver = Driver(
         replace(settings(), rules=replace(RULES, slow_start_initial_fraction=1.0, slow_start_ms=0.0))
     )
