--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -25,9 +25,8 @@
 SETTLED_LATENCIES = 2.0
 # Attempts older than this are ignored without a baseline, so that a past overload doesn't count as slowness.
 OVERLOAD_MEMORY_MS = 2 * RATE_MEMORY_MS
-MAX_REQUEST_GROWTH = (
-    2 * LATENCY_MARGIN
-)  # relative growth of the request rate above which it explains slowness
+# Relative growth of the request rate above which the additional requests explain slowness.
+MAX_REQUEST_GROWTH = 2 * LATENCY_MARGIN
 UNATTRIBUTABLE_WINDOW = 2 * MIN_SAMPLES  # number of the newest attempts that are searched for an overload
 # Greatest number of unattributable attempts in that window: more of them show an overload, which hides any
 # other cause of slowness.
@@ -99,9 +98,8 @@
     slower = is_slower_than_before(state, of_baseline)
     has_enough_samples = len(of_baseline) >= MIN_SAMPLES
     recovered = has_enough_samples and not slower
-    if (
-        recovered and state.trial_probability < MIN_PAUSE_PROBABILITY / 2
-    ):  # too little trial traffic to matter
+    # With so little traffic, the build on trial does not slow the servers of other builds.
+    if recovered and state.trial_probability < MIN_PAUSE_PROBABILITY / 2:
         state.baseline_latency_ms = fmean([attempt.latency_cost(state.now) for attempt in of_baseline])
     elif not pause.active and slower and state.trial_probability >= MIN_PAUSE_PROBABILITY:
         _begin_pause(state, build)
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -82,7 +82,7 @@
     """Return whether a stage is old enough for a vote to advance without enough outcomes.
 
     The platform takes a limited number of votes per second. The gateways of a large fleet therefore vote one
-    after another in the time before the deadline.
+    after another before the deadline, the last of them at the deadline.
     """
     started = [server.started_ms for server in state.servers_of(rollout.build)]
     if not started:
--- a/tests/test_full_fleet.py
+++ b/tests/test_full_fleet.py
@@ -68,9 +68,8 @@
 def test_slow_start_budgets_of_all_gateways_stay_within_capacity() -> None:
     fleet = [gateway(n, cold=True) for n in range(GATEWAYS)]
     run_fleet(fleet, 0.5, per_s=8.0)
-    sent = run_fleet(
-        fleet, RULES.overload_window_ms / 1000, per_s=8.0
-    )  # the cold servers are 1.5 to 3 s into their slow start of 4 s
+    # During these requests the cold servers are 1.5 to 3 s into their slow start of 4 s.
+    sent = run_fleet(fleet, RULES.overload_window_ms / 1000, per_s=8.0)
     shares, average = Counter(server for _, server in sent), len(sent) / SERVERS
     assert 0 < sum(shares[n] for n in range(20)) / 20 <= 0.7 * average
     assert max(shares[n] for n in range(20)) <= RULES.overload_multiple * 0.7 * average
--- a/tests/test_mixed_classes.py
+++ b/tests/test_mixed_classes.py
@@ -48,9 +48,8 @@
     driver.fire_timer()
     [timer] = [a for a in driver.request(0, time_left_ms=BRIEF.deadline_ms) if isinstance(a, SetTimer)]
     driver.now += timer.delay_ms
-    assert (
-        driver.now < BRIEF.latency_objective_ms / 2 and len(sends(driver.fire_timer())) == 1
-    )  # sent although no probe was answered
+    # The request is sent although no probe was answered.
+    assert driver.now < BRIEF.latency_objective_ms / 2 and len(sends(driver.fire_timer())) == 1
 
 
 @pytest.mark.parametrize("time_left_ms", [30.0, 64.0])
--- a/tests/test_rules_exposure.py
+++ b/tests/test_rules_exposure.py
@@ -227,9 +227,8 @@
     maximum = (ROLLOUT.exposure_window_ms + WINDOW_MARGIN_MS) / 5 + 2
     assert all(len(window.times) <= maximum for window in driver.policy.request_windows.values())
     assert driver.policy.oldest_sticky_build > 42
-    driver.update_endpoints(
-        [server_entry(1, 41)]
-    )  # forgotten keys are covered by the oldest build that keys may go to
+    # Keys that were forgotten still get no server of a build before the oldest one that keys may go to.
+    driver.update_endpoints([server_entry(1, 41)])
     assert not sends(driver.request(SAFE, key=5))
     assert sends(driver.request(SAFE))
 
