--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -1,7 +1,7 @@
 """The limit on this gateway's attempts in flight, with additive increase and additive decrease.
 
-A response within its latency objective raises the limit if at least about half of the limit is in use; a
-late response lowers it. The increase and the decrease balance when one response in five is late. The limit
+A response within its latency objective raises the limit if more than half of the limit is in use; a late
+response lowers it. The increase and the decrease balance when one response in five is late. The limit
 sheds load: a request that would exceed it is rejected at once.
 """
 
@@ -44,7 +44,7 @@
 def _is_overload_timeout(state: State, outcome: Outcome, objective_ms: float) -> bool:
     """Return whether an attempt timed out while responses are slow in general.
 
-    If other responses are fast, the timeout is the fault of its server alone.
+    If responses are fast in general, the timeout is the fault of the attempt's server alone.
     """
     return outcome.result is Result.TIMEOUT and 2 * state.mean_latency_ms > objective_ms
 
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -41,7 +41,11 @@
 
 
 def allowance_ms(state: State, span_ms: float) -> float:
-    """Return how many ms before the end of a time span writes have to stop: at most half of the span."""
+    """Return how many ms before the end of a time span a write has to be decided at the latest.
+
+    This leaves time for a stall between the decision, which reads the clock, and the write itself, and for
+    the length of a clock tick. It is at most half of the span.
+    """
     return min(STALL_ALLOWANCE_MS + state.settings.tick_ms, span_ms / 2)
 
 
@@ -51,7 +55,10 @@
 
 
 def _grace_ms(state: State) -> float:
-    """Return how many ms after its notification this gateway may still ignore a change."""
+    """Return how long, in ms on this gateway's clock, a change may be ignored after its notification.
+
+    This is the drain grace minus the allowance for stalls.
+    """
     grace_ms = state.rules.drain_grace_ms
     return grace_ms - allowance_ms(state, grace_ms)
 
@@ -67,8 +74,8 @@
 def confirm_list(state: State, as_of_ms: float | None) -> None:
     """Renew the lease with a list that holds all changes up to the time `as_of_ms`.
 
-    The time is None if discovery pushes each later change, or reports a failure; the lease then lasts until
-    the watch ends.
+    The time is None if discovery pushes each later change, and otherwise reports a failure. The lease then
+    lasts while the watch is open, and after that for the drain grace minus the allowance for stalls.
     """
     if as_of_ms is None:
         state.endpoint_list.confirmed_at = state.now
@@ -78,7 +85,7 @@
 
 
 def watch_opened(state: State, wait_ms: float) -> None:
-    """Extend the lease while discovery holds a call, which it answers within `wait_ms`."""
+    """Extend the lease for a call that discovery answers after `wait_ms`, or sooner if the list changes."""
     state.endpoint_list.watch_covers_until = state.now + wait_ms
 
 
@@ -93,7 +100,7 @@
 
 
 def list_lost(state: State) -> None:
-    """Record that a list sent to this gateway may have been lost; its changes count as notified now."""
+    """Record that a list sent to this gateway may be lost, although its changes now count as notified."""
     state.endpoint_list.lost_at = state.now
 
 
@@ -101,7 +108,7 @@
 
 
 def list_lease_until(state: State) -> float:
-    """Return until when the endpoint list may be used."""
+    """Return the time until which the lease permits the use of the endpoint list."""
     endpoint_list = state.endpoint_list
     notified_at = endpoint_list.confirmed_at + _notification_ms(state)
     watch_notified_at = endpoint_list.watch_covers_until + LONG_POLL_NOTIFICATION_MS
@@ -118,10 +125,10 @@
 
 
 def _unless_lost(state: State, confirmed_at: float, until: float) -> float:
-    """Return the end of a lease, earlier if a list may have been lost since the lease was renewed.
+    """Return `until`, the end of a lease, or an earlier end if a later list may have been lost.
 
-    The list was written before its loss was detected, at most `STALL_ALLOWANCE_MS` before: a stalled gateway
-    detects the loss late.
+    The changes in the lost list count as notified when discovery wrote it. A gateway that stalls may detect
+    the loss `STALL_ALLOWANCE_MS` later, so the drain grace starts by that much before the loss was detected.
     """
     lost_at = state.endpoint_list.lost_at
     if confirmed_at >= lost_at:
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -25,14 +25,18 @@
 
 QUERY_AHEAD_MS = 3_000.0  # how long before the lease on the list ends queries to other gateways start
 QUERY_INTERVAL_MS = 500.0  # interval between two rounds of queries
-GATEWAYS_PER_QUERY = 2  # queried in a round: the last one that confirmed servers, and random others
-# Gateways queried in a round once the lease has ended: shortly after an outage few have a recent list.
+# Number of gateways queried in a round: the last one that confirmed servers, and random others.
+GATEWAYS_PER_QUERY = 2
+# Number of gateways queried in a round once the lease has ended. It is larger because few gateways have a
+# recent list shortly after an outage of discovery.
 GATEWAYS_PER_URGENT_QUERY = 8
-MAX_OPEN_QUERIES = 8  # latest queries whose replies are still accepted
-# Ranges of servers that are queried in turn, one in each round. However many servers there are, the ranges
-# include this gateway's subset.
+MAX_OPEN_QUERIES = 8  # number of the latest rounds of queries whose replies are still accepted
+# Maximum number of ranges of servers that a gateway asks about, one range in each round. A range has as many
+# servers as fit into one reply. The first range starts at the gateway's subset of servers, so this number of
+# ranges includes the subset, however many servers there are.
 MAX_QUERIED_RANGES = 4
-# Maximum age of a list for a reply: an older one would extend a lease by 1 or 2 seconds at most.
+# Age, in ms, above which a gateway's list is not used for replies: it would extend the lease of the gateway
+# that asks by 1 or 2 s at most.
 MAX_REPLY_AGE_MS = NOTIFICATION_MS - 1_000.0
 NONCE_BITS = 32
 
@@ -104,7 +108,7 @@
 
 
 def _handle_query(state: State, sender: int, query: ListQuery) -> None:
-    """Reply to another gateway if this gateway's list is recent enough to extend the other's lease."""
+    """Reply to another gateway, unless this gateway's list is too old to be of much use to it."""
     age_ms = state.now - state.endpoint_list.confirmed_at
     if not _is_allowed(state) or age_ms > min(MAX_REPLY_AGE_MS, MAX_AGE_MS):
         return
@@ -130,7 +134,7 @@
 
 
 def _ready_servers(state: State) -> list[Server]:
-    """Return the ready servers, sorted by number; the result is kept until the next endpoint list."""
+    """Return the ready servers, sorted by id; the result is kept until the next endpoint list."""
     confirmation = state.confirmation
     if confirmation.ready_servers is None:
         confirmation.ready_servers = state.ready_servers()
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -18,13 +18,16 @@
 # First calls are spread over this time at most. Discovery needs 2 to 8 s to handle one call of each gateway,
 # whatever the size of the fleet, and a call may wait 2 s in its queue: calls spread over 6 s fit into both.
 MAX_FIRST_CALL_MS = 6_000.0
-# Longest pause, in ms, between the second failed call in a row and the next, however small the fleet is.
+# Upper limit, in ms, of the random pause after the second failed call in a row, for a small fleet. For a
+# large fleet the limit is twice the time over which its calls are spread, if that is longer. `RETRY_MS` is
+# also the shortest time after which a call without any response is repeated.
 RETRY_MS = 1_500.0
-MAX_RETRY_GROWTH = 2.0  # later pauses are at most this many times RETRY_MS in a small fleet
-# Longest pause, in ms, after a failed call. Together with the 2 s until a call fails, it keeps a fleet whose
-# calls all fail from calling faster than discovery can answer.
+MAX_RETRY_GROWTH = 2.0  # multiplies RETRY_MS from the third failed call in a row on
+# Longest pause, in ms, after a failed call in a fleet of any size. A call fails after 2 s in the queue; with
+# this pause added, a fleet whose calls all fail calls no faster than discovery can answer.
 MAX_RETRY_MS = 10_000.0
-# Shortest pause from the second failure on, as a fraction of the longest; the rest is drawn at random.
+# Shortest pause after the second and later failed calls in a row, as a fraction of the pause's upper limit.
+# The pause is drawn at random between the two.
 MIN_RETRY_FRACTION = 0.5
 
 
@@ -35,7 +38,7 @@
 
 
 def first_call_delay_ms(state: State) -> float:
-    """Draw the delay of the first call after the start, because a whole fleet may start at once."""
+    """Draw the delay, in ms, of the first call after the start, as a whole fleet may start at once."""
     return state.rng.random() * min(_fleet_spread_ms(state), MAX_FIRST_CALL_MS)
 
 
@@ -57,7 +60,7 @@
 
 
 def _first_retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
-    """Draw the pause after a first failure, so that a fleet's retries do not all come at once."""
+    """Draw the pause, in ms, after a first failure, to spread the retries of calls that failed at once."""
     delay_ms = state.rng.random() * _fleet_spread_ms(state)
     if kind is EndpointUpdateKind.BROKEN:
         # The changes in a list that may have been lost count as notified: retry well within the drain grace.
--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -23,24 +23,35 @@
 MIN_SAMPLES = 20  # minimum number of outcomes per build before an estimate from them is used
 MIN_FAILURE_RATE = 0.02  # lowest failure rate that the test assumes for any build
 MAX_BASELINE_FAILURE_RATE = 0.8  # highest failure rate that the test assumes for the baseline
-# Smallest increase of the failure rate that the test looks for, relative to the baseline's rate.
+# Smallest increase of the failure rate that the test looks for, as a part of the baseline's rate.
 RELATIVE_FAILURE_INCREASE = 0.5
-FAILURE_INCREASE = 0.1  # smallest increase of the failure rate that the test looks for, absolute
-POOLED_FAILURE_INCREASE = 0.04  # smallest absolute increase in the pooled outcomes of many gateways
-# Upper bound on the failure rate in the platform's statistics that one broken server can explain.
+FAILURE_INCREASE = 0.1  # smallest difference to the baseline's failure rate that the test looks for
+# Smallest such difference that the test looks for in the pooled outcomes of many gateways.
+POOLED_FAILURE_INCREASE = 0.04
+# Greatest failure rate that one broken server may explain in the platform's statistics, which do not say
+# which server failed. It is added to the expected failure rate.
 MAX_SERVER_FAILURE_SHARE = 0.4
-REQUIRED_EVIDENCE = 4.0  # log likelihood ratio; three failures more than the baseline's reach it
+# Log likelihood ratio that condemns a build, for a single gateway. A build reaches it with three failures
+# more than the baseline would have had.
+REQUIRED_EVIDENCE = 4.0
 # Part of the required evidence that this gateway's own outcomes must exceed before the platform's statistics
-# count. Statistics alone prove nothing, as they include the time-outs of overloaded servers.
+# count. Statistics alone prove nothing, as they include the timeouts of overloaded servers.
 MIN_OWN_EVIDENCE = 0.4
-# Limits on the evidence from one server, as parts of the required evidence.
-MIN_SERVER_EVIDENCE_LIMIT = 0.25  # in a build of many servers: at least four servers must fail
-MAX_SERVER_EVIDENCE_LIMIT = 0.7  # in a build of a few servers: at least two servers must fail
-SERVERS_TO_CONDEMN = 2  # failing servers that suffice to condemn a build of a few servers
-FAULTY_BASELINE_FACTOR = 0.5  # multiplies the limit per server while servers of the baseline are faulty too
+# Limit on the evidence from one server of a build with many servers, as a part of the required evidence: at
+# least four servers must fail before the build is condemned.
+MIN_SERVER_EVIDENCE_LIMIT = 0.25
+# Limit on the evidence from one server of a build with a few servers, as a part of the required evidence: at
+# least two servers must fail before the build is condemned.
+MAX_SERVER_EVIDENCE_LIMIT = 0.7
+# Number of failing servers that suffice to condemn a build of two to four servers. Divided by the number of
+# servers, it gives the limit on the evidence from one server, between the two limits above.
+SERVERS_TO_CONDEMN = 2
+# Factor on the limit on the evidence from one server, while servers of the baseline are faulty too.
+FAULTY_BASELINE_FACTOR = 0.5
 FAILURE_RATE_EWMA_WEIGHT = 0.05  # weight of one outcome in the moving average of a failure rate
-MAX_FAILURE_RATE_EWMA_WEIGHT = 0.6  # greatest weight of a batch of outcomes in that average
-UNKNOWN_RATE = -1.0  # in place of a failure rate, if nothing was counted yet
+# Greatest weight of a batch of outcomes in the moving average of a failure rate.
+MAX_FAILURE_RATE_EWMA_WEIGHT = 0.6
+UNKNOWN_RATE = -1.0  # stands for a failure rate that is not known, as no outcomes were counted yet
 
 _OWN_BOUNDS = FailureTestBounds(
     (FAILURE_INCREASE,), MIN_FAILURE_RATE, MAX_BASELINE_FAILURE_RATE, RELATIVE_FAILURE_INCREASE
@@ -61,7 +72,10 @@
 def evidence_ratio(
     test: SequentialFailureTest, server_count: int, baseline_faulty: bool, required: float
 ) -> float:
-    """Return the evidence against a build of `server_count` servers, as a multiple of `required`."""
+    """Return the evidence against a build of `server_count` servers, as a multiple of `required`.
+
+    The evidence from each server is limited, so that one broken server does not condemn a build of several.
+    """
     limit = 1.0
     if server_count > 1:
         per_server = min(SERVERS_TO_CONDEMN / server_count, MAX_SERVER_EVIDENCE_LIMIT)
--- a/meadowpulley/policy/final_response.py
+++ b/meadowpulley/policy/final_response.py
@@ -23,7 +23,10 @@
 
 
 def cancel_outstanding(state: State, in_flight: InFlightRequest) -> None:
-    """Cancel the outstanding attempts of a finished request, to spare the servers useless work."""
+    """Cancel the outstanding attempts of a finished request, if the servers can drop them.
+
+    This spares the servers useless work.
+    """
     if state.settings.limits.cancellation and not in_flight.streaming:
         numbers = state.outstanding_attempts(in_flight)
         state.actions += [Cancel(in_flight.request.request, number) for number in numbers]
--- a/meadowpulley/policy/health_probes.py
+++ b/meadowpulley/policy/health_probes.py
@@ -1,6 +1,6 @@
 """Health probes of two servers before the first attempt of a request.
 
-A gateway with few requests in flight can't tell from these which server is loaded. It probes two candidates
+A gateway with few requests in flight can't tell from them which server is loaded. It probes two candidates
 and sends the request to the first that answers, as this one has the shorter queue.
 """
 
--- a/meadowpulley/policy/latency_comparison.py
+++ b/meadowpulley/policy/latency_comparison.py
@@ -24,15 +24,16 @@
 )
 
 MAX_HORIZON = 20  # greatest number of later requests whose costs are added to a request's own
-# Lower bound on the weight of latency in the mix of latencies and queue lengths. The queue lengths that a
-# gateway with few requests in flight sees are of no use.
+# Lower bound on the weight of latencies in the mix of latencies and queue lengths. The bound is higher for a
+# gateway with few requests in flight, because the queue lengths that it sees are of no use.
 MIN_ALPHA = 0.5
 LATENCY_MARGIN = 0.25  # accepted slowdown, as a part of the baseline's mean latency
 # Standard deviation of the latency between servers of one machine kind, as a part of the mean latency: under
 # load, small differences in speed become large ones in latency.
 SERVER_LATENCY_SPREAD = 0.5
 MIN_BLOCK_MS = 1000.0  # minimum length of the time blocks within which builds are compared
-TRIALS_PER_BLOCK = 2.0  # a block is long enough for this many requests to the build on trial, on average
+# Mean number of requests to the build on trial for which a time block is long enough.
+TRIALS_PER_BLOCK = 2.0
 MIN_TRIAL_RATE = 1e-6  # requests per ms; keeps blocks finite if the build on trial gets hardly any requests
 RECENT_SAMPLES = 8 * MIN_SAMPLES  # number of the newest attempts that show whether servers are slow now
 # Result of a comparison without any sample of the build on trial.
@@ -80,7 +81,11 @@
 
 
 def _compare(state: State, samples: LatencySamples) -> QDifference:
-    """Compare the arms; the horizon is the mean number of requests in flight at a server, rounded up."""
+    """Compare the costs of the requests in both arms.
+
+    The cost of a request includes those of the requests that follow it: as many as are in flight at a server
+    on average, rounded up, and at most `MAX_HORIZON`.
+    """
     load = _load(state)
     trial_rate = max(load.request_rate * state.trial_probability, MIN_TRIAL_RATE)
     block_ms = max(MIN_BLOCK_MS, TRIALS_PER_BLOCK / trial_rate)
@@ -96,7 +101,10 @@
 
 
 def _warm_server_count(state: State, build: int) -> int:
-    """Return how many servers of the build had warmed up when samples began, a soak time ago; at least 1."""
+    """Return how many servers of the build had warmed up one soak time ago, but at least 1.
+
+    The samples that are compared began about then.
+    """
     soak_ms = state.rollout_settings.soak_ms
     fractions = [state.slow_start_fraction(server, soak_ms) for server in state.servers_of(build)]
     return max(sum([fraction >= WARMED_UP_FRACTION for fraction in fractions]), 1)
@@ -127,7 +135,7 @@
 
 
 def is_slower_than_before(state: State, attempts: list[Attempt]) -> bool:
-    """Return whether the newest attempts are slower than those before the build, by more than the margin."""
+    """Return whether the newest attempts are slower, by more than the margin, than before the build came."""
     costs = summarize([attempt.latency_cost(state.now) for attempt in attempts[-RECENT_SAMPLES:]])
     limit_ms = (1 + LATENCY_MARGIN) * state.baseline_latency_ms
     return costs.size >= MIN_SAMPLES and costs.lower_bound(state.confidence_z) > limit_ms > 0
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -19,11 +19,12 @@
 GOSSIP_SENDERS = 40
 MAX_DIGESTS_PER_GATEWAY = 4  # digests kept per interval, on average over all gateways
 # Part of a bad build's requests that is assumed to time out; for a good build it is FAILURE_INCREASE. Paused
-# servers cause fewer time-outs than this.
+# servers cause fewer timeouts than this.
 TIMEOUT_RATE = 0.5
 MIN_REPORTING_GATEWAYS = 2  # a server is ejected on reports only if this many gateways saw it fail
 MIN_REPORTED_FAILURES = 2  # minimum number of reported failures per interval that ejects a server
-FAILURES_OVER_MEAN = 2  # a server with this multiple of the mean failures per server fails more than most
+# A server with this multiple of the mean number of failures per server fails more than most servers do.
+FAILURES_OVER_MEAN = 2
 
 
 def handle_digest(state: State, event: GossipReceived) -> None:
@@ -46,7 +47,7 @@
 
 
 def _send_digest(state: State, build: int) -> None:
-    """Send a digest if a failure was seen, or else by a random draw that bounds the senders of a fleet."""
+    """Send a digest if a failure was seen; otherwise a random draw limits how many gateways send one."""
     gossip = state.gossip
     drawn = state.rng.random() * state.gateway_count < GOSSIP_SENDERS
     if not (drawn or gossip.has_failures()):
@@ -59,7 +60,10 @@
 
 
 def _eject_reported_servers(state: State) -> None:
-    """Eject servers that, by several gateways' reports, fail many requests and more than most servers do."""
+    """Eject servers that, as several gateways report, fail a large share of requests and more than most do.
+
+    The share is taken of the requests that each server gets if those of all gateways are spread evenly.
+    """
     reports = state.gossip.failure_reports()
     requests = state.request_rate.value(state.now) * state.gateway_count * GOSSIP_INTERVAL_MS
     suspicious = max(SERVER_FAULT_RATE * requests, FAILURES_OVER_MEAN * reports.total)
@@ -74,7 +78,7 @@
 def _pool_digests(state: State, build: int) -> None:
     """Add the outcomes of both builds that all gateways saw in the last interval to the evidence.
 
-    Failures that begin in both builds at once are not caused by the newest build.
+    Failures that begin everywhere at once, in both builds, are not caused by the newest build.
     """
     pooled = state.gossip.take_pooled(build)
     evidence = state.build_evidence[build]
@@ -92,7 +96,7 @@
 
 
 def _add_timeouts(pooled: PooledOutcomes, evidence: BuildEvidence) -> None:
-    """Count time-outs as evidence against the build, if the baseline has few of them."""
+    """Count timeouts as evidence against the build, if the baseline has few of them."""
     timeouts = pooled.timeouts()
     responses = pooled.responses()
     few_timeouts = timeouts.baseline <= FAILURE_INCREASE * responses.baseline_succeeded
--- a/meadowpulley/policy/outcomes.py
+++ b/meadowpulley/policy/outcomes.py
@@ -13,11 +13,12 @@
 from meadowpulley.policy.routing import route
 from meadowpulley.state import Attempt, OutcomeCounts, State
 
-# Slow start fraction from which a timeout counts as evidence on the build of its server. A server with a
-# smaller fraction may time out only because requests queue at it.
+# Slow start fraction from which the timeouts and latencies of a server count as evidence on its build. At a
+# server with a smaller fraction, requests may be slow or time out only because they queue.
 WARMED_UP_FRACTION = 0.8
-# Time from sending an attempt until its failure counts as evidence, in mean latencies: errors arrive
-# sooner than the successful responses to requests sent at the same time.
+# Time from sending an attempt until its failure counts as evidence, in mean latencies. Errors arrive sooner
+# than the successful responses to requests sent at the same time, so without this delay the newest outcomes
+# would hold too many errors.
 FAILURE_DELAY_LATENCIES = 2.0
 LATENCY_EWMA_WEIGHT = 0.05  # weight of the newest response in the mean latencies
 NEVER_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
@@ -48,8 +49,9 @@
     """Update server health, the evidence on the build and the concurrency limit with an outcome."""
     result = outcome.result
     ok = result is Result.OK
-    # A stall of this gateway hides how long the attempts sent before it took. Their timing is not used,
-    # neither for the health of servers nor for mean latencies and the concurrency limit.
+    # If this gateway stalled after it sent an attempt, it does not know how long the attempt took. Such an
+    # outcome is not used for the server's health, timeout evidence, the concurrency limit or latencies. It
+    # still counts as goodput and as evidence on the build, and still binds the request's key.
     latency_known = attempt.sent_at >= state.resumed_at
     if latency_known and result not in NO_HEALTH_SIGNAL:
         update_health(state, attempt.server, result)
@@ -87,10 +89,11 @@
 
 
 def _attribute_latency(state: State, attempt: Attempt, outcome: Outcome, latency_known: bool) -> None:
-    """Set the latency cost of an attempt, which is the mean latency if its build is not the cause.
+    """Set the latency that an attempt contributes to the comparison of builds.
 
-    An error costs as much as the request's deadline, unless the failure rate of its server shows a fault
-    of the machine.
+    A successful response counts with its latency, and an error with the deadline of its request class. The
+    mean latency counts if the build is not the cause of what was measured: after a stall of this gateway,
+    without a response, or for an error of a server whose failure rate shows a fault of the machine.
     """
     ok = outcome.result is Result.OK
     healthy_error = outcome.result is Result.ERROR and attempt.server.failure_rate < SERVER_FAULT_RATE
--- a/meadowpulley/policy/outlier_detection.py
+++ b/meadowpulley/policy/outlier_detection.py
@@ -7,11 +7,15 @@
 
 FAILURE_EWMA_WEIGHT = 0.2  # weight of the newest outcome in a server's failure rate
 SERVER_FAULT_RATE = 0.3  # failure rate that shows a faulty machine: two failures among the last few outcomes
-EJECTION_FAILURE_RATE = 0.45  # failure rate that ejects a server: three failures in a row, or half of many
+# Difference to the median failure rate that ejects a server. Where the median is 0, three failures in a row
+# reach it, or failures of half of many requests. An ejected server has recovered once its rate is below it.
+EJECTION_FAILURE_RATE = 0.45
 MIN_EJECTION_MS = 1000.0  # length of the first ejection; each failed request after an ejection doubles it
 MAX_EJECTION_MS = 8000.0  # longest ejection
 OVERLOAD_BACKOFF_MS = 200.0  # a server that rejected a request gets no further request for this time
-UNRESPONSIVE_LATENCIES = 4.0  # a server without a response for this multiple of mean latency is unresponsive
+# Multiple of the mean latency after which a server without a response counts as unresponsive, if that is
+# between half of the request's latency objective and all of it; otherwise the nearer of these bounds applies.
+UNRESPONSIVE_LATENCIES = 4.0
 
 
 def is_available(state: State, server: Server) -> bool:
@@ -46,7 +50,8 @@
 def _record_failure(state: State, server: Server) -> None:
     """Count a failure; eject a server that fails after an ejection, or that fails more often than most.
 
-    If most servers fail, none is ejected: an ejection would overload the others.
+    The failure rate is compared with the median rate of all servers, because ejections while most servers
+    fail would overload the remaining ones.
     """
     server.last_failure_at = state.now
     server.failure_rate += FAILURE_EWMA_WEIGHT * (1.0 - server.failure_rate)
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -25,8 +25,8 @@
 from meadowpulley.policy.outlier_detection import eject_unresponsive
 from meadowpulley.state import GossipState, State
 
-# Delay of the timer, in ms, beyond which the gateway counts as stalled: the stall adds to the measured
-# latencies of the attempts that were in flight, so their servers only appear to be slow.
+# Delay of the timer, in ms, beyond which the gateway counts as stalled. A stall adds to the measured
+# latencies of the attempts in flight, so that their servers appear to be slower than they are.
 STALL_THRESHOLD_MS = 250.0
 MIN_SUBSET_SIZE = 8  # minimum number of servers in the subset that a gateway prefers
 TIMER_TOKEN = 1  # identifies the only timer of the policy
@@ -34,8 +34,8 @@
 # Added to the seed, so that the incarnation number in digests comes from a separate random sequence.
 GOSSIP_SEED = 1
 BASE_CONFIDENCE_Z = 2.0  # standard errors from an estimate to its confidence bounds, for one gateway
-# Standard errors added for each e-fold increase of the number of gateways: the more gateways there are, the
-# likelier one of them is wrong by chance.
+# Standard errors added for each e-fold increase of the number of gateways. The more gateways there are, the
+# more likely it is that one of them is wrong by chance.
 FLEET_CONFIDENCE_Z = 0.5
 
 
@@ -111,7 +111,8 @@
             placements: The placement policy of each arm of an experiment; the first one is not used.
         """
         super().__init__(settings, seed)
-        max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION  # the shortest of all classes
+        # How long a request of the class with the shortest latency objective may wait for a server.
+        max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION
         interval_ms = admission.WAITING_POLL_INTERVAL_MS
         self.waiting_poll_interval_ms = min(interval_ms, max_wait_ms) or interval_ms
         self.retry_budget = retry_budget.INITIAL_BUDGET
@@ -146,7 +147,7 @@
         """Return when the timer has to fire next; infinity while the gateway is idle, to use no CPU."""
         idle_ms = OUTSTANDING_POLL_INTERVAL_MS if self.attempts else math.inf
         requests_at = self.now + (self.waiting_poll_interval_ms if self.waiting else idle_ms)
-        # Received digests go out of date even while there are no requests.
+        # Digests that were received become outdated, so they are evaluated even while there are no requests.
         gossip_at = self.gossip_at if self.gossip.received else math.inf
         query_at = endpoint_list_confirmation.next_query_at(self)
         return min(self.evaluate_at, self.endpoint_list.poll_at, gossip_at, requests_at, query_at)
--- a/meadowpulley/policy/rollout_stage.py
+++ b/meadowpulley/policy/rollout_stage.py
@@ -7,7 +7,8 @@
 from meadowpulley.state import State
 
 # Greatest number of keys bound to builds. Beyond it, the keys bound to the oldest ready build and to earlier
-# ones are forgotten; builds before the oldest ready one then get no requests with a key.
+# ones are forgotten. No ready server needs them, as such a key allows all ready builds. Builds before the
+# oldest ready one get no more requests with a key.
 MAX_STICKY_KEYS = 8000
 ROLLBACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
 
@@ -48,6 +49,9 @@
 
 
 def _limit_sticky_keys(state: State, oldest_ready_build: int) -> None:
-    """Forget the keys bound to builds up to the oldest ready one, if too many keys are bound."""
+    """Forget keys that no ready server needs, if too many keys are bound to builds.
+
+    These are the keys bound to the oldest ready build or an earlier one, which all ready builds may serve.
+    """
     if len(state.sticky_builds) > MAX_STICKY_KEYS and oldest_ready_build > state.oldest_sticky_build:
         state.forget_sticky_builds(oldest_ready_build)
--- a/meadowpulley/policy/routing.py
+++ b/meadowpulley/policy/routing.py
@@ -30,9 +30,10 @@
 def _sample_size(state: State, choice: ArmChoice) -> int:
     """Return how many servers of the preferred arm are considered.
 
-    Requests that the slow start budgets keep from servers of the trial build go to the baseline. With more
-    than two servers per gateway, a gateway's part of a budget is at least a whole request. Only then are just
-    two servers of the trial build considered; if neither may get the request, the baseline gets it.
+    Usually these are all servers of the arm. With more than two servers per gateway, only two are considered
+    for a request that was randomly assigned to the trial build. If the slow start budgets of both are used
+    up, the request goes to the baseline. With fewer servers, all are considered, because a gateway's part of
+    a budget may be less than a whole request.
     """
     spill_over = choice.randomized and choice.to_trial and 2 * state.gateway_count < state.peak_ready_servers
     return CHOICE_SIZE if spill_over else len(choice.preferred)
--- a/meadowpulley/policy/server_selection.py
+++ b/meadowpulley/policy/server_selection.py
@@ -12,9 +12,9 @@
 
 CHOICE_SIZE = 2  # number of candidates whose queues are compared
 TIE_BREAK_LOAD = 0.5  # requests; mean of the random load added to each queue to break ties
-# The queue of a server is divided by its capacity to the power of this exponent less the mean load (0 to 1).
-# Idle servers are thus chosen in proportion to the square of their capacity, and busy ones by their queue
-# relative to their capacity.
+# To compare queues, each is divided by a power of its server's capacity. The exponent is this number minus
+# the mean load (0 to 1), so that idle servers are chosen in proportion to the square of their capacity, and
+# busy ones by their queue relative to their capacity.
 IDLE_CAPACITY_EXPONENT = 2.0
 
 
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -3,7 +3,7 @@
 While the baseline's servers are slow too, the traffic to the build on trial pauses. If latency recovers
 during the pause and rises again after it, twice in succession, the build is the cause and is rolled back. A
 slowdown caused by a dependency recovers independently of the pauses, and the rollout goes on. Without a
-baseline to compare with, a build is rolled back if it stays slow for longer than faults usually last.
+baseline to compare with, a build is rolled back if it stays slow for longer than faults of other causes last.
 """
 
 import math
@@ -14,22 +14,23 @@
 from meadowpulley.policy.latency_comparison import LATENCY_MARGIN, MIN_BLOCK_MS, is_slower_than_before
 from meadowpulley.state import RATE_MEMORY_MS, Attempt, State
 
-# Smallest part of the requests with which the trial build's traffic is paused. With less traffic, the build
-# can hardly be what slows all servers.
+# The traffic to the build on trial is paused only if it is at least this part of all requests. With less
+# traffic, the build can hardly slow all servers.
 MIN_PAUSE_PROBABILITY = 0.1
-PAUSE_MEMORY_SOAKS = 2.0  # soak times after a pause within which another slowdown counts as the same one
-MAX_PAUSES = 2  # pauses in succession; a further slowdown shows that the build is the cause
-MIN_PAUSE_MS = 2 * MIN_BLOCK_MS  # shortest pause
+# Number of soak times after a pause within which a slowdown that returns with the traffic counts as the same.
+PAUSE_MEMORY_SOAKS = 2.0
+MAX_PAUSES = 2  # pauses in succession; a third slowdown shows that the build is the cause
+MIN_PAUSE_MS = 2 * MIN_BLOCK_MS  # shortest pause of the traffic to the build on trial
 MAX_SLOW_SOAKS = 3.0  # a build without a baseline is rolled back after being slow for this many soak times
-# Multiple of the baseline latency after which an attempt is compared: it has a response by then, or is slow.
+# Multiple of the baseline latency after which an attempt is compared. By then it has a response, or is slow.
 SETTLED_LATENCIES = 2.0
 # Attempts older than this are ignored without a baseline, so that a past overload doesn't count as slowness.
 OVERLOAD_MEMORY_MS = 2 * RATE_MEMORY_MS
 # Relative growth of the request rate above which the additional requests explain slowness.
 MAX_REQUEST_GROWTH = 2 * LATENCY_MARGIN
 UNATTRIBUTABLE_WINDOW = 2 * MIN_SAMPLES  # number of the newest attempts that are searched for an overload
-# Greatest number of unattributable attempts in that window: more of them show an overload, which hides any
-# other cause of slowness.
+# Greatest number of these attempts whose latency can't be attributed to their build, usually because they got
+# no response. More of them show an overload, which hides any other cause of slowness.
 MAX_UNATTRIBUTABLE = MIN_SAMPLES / 2
 
 
@@ -63,7 +64,10 @@
 
 
 def _check_without_baseline(state: State, build: int) -> bool:
-    """Roll back a build that is slow for longer than faults last, unless the load explains the slowness."""
+    """Roll back a build that stays slow for longer than faults of other causes last.
+
+    It is not rolled back while more requests or an overload explain the slowness.
+    """
     pause = state.traffic_pause
     settled = _settled_attempts(state, OVERLOAD_MEMORY_MS)
     since_change = [attempt for attempt in settled if attempt.sent_at > pause.changed_at]
@@ -110,7 +114,7 @@
 
 
 def _begin_pause(state: State, build: int) -> None:
-    """Pause the traffic to the build, or roll the build back at the third time in succession."""
+    """Pause the traffic to the build, or roll the build back if this is the third pause in succession."""
     pause = state.traffic_pause
     pause.begin(state.now, PAUSE_MEMORY_SOAKS * state.rollout_settings.soak_ms)
     if pause.count > MAX_PAUSES:
--- a/meadowpulley/policy/trial_assignment.py
+++ b/meadowpulley/policy/trial_assignment.py
@@ -14,8 +14,12 @@
 # Utilization of the baseline's servers up to which a build that is being rolled back gets no requests.
 ROLLBACK_UTILIZATION = 0.75
 EVALUATION_INTERVAL_MS = 400.0  # time between two evaluations of a build
-STICKY_EWMA_WEIGHT = 0.02  # weight of the newest request in the average share of requests bound by their key
-MIN_UNBOUND_SHARE = 0.01  # lower bound on the assumed share of requests that no key binds to a build
+# Weight of the newest request in the moving average of the share of requests that a key binds to the build on
+# trial.
+STICKY_EWMA_WEIGHT = 0.02
+# Lower bound on the share of requests that no key binds to the build on trial. What the bound requests leave
+# of the build's part of all requests is spread over this share.
+MIN_UNBOUND_SHARE = 0.01
 # Exponent of the slow start fraction in the capacity of a server. With a value above 1, servers in slow start
 # get less than their capacity allows, as they are slow at any load.
 SLOW_START_POWER = 2
@@ -27,7 +31,7 @@
     def __init__(
         self, preferred: list[Server], fallback: list[Server], to_trial: bool, randomized: bool
     ) -> None:
-        """Store the choice for one attempt; `to_trial` says whether it is the build on trial."""
+        """Store the choice for one attempt; `to_trial` says whether the build on trial is preferred."""
         self.preferred = preferred
         self.fallback = fallback
         self.to_trial = to_trial
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -2,8 +2,8 @@
 
 The rules apply in this order. A build that was condemned once is rolled back. A build is rolled back for
 failures, for latency, or for a slowdown of all servers. With a timer gate, a stage is held while the build
-looks slow. With any other gate, a stage is advanced if the samples show that the build is within the margin,
-or once the fallback deadline has passed.
+looks slow. With any other gate, the vote is to advance if the samples show that the build is within the
+margin, or if the fallback deadline allows it; gateways of a large fleet may vote before that deadline.
 """
 
 from meadowpulley.interface import BuildRejected, Phase, RollbackReason, RolloutUpdate, StageGate, Verdict
@@ -12,14 +12,17 @@
 from meadowpulley.policy.shared_slowdown import roll_back, suspect_shared_slowdown
 from meadowpulley.state import Slowdown, State
 
-MAX_ADVANCE_EVIDENCE = 0.5  # evidence ratio from which there is no vote to advance
+MAX_ADVANCE_EVIDENCE = 0.5  # evidence ratio at and above which there is no vote to advance
 REQUIRED_EVIDENCE_RATIO = 1.0  # evidence ratio that condemns a build
-# Time to the fallback deadline from the start of the stage, or of the build's newest server if that is later.
+# Time, in ms, from the latest start of a server of the build, or from the start of the stage if that is
+# later, to the fallback deadline.
 FALLBACK_MS = 4000.0
-MAX_FALLBACK_LEAD_MS = FALLBACK_MS / 2  # gateways of a large fleet vote at most this long before the deadline
+# Gateways of a large fleet vote at most this long before the fallback deadline.
+MAX_FALLBACK_LEAD_MS = FALLBACK_MS / 2
 UNSPREAD_VOTES_S = 2.0  # votes are not spread if the platform can take them all within this many seconds
 MAX_HOLD_MS = 3000.0  # longest time for which a stage is held under a timer gate
-HOLD_MARGIN_FRACTION = 0.5  # part of the margin above which a slowdown holds a stage under a timer gate
+# Part of the latency margin above which a slowdown holds a stage under a timer gate.
+HOLD_MARGIN_FRACTION = 0.5
 MS_PER_S = 1000
 
 
--- a/meadowpulley/policy/voting.py
+++ b/meadowpulley/policy/voting.py
@@ -40,7 +40,7 @@
     votes = state.vote_state
     last = votes.last_vote
     if vote.verdict is Verdict.NONE and (last == vote or last.build != vote.build):
-        return False  # no earlier vote on this build to withdraw
+        return False  # there is no vote on this build that would have to be withdrawn
     if state.now < max(votes.sent_at + MIN_VOTE_INTERVAL_MS, votes.backoff_until):
         return False
     if last != vote:
@@ -61,7 +61,10 @@
 
 
 def _handle_vote_reply(state: State, result: Result) -> None:
-    """Record a reply; if the platform rejected the vote, the next one is sent after a random delay."""
+    """Record a reply to a vote.
+
+    If the platform rejected the vote because it got too many, the next one is sent after a random delay.
+    """
     state.vote_state.acknowledge(result, state.now + state.rollout_settings.vote_ttl_ms)
     if result is Result.REJECTED:
         votes_per_s = state.rollout_settings.votes_per_s
