--- a/meadowpulley/policy/admission.py
+++ b/meadowpulley/policy/admission.py
@@ -7,9 +7,9 @@
 from meadowpulley.policy.routing import route
 from meadowpulley.state import InFlightRequest, State
 
-WAITING_POLL_INTERVAL_MS = 50.0  # interval between attempts to send waiting requests
+WAITING_POLL_INTERVAL_MS = 50.0  # longest time until the gateway tries again to send waiting requests
 MAX_WAIT_FRACTION = 0.25  # longest wait for a server, as a fraction of the latency objective
-# Fraction of the idle timeout of connections: the subset may hold as many servers as requests arrive in that
+# Fraction of the idle timeout of connections. The subset grows to as many servers as requests arrive in that
 # time, so that each server gets a request long before its connection is closed as idle.
 SUBSET_IDLE_FRACTION = 0.1
 
@@ -55,7 +55,7 @@
 
 
 def _wait_until(state: State, in_flight: InFlightRequest) -> float:
-    """Return until when a request may wait for a server.
+    """Return the time until which a request may wait for a server.
 
     The wait ends after a fraction of the latency objective, and early enough before the deadline that the
     final response is not late.
--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -12,7 +12,9 @@
 
 LIMIT_INCREASE = 0.1  # attempts added to the limit for each response within its latency objective
 LIMIT_DECREASE = 0.4  # attempts subtracted from the limit for each late response
-MIN_LIMIT_PER_SERVER = 2.0  # attempts per server that all gateways together may always have in flight
+# Attempts in flight per server that all gateways together may always have; each gateway's limit is at least
+# its part of them.
+MIN_LIMIT_PER_SERVER = 2.0
 # Standard deviations of a Poisson count by which the number of attempts in flight may exceed its typical
 # value by chance, which matters when only a few are in flight.
 MAX_DEVIATIONS = 3.0
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -117,7 +117,7 @@
 
 
 def usable_until(state: State, server: Server) -> float:
-    """Return until when the list or a peer's confirmation permits writing requests to the server."""
+    """Return the time until which the list or a peer's confirmation permits writes to the server."""
     if not state.rules.drain_grace_ms:  # this deployment has no drain rule
         return math.inf
     until = server.peer_confirmed_at + _notification_ms(state) + _grace_ms(state)
@@ -137,7 +137,7 @@
 
 
 def lease_basis(state: State) -> LeaseBasis:
-    """Return what permits sending now: the list, or a peer's confirmation once the list has expired."""
+    """Return what permits sends now: the list, or a peer's confirmation once the list has expired."""
     return LeaseBasis.PEER if _list_expired(state) else LeaseBasis.LIST
 
 
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -23,7 +23,7 @@
 from meadowpulley.policy.outcome_gossip import handle_digest
 from meadowpulley.state import Server, State
 
-QUERY_AHEAD_MS = 3_000.0  # how long before the lease on the list ends queries to other gateways start
+QUERY_AHEAD_MS = 3_000.0  # other gateways are queried from this long before the list's lease ends
 QUERY_INTERVAL_MS = 500.0  # interval between two rounds of queries
 # Number of gateways queried in a round: the last one that confirmed servers, and random others.
 GATEWAYS_PER_QUERY = 2
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -13,7 +13,8 @@
 from meadowpulley.interface import EndpointUpdateKind
 from meadowpulley.state import State
 
-# The simultaneous list calls of a fleet are spread over this many ms for each gateway but the first.
+# List calls that a fleet would make at the same time are spread over this many ms for each gateway but the
+# first.
 LIST_CALL_SPACING_MS = 100.0
 # First calls are spread over this time at most. Discovery needs 2 to 8 s to handle one call of each gateway,
 # whatever the size of the fleet, and a call may wait 2 s in its queue: calls spread over 6 s fit into both.
--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -65,7 +65,7 @@
 
 
 def new_build_evidence(memory_ms: float) -> BuildEvidence:
-    """Return empty evidence on a build whose attempts count for `memory_ms`."""
+    """Return empty evidence on a build; attempts at it count towards the exposure cap for `memory_ms`."""
     return BuildEvidence(SequentialFailureTest(_OWN_BOUNDS), SequentialFailureTest(_POOLED_BOUNDS), memory_ms)
 
 
@@ -90,7 +90,7 @@
     baseline_rates = [server.failure_rate for server in state.servers.values() if server.build < build]
     server_count = len(state.servers) - len(baseline_rates)
     required = state.required_evidence
-    # Faults of the baseline count whether this gateway saw them itself or they were in the pooled digests.
+    # The baseline counts as faulty if this gateway saw its failures, or if the pooled digests show them.
     reported_by_gossip = state.now < state.gossip.last_baseline_fault_at + RATE_MEMORY_MS
     baseline_faulty = max(baseline_rates, default=0.0) >= SERVER_FAULT_RATE or reported_by_gossip
     evidence = state.build_evidence[build]
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -21,7 +21,7 @@
 # Part of a bad build's requests that is assumed to time out; for a good build it is FAILURE_INCREASE. Paused
 # servers cause fewer timeouts than this.
 TIMEOUT_RATE = 0.5
-MIN_REPORTING_GATEWAYS = 2  # a server is ejected on reports only if this many gateways saw it fail
+MIN_REPORTING_GATEWAYS = 2  # minimum number of gateways that report a server before it is ejected
 MIN_REPORTED_FAILURES = 2  # minimum number of reported failures per interval that ejects a server
 # A server with this multiple of the mean number of failures per server fails more than most servers do.
 FAILURES_OVER_MEAN = 2
@@ -76,7 +76,7 @@
 
 
 def _pool_digests(state: State, build: int) -> None:
-    """Add the outcomes of both builds that all gateways saw in the last interval to the evidence.
+    """Add to the evidence the outcomes of both builds that all gateways saw in the last interval.
 
     Failures that begin everywhere at once, in both builds, are not caused by the newest build.
     """
@@ -107,8 +107,9 @@
 def _observe_baseline(
     state: State, pooled: PooledOutcomes, class_index: int, concurrent: bool
 ) -> float | None:
-    """Record the baseline's failure rate in a class and return it, or None with too few responses.
+    """Record the baseline's failure rate in a class and return it, or None if it can't be compared.
 
+    It can't be compared with too few responses, or without ready servers of the baseline.
     The digests read together may cover several seconds, so a build is compared with the highest of
     the recent rates.
     """
--- a/meadowpulley/policy/retry_eligibility.py
+++ b/meadowpulley/policy/retry_eligibility.py
@@ -27,14 +27,17 @@
 
 
 def repeatable_until(state: State, in_flight: InFlightRequest) -> float:
-    """Return until when the request may be written again; infinity if no earlier attempt forbids it."""
+    """Return the time until which the request may be written again, or infinity if there is no limit."""
     return min(
         [_repeatable_until(state, previous) for previous in in_flight.possible_executions] or [math.inf]
     )
 
 
 def _repeatable_until(state: State, previous: Attempt) -> float:
-    """Return until when the request may be executed again, given that `previous` may have executed it."""
+    """Return the time until which a request may be executed again that `previous` may have executed.
+
+    It is infinite for an idempotent request, and has always passed for a non-idempotent one.
+    """
     request_class = previous.in_flight.request_class
     if request_class.effect is Effect.IDEMPOTENT:
         return math.inf
