--- a/meadowpulley/takeover/__init__.py
+++ b/meadowpulley/takeover/__init__.py
@@ -1,20 +1,23 @@
-"""Takeover: requests in flight survive the loss of their gateway, and another gateway takes each over once.
+"""Takeover: requests in flight survive the loss of their gateway, and another one adopts each.
 
-Off unless a setting names it. Each request is journaled in the ledger. Reading order:
+Takeover is off unless the environment variable MEADOWPULLEY_TAKEOVER is set. Each request is journaled in
+the ledger. The modules, in a sensible reading order:
 
-- `records` (what is stored), `errors`, `messages` (events and actions), `settings`, `settings_reader` (from
-  the environment);
-- of one event: `transaction_builder` (the output), `context` (what the parts are constructed with);
-- requests of this gateway: `journaled_request` (one request), `record_writes` (its record in the ledger),
-  `journal_table` (all of them), `wakeups` (when to check each), `latency_estimates`, `server_locations`,
-  `client_answers`, `request_journal` (holds sends until they are granted, and responses until they are
-  recorded);
-- `duplicate_waiters` (clients that repeat a request), `response_cache` (finished requests that are kept);
-- requests of lost gateways: `ledger_view` (what was seen of the ledger), `adoption` (what a survivor may do,
-  and which request first), `orphan_ranking` (which survivor first), `claim` (one claim), `pending_claims`
-  (those under way), `orphan_claims` (which orphans to claim);
-- `entry_factory` (journal entries), `request_intake` (what becomes of a client's request), `stage` (all of it
-  as one stage in front of the policy), `extension` (that stage at a gateway with sockets).
+- `records` (the stored formats), `errors`, `messages` (events and actions), `settings`, `settings_reader`
+  (reads the settings from the environment);
+- shared by all parts: `transaction_builder` (collects the output of one event), `context` (the constructor
+  arguments that the parts share);
+- requests of this gateway: `journaled_request` (one request), `record_writes` (writes its record to the
+  ledger), `journal_table` (all journaled requests), `wakeups` (when to check each request),
+  `latency_estimates`, `server_locations`, `client_answers`, `request_journal` (holds sends until they are
+  granted, and responses until they are recorded);
+- `duplicate_waiters` (clients that repeat a request), `response_cache` (keeps finished requests);
+- requests of lost gateways: `ledger_view` (the last known contents of the ledger), `adoption` (whether a
+  request may be adopted, and in which order), `orphan_ranking` (which survivor may claim first), `claim` (one
+  claim), `pending_claims` (the claims in progress), `orphan_claims` (which orphans to claim);
+- `entry_factory` (creates journal entries), `request_intake` (decides how to handle a client's request),
+  `stage` (combines these parts into one stage in front of the policy), `extension` (connects that stage to a
+  gateway with sockets).
 """
 
 from meadowpulley.takeover.messages import (
--- a/meadowpulley/takeover/adoption.py
+++ b/meadowpulley/takeover/adoption.py
@@ -1,8 +1,8 @@
-"""Decides what a survivor may do with the request of a lost gateway, which request, and when.
+"""Decides whether a survivor may adopt a lost gateway's request, and which requests to adopt first.
 
-What it may do follows from the record alone. An attempt whose grant was committed may have been executed,
-or may be executed yet: the instance may still be at work, and the lost gateway may only be paused with half
-of the bytes sent.
+Whether a request may be adopted follows from its record alone. An attempt whose grant was committed may have
+been executed already, or may still be executed: the instance may still be processing it, or the lost gateway
+may only be paused after sending half of the bytes.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from meadowpulley.takeover.settings import TakeoverSettings
 
 MS_PER_S = 1000.0
-BURSTS_PER_S = 10  # a tenth of a second's adoptions may begin at once
+BURSTS_PER_S = 10  # the token bucket holds the adoptions of one tenth of a second
 
 
 def remaining_ms(observed: ObservedRequest, now: float, settings: TakeoverSettings) -> float:
-    """Return a lower bound of the time to the client's deadline; -inf where the record's age has no bound.
+    """Return a lower bound of the ms to the client's deadline; -inf if the record's age is unknown.
 
-    The record was made at most `grant_timeout_ms` before it was committed, else its writer made it anew. So
-    it is no older than `not_before_ms` less that, and the writer's clock ran no faster than `clock_drift`
-    allows.
+    The writer creates a new record if more than `grant_timeout_ms` pass between creating one and its commit.
+    So the record was created no earlier than `not_before_ms - grant_timeout_ms`, and the writer's clock ran
+    at most `clock_drift` faster than this gateway's.
     """
     age_ms = now - observed.not_before_ms + settings.grant_timeout_ms
     return observed.record.remaining_ms * (1 - settings.clock_drift) - age_ms
 
 
 def prior_attempts(observed: ObservedRequest) -> tuple[PriorAttempt, ...]:
-    """Return the attempts that may have been executed, with a lower bound of the time each was sent."""
+    """Return the attempts that may have been executed, each with its earliest possible send time."""
     return tuple(
         PriorAttempt(grant.server, grant.build, grant.zone, grant.cell, not_before_ms)
         for grant, not_before_ms in zip(observed.record.grants, observed.grants_not_before_ms, strict=True)
@@ -43,9 +43,9 @@
 def adoption_decision(
     record: RequestRecord, request_class: RequestClass | None, slack_ms: float, settings: TakeoverSettings
 ) -> RequestState:
-    """Return OPEN if an orphan may be adopted, else the state in which it ends at once.
+    """Return OPEN if an orphan may be adopted, else the final state to record for it immediately.
 
-    `slack_ms` is the remaining time beyond what an attempt of the class usually takes.
+    `slack_ms` is the time to the deadline minus the typical duration of an attempt of this class.
     """
     if request_class is None or record.owner_count >= settings.max_owners:
         return RequestState.FAILED
@@ -57,9 +57,9 @@
 
 
 def state_of_unadopted(record: RequestRecord) -> RequestState:
-    """Return the state in which an orphan ends that cannot be adopted in time.
+    """Return the final state of an orphan that cannot be adopted in time.
 
-    A rejection says that nothing was executed, so it must not follow a grant.
+    REJECTED tells the client that nothing was executed, so it is not allowed once an attempt was granted.
     """
     return RequestState.FAILED if record.grants else RequestState.REJECTED
 
@@ -69,22 +69,22 @@
     """An orphan that this gateway may adopt now."""
 
     request_id: str
-    slack_ms: float  # until it must be begun
+    slack_ms: float  # ms until the adoption has to begin
     priority_weight: float
 
 
 def schedule_adoptions(
     candidates: Sequence[AdoptionCandidate], available: float, rate_per_s: float
 ) -> tuple[list[AdoptionCandidate], list[AdoptionCandidate]]:
-    """Choose what to adopt: nearest deadline first, and least weight left out where time is short.
+    """Choose the orphans to adopt, earliest deadline first; drop the lowest weights if time is short.
 
-    `available` candidates may begin at once and `rate_per_s` after that. The choice is optimal for requests
-    of equal length (Moore 1968, with weights Sahni 1976); how long each takes is not known.
+    `available` adoptions may begin immediately, and `rate_per_s` per second after that. The choice is optimal
+    for requests of equal duration (Moore 1968, with weights Sahni 1976); the real durations are not known.
 
     Returns:
-        The candidates to adopt, in order, and those that cannot begin in time.
+        The candidates to adopt, in order, and the candidates that cannot begin in time.
     """
-    selected: list[tuple[float, int]] = []  # a heap, least weight first
+    selected: list[tuple[float, int]] = []  # heap of (priority weight, index), lowest weight first
     by_deadline = sorted(candidates, key=_deadline_order)
     for index, candidate in enumerate(by_deadline):
         heapq.heappush(selected, (candidate.priority_weight, index))
@@ -102,10 +102,14 @@
 
 
 class AdoptionBudget:
-    """A token bucket for adoptions: `adoptions_per_s`, and a tenth of a second's worth at once."""
+    """Limits adoptions with a token bucket.
+
+    The bucket refills with `adoptions_per_s` tokens per second, and holds the tokens of a tenth of a second,
+    at least one.
+    """
 
     def __init__(self, settings: TakeoverSettings) -> None:
-        """Begin with a full bucket."""
+        """Start with a full bucket."""
         self.rate_per_s = settings.adoptions_per_s
         self.burst = max(settings.adoptions_per_s / BURSTS_PER_S, 1.0)
         self._tokens = self.burst
@@ -124,6 +128,6 @@
         self._tokens = self.available(now) - 1
 
     def wait_ms(self, now: float) -> float:
-        """Return the time until the next adoption may begin."""
+        """Return the ms until the next adoption may begin."""
         missing_tokens = max(1.0 - self.available(now), 0.0)
         return missing_tokens * MS_PER_S / self.rate_per_s
--- a/meadowpulley/takeover/claim.py
+++ b/meadowpulley/takeover/claim.py
@@ -1,4 +1,4 @@
-"""One claim of an orphan: a request of a lost gateway that this gateway makes its own."""
+"""One claim of an orphan: this gateway becomes the owner of a request that has lost its gateway."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 
 @dataclass(slots=True)
 class Claim:
-    """An orphan that this gateway claims, or has claimed and not adopted yet.
+    """An orphan that this gateway is claiming, or has claimed but not adopted yet.
 
-    Times are ms on this gateway's clock.
+    All times are in ms on this gateway's clock.
     """
 
     observed: ObservedRequest
-    target_state: RequestState  # OPEN: to be adopted; else how it ends
+    target_state: RequestState  # OPEN: adopt the request; any other: the state that the claim records
     deadline_ms: float
     sequence: int
-    record_version: int = 0  # of its record once the claim is committed
+    record_version: int = 0  # ledger version of the record; 0 until the claim is committed
     content: RequestContent | None = None
     content_version: int = 0
-    uncertain: bool = False  # an attempt to write it may have been committed
+    uncertain: bool = False  # an earlier write of the claim may have been committed
     retry_at_ms: float = math.inf
 
     @property
     def request_id(self) -> str:
-        """The client's id of the request."""
+        """The request id that the client chose."""
         return self.observed.request_id
 
     @property
     def grants(self) -> tuple[AttemptGrant, ...]:
-        """The grants of earlier owners, each with the version that granted it."""
+        """The grants of earlier owners, each with the ledger version that committed it."""
         return tuple(
             replace_fields(grant, granted_version=grant.granted_version or self.observed.version)
             for grant in self.observed.record.grants
         )
 
     def to_record(self, now: float) -> RequestRecord:
-        """Return the record that claims the request now."""
+        """Return the record that this claim writes if it is written at `now`."""
         record = self.observed.record
         elapsed_ms = record.elapsed_ms + max(now - self.observed.not_before_ms, 0.0)
         return replace_fields(
@@ -63,9 +63,10 @@
         )
 
     def as_observed(self, owner: Incarnation, target_state: RequestState) -> ObservedRequest:
-        """Return the committed claim as `owner`, which made it, would observe it.
+        """Return the request as `owner`, the gateway that made this committed claim, would observe it.
 
-        A claim that changes it to RELEASED leaves the count of owners as it was before this one.
+        The next claim adds one to the owner count. If that claim releases the request, the count is lowered
+        by one here, so that this gateway does not count as an owner.
         """
         observed = self.observed
         is_release = target_state is RequestState.RELEASED
--- a/meadowpulley/takeover/client_answers.py
+++ b/meadowpulley/takeover/client_answers.py
@@ -1,4 +1,4 @@
-"""Answers the clients of journaled requests: each request's own client, and those of its duplicates."""
+"""Answers the clients of journaled requests: the original client and the clients that sent duplicates."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ClientAnswers:
-    """Gives each client one final response, or ends its slot."""
+    """Gives each client exactly one final response, or frees its slot if the client has disconnected."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         response_cache: ResponseCache,
         wakeups: Wakeups,
     ) -> None:
-        """Answer the clients of the requests in `table`; clients of duplicates wait in `waiters`."""
+        """Answer the clients of the requests in `table` and the duplicates that wait in `waiters`."""
         self.holds_lease = context.holds_lease
         self.builder = context.builder
         self.table = table
@@ -33,16 +33,16 @@
         self.wakeups = wakeups
 
     def answer_once(self, entry: JournaledRequest, action: Reject | Fail | Deliver | Discard) -> None:
-        """Give the request's own client its final response, or end its slot, unless that was done."""
+        """Emit the action that ends the original client's request, unless that has already happened."""
         if not entry.answered:
             entry.answered = True
             self.builder.actions.append(action)
 
     def complete(self, entry: JournaledRequest, recorded: FinalResponse) -> None:
-        """Answer everyone who waits: this final response is in the ledger, or needs no record.
+        """Answer all waiting clients; `recorded` is in the ledger, or needs no record.
 
-        The record stays as it is, even where the own client got another response since: duplicates may have
-        got this one.
+        The record is not changed even if the original client has since received another response, because
+        duplicates may already have received the recorded one.
         """
         answer = entry.final_response if entry.final_response is not None else recorded
         self.answer_once(entry, answer.action)
@@ -51,10 +51,11 @@
         self.response_cache.add_finished(self.builder, entry, recorded)
 
     def answer_overdue(self, entry: JournaledRequest) -> None:
-        """Answer a client that can wait no longer, though the final response is not known to be recorded.
+        """Answer a client that cannot wait longer, although the final response may not be recorded.
 
-        While the lease holds, nobody else can have finished the request unless it was released, and a served
-        response is delivered. A rejection is not: whoever finds the record may yet execute the request.
+        While the lease holds and the request was not released, no other gateway can have finished it, so a
+        served response is delivered. A rejection is replaced by a failure, because another gateway that finds
+        the record may still execute the request.
         """
         final_response = entry.final_response
         if final_response is None:
@@ -67,7 +68,7 @@
         self.answer_once(entry, final_response.action)
 
     def answer_waiters(self, entry: JournaledRequest) -> None:
-        """Answer duplicates before the record, with the response of the client, where it is sure to stand."""
+        """Answer duplicates before the response is recorded, if nothing can replace it any more."""
         final_response = entry.final_response
         is_certain = (
             entry.answered and entry.superseded_response is None and self.holds_lease(self.builder.now)
@@ -78,12 +79,12 @@
             )
 
     def add_waiter(self, request_id: str, request: Request) -> None:
-        """Let a duplicate wait for the original, until its own deadline."""
+        """Make a duplicate wait for the original request, until the duplicate's own deadline."""
         self.waiters.add(request_id, request.request, request.deadline_ms)
         self.wakeups.schedule(request.deadline_ms, request.request)
 
     def wait_for_new_owner(self, entry: JournaledRequest) -> None:
-        """Let the client of a request that another gateway owns now wait like that of a duplicate."""
+        """Make the client wait like a duplicate's client, now that another gateway owns the request."""
         if not entry.answered and entry.has_client and not entry.request.adopted:
             self.add_waiter(entry.request_id, entry.request)
         else:
--- a/meadowpulley/takeover/context.py
+++ b/meadowpulley/takeover/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the takeover stage are constructed with."""
+"""The constructor arguments that the parts of the takeover stage share."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StageContext:
-    """The gateway that the stage belongs to, and the output that its parts share.
+    """Describes the gateway of the stage, and holds the output builder that all parts share.
 
-    `holds_lease(now)` tells whether the lease of this incarnation holds; it is asked at the last moment
-    before anything is sent. No part keeps the context: each keeps what it needs of it, so that the model
-    checker copies and compares only that.
+    `holds_lease(now)` returns whether the lease of this incarnation is still valid; it is called immediately
+    before anything is sent. No part stores the whole context: each part stores only the fields it needs, so
+    that the model checker copies and compares only those.
     """
 
     gateway_settings: Settings
--- a/meadowpulley/takeover/duplicate_waiters.py
+++ b/meadowpulley/takeover/duplicate_waiters.py
@@ -1,4 +1,4 @@
-"""Duplicate requests that wait for the response of the original."""
+"""Duplicate requests that wait for the response to the original request."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 def response_action(request: int, state: RequestState, response: RecordedResponse | None) -> Action | Deliver:
-    """Return the final response to a duplicate of a request that finished in this state."""
+    """Return the final response to a duplicate whose original request finished in this state."""
     if state is RequestState.SERVED and response is not None:
         return Deliver(request, response.status, response.headers, response.body)
     return Reject(request) if state is RequestState.REJECTED else Fail(request)
 
 
 def _decode_response(builder: TransactionBuilder, found: Record) -> RecordedResponse | None:
-    """Return a recorded response; None, and a log event, if it can't be decoded."""
+    """Decode a recorded response; if that fails, add a log event and return None."""
     try:
         return decode_recorded_response(found.value)
     except RecordError as error:
@@ -37,19 +37,19 @@
 
 
 class DuplicateWaiters:
-    """The waiting duplicates by the client's id; each is answered once, at its own deadline at the latest."""
+    """Keeps waiting duplicates by request id; each gets one answer, at its own deadline at the latest."""
 
     def __init__(self, settings: TakeoverSettings, view: LedgerView) -> None:
-        """Let duplicates wait for requests whose ends `view` shows."""
+        """Start without waiting duplicates; `view` shows which original requests have finished."""
         self.settings = settings
         self.view = view
-        self.by_id: dict[str, dict[int, float]] = {}  # deadline of each waiting request, by its handle
+        self.by_id: dict[str, dict[int, float]] = {}  # request id -> handle -> deadline
         self.id_by_request: dict[int, str] = {}
         self.reading: set[str] = set()  # ids whose responses are being read
-        self.reread_at_ms: dict[str, float] = {}  # when to repeat a read with an unknown outcome
+        self.reread_at_ms: dict[str, float] = {}  # when to repeat reads with unknown outcomes, by request id
 
     def add(self, request_id: str, request: int, deadline_ms: float) -> None:
-        """Let this request wait for the original of its id."""
+        """Make this request wait for the original request with the same id."""
         self.by_id.setdefault(request_id, {})[request] = deadline_ms
         self.id_by_request[request] = request_id
 
@@ -70,7 +70,7 @@
         state: RequestState,
         response: RecordedResponse | None,
     ) -> None:
-        """Answer all requests that wait for this id, in the order they came."""
+        """Answer all requests that wait for this id, in order of arrival."""
         for request in self.by_id.pop(request_id, ()):
             del self.id_by_request[request]
             builder.actions.append(response_action(request, state, response))
@@ -84,7 +84,7 @@
     def resolve(
         self, builder: TransactionBuilder, request_id: str, state: RequestState, version: int
     ) -> None:
-        """Act on the state of an original at this ledger version, unless the view has a newer one."""
+        """Answer duplicates if their original has finished; a newer state in the view takes precedence."""
         if request_id not in self.by_id:
             return
         finished = self.view.finished.get(request_id)
@@ -96,7 +96,7 @@
             self.answer_all(builder, request_id, state, None)
 
     def on_changed(self, builder: TransactionBuilder, request_id: str) -> None:
-        """Act on a new record, or on a removed one: then the outcome of the original is unknown."""
+        """Handle a changed record; if it was removed, fail the duplicates since the outcome is unknown."""
         version = self.view.version_of(request_id)
         state = RequestState.OPEN if version else RequestState.FAILED
         self.resolve(builder, request_id, state, version)
@@ -112,7 +112,7 @@
     def on_response_read(
         self, builder: TransactionBuilder, request_id: str, result: TransactionResult
     ) -> None:
-        """Answer the waiting requests with the response that was read; without one they fail."""
+        """Answer the waiting requests with the response that was read, or fail them if there is none."""
         self.reading.discard(request_id)
         if result.outcome is TransactionOutcome.UNKNOWN:
             self.reread_at_ms[request_id] = builder.now + self.settings.retry_delay_ms
@@ -123,13 +123,13 @@
         self.answer_all(builder, request_id, RequestState.SERVED, response)
 
     def due_at_ms(self) -> float:
-        """Return when the next read is to be repeated; infinity: none is."""
+        """Return the time at which to repeat the next read; infinity if there is none."""
         if not self.reread_at_ms:
             return math.inf
         return min(self.reread_at_ms.values())
 
     def on_timer(self, builder: TransactionBuilder) -> None:
-        """Repeat the reads that are due."""
+        """Repeat the reads whose retry time has come."""
         due = [request_id for request_id, at_ms in self.reread_at_ms.items() if at_ms <= builder.now]
         for request_id in due:
             del self.reread_at_ms[request_id]
@@ -137,7 +137,7 @@
                 self._read_response(builder, request_id)
 
     def fail_overdue(self, builder: TransactionBuilder, request: int) -> None:
-        """Fail a waiting request whose deadline has passed; the original goes on."""
+        """Fail a waiting request whose deadline has passed; the original request continues."""
         request_id = self.id_by_request.get(request)
         if request_id is not None and self.by_id[request_id][request] <= builder.now:
             self.remove(request)
--- a/meadowpulley/takeover/entry_factory.py
+++ b/meadowpulley/takeover/entry_factory.py
@@ -1,4 +1,4 @@
-"""Makes journal entries from requests of clients and from claimed orphans."""
+"""Creates journal entries from client requests and from claimed orphans."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryFactory:
-    """Makes the journal entries of one incarnation.
+    """Creates the journal entries of one incarnation.
 
-    Records name classes and tenants; the policy knows them by their index.
+    Records identify classes and tenants by name, the policy by index; the factory converts between them.
     """
 
     classes: tuple[RequestClass, ...]
@@ -27,12 +27,12 @@
 
     @classmethod
     def of_gateway(cls, gateway_settings: Settings, incarnation: Incarnation) -> Self:
-        """Make the factory of a gateway."""
+        """Create the factory from the settings of a gateway."""
         tenant_names = tuple(tenant.name for tenant in gateway_settings.tenants)
         return cls(gateway_settings.classes, tenant_names, incarnation)
 
     def from_client(self, event: ClientRequest, digest: bytes, sequence: int, now: float) -> JournaledRequest:
-        """Make the entry of a request that a client has just sent."""
+        """Create the entry of a request that a client has just sent."""
         request = event.request
         return JournaledRequest(
             request=request,
@@ -47,7 +47,7 @@
         )
 
     def from_claim(self, handle: int, claim: Claim, content: RequestContent) -> JournaledRequest:
-        """Make the entry of a claimed orphan that has a slot now."""
+        """Create the entry of a claimed orphan that has been given the slot `handle`."""
         record = claim.observed.record
         request = self._adopted_request(handle, claim)
         return JournaledRequest(
@@ -69,7 +69,7 @@
         )
 
     def _tenant_name(self, tenant_index: int) -> str:
-        """Return the name of a tenant; empty for an unknown one."""
+        """Return the name of a tenant; empty if the tenant is unknown."""
         if tenant_index >= len(self.tenant_names):
             return ""
         return self.tenant_names[tenant_index]
@@ -91,12 +91,12 @@
         )
 
     def _class_index(self, class_name: str) -> int:
-        """Return the index of a class; an orphan of an unknown class is never adopted."""
+        """Return the index of a class, which is known because orphans of other classes are not adopted."""
         names = [request_class.name for request_class in self.classes]
         return names.index(class_name)
 
     def _tenant_index(self, tenant_name: str) -> int:
-        """Return the index of a tenant; the number of tenants stands for an unknown one."""
+        """Return the index of a tenant; for an unknown tenant, return the number of tenants."""
         if tenant_name not in self.tenant_names:
             return len(self.tenant_names)
         return self.tenant_names.index(tenant_name)
--- a/meadowpulley/takeover/errors.py
+++ b/meadowpulley/takeover/errors.py
@@ -1,4 +1,4 @@
-"""The base of the errors that takeover raises."""
+"""The base class of the errors that takeover raises."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class TakeoverError(MeadowpulleyError):
-    """Something that takeover rests on is not as it has to be."""
+    """An error in data that takeover depends on."""
--- a/meadowpulley/takeover/extension.py
+++ b/meadowpulley/takeover/extension.py
@@ -1,12 +1,12 @@
 """Connects the takeover stage to a gateway with sockets.
 
-The extension stands beside request admission, and carries out the actions of the stage.
+The extension is called by request admission, and carries out the actions of the stage.
 
-A request that is to be journaled reaches the stage as `ClientRequest`, in place of the `Request` that
-admission dispatches; of other requests it sees no more than the policy does. A good response is held until
-the stage delivers it, or another in its place. A request whose response is held can't be rejected or failed
-in the usual way, since for the gateway it is over; so this object stands outside all stages and translates
-those actions.
+A request that is to be journaled is passed to the stage as `ClientRequest` instead of the `Request` that
+admission normally dispatches; other requests reach it as the same events that the policy gets. A successful
+response is held until the stage delivers it or replaces it. Once its response is held, a request can no
+longer be rejected or failed in the usual way, because the gateway considers it complete. This object
+therefore wraps all stages and translates those actions.
 """
 
 from __future__ import annotations
@@ -41,17 +41,17 @@
 
 
 class TakeoverGateway(Protocol):
-    """What the extension needs of a gateway."""
+    """The parts of a gateway that the extension uses."""
 
     deadlines: Deadlines
     requests: RequestTable
     extension: Extension | None
 
     def dispatch(self, event: object) -> None:
-        """Hand an event to the stages, and carry out what they decide."""
+        """Pass an event to the stages, and carry out the actions they return."""
 
     def register_action(self, action_type: type[ActionT], handler: Callable[[ActionT], None]) -> None:
-        """Let `handler` carry out the actions of this type."""
+        """Register `handler` to carry out the actions of this type."""
 
 
 class TakeoverExtension:
@@ -60,43 +60,43 @@
     def __init__(
         self, gateway: TakeoverGateway, stage: TakeoverStage, outermost_stage: Stage, grace_ms: float
     ) -> None:
-        """Make this the extension of a gateway.
+        """Install this object as the extension of a gateway.
 
         Args:
-            gateway: whose extension it becomes.
+            gateway: the gateway to extend.
             stage: the takeover stage of the gateway.
-            outermost_stage: the outermost of all stages, round which this object stands.
-            grace_ms: after it was told to stop, the gateway is killed this much later.
+            outermost_stage: the outermost of all stages, which this object wraps.
+            grace_ms: time in ms from the request to shut down until the gateway is killed.
         """
         self.gateway = gateway
         self.stage = stage
         self.outermost_stage = outermost_stage
         self.grace_ms = grace_ms
-        self.pending_responses: dict[int, ReleaseResponse] = {}  # how to release each, by handle
+        self.pending_responses: dict[int, ReleaseResponse] = {}  # callbacks that release responses, by handle
         gateway.extension = self
         gateway.register_action(Deliver, self._deliver)
         gateway.register_action(Discard, self._discard)
         gateway.register_action(AdoptRequest, self._adopt)
 
     def handle(self, now: float, event: object) -> Sequence[object]:
-        """Pass an event to the stages; end requests whose response is not delivered yet by a `Deliver`."""
+        """Pass an event to the stages; turn Reject and Fail into Deliver where a response is held."""
         actions = self.outermost_stage.handle(now, event)
         if not self.pending_responses:
             return actions
         return [self._as_delivery(action) for action in actions]
 
     def _as_delivery(self, action: object) -> object:
-        """Return the action that ends a request without its pending response; any other as it is."""
+        """Replace a Reject or Fail of a request with a held response; return other actions unchanged."""
         if isinstance(action, Reject | Fail) and action.request in self.pending_responses:
             return _delivered_failure(action.request)
         return action
 
-    # The extension of request admission
+    # Callbacks of request admission
 
     def on_request(self, incoming: IncomingRequest) -> bool:
-        """Take a request that is to be journaled; return whether the policy gets it as usual."""
+        """Pass a request to the stage if it is to be journaled; return True if it is not intercepted."""
         if incoming.is_duplicate and not self.stage.is_known(incoming.request_id):
-            return True  # the original is not journaled: as without a ledger
+            return True  # the original is not journaled: handle the duplicate as without takeover
         message = incoming.message
         if not self.stage.is_journaled_class(incoming.event.class_index, len(message.body)):
             return True
@@ -112,9 +112,9 @@
         return False
 
     def on_response(self, handle: int, response: Response, release: ReleaseResponse) -> None:
-        """Hold an instance's good response to a journaled request; release any other.
+        """Hold an instance's successful response to a journaled request; release any other response.
 
-        Every other response was decided by the stages, or is late already.
+        The other responses were either decided by the stages or arrived too late.
         """
         if response.status != STATUS_OK or not self.stage.is_journaled(handle):
             release(response)
@@ -124,14 +124,14 @@
         self.gateway.dispatch(ResponseReady(handle, STATUS_OK, headers, response.body))
 
     def on_client_disconnected(self, handle: int) -> bool:
-        """Return whether the request goes on without its client."""
+        """Return whether the request continues without its client; if so, notify the stage."""
         continues = self.stage.continues_without_client(handle)
         if continues:
             self.gateway.dispatch(ClientDetached(handle))
         return continues
 
     def on_draining(self) -> None:
-        """Tell the stage that the gateway shuts down."""
+        """Notify the stage that the gateway is shutting down."""
         self.gateway.dispatch(ShutdownNotice(self.grace_ms))
 
     # Actions
@@ -162,9 +162,9 @@
 
 
 def _delivered_failure(handle: int) -> Deliver:
-    """Return the action that answers a request as failed, though for the gateway it is over."""
+    """Return the action that delivers status 502 for a request that the gateway considers complete."""
     return Deliver(handle, STATUS_FAILED, (), b"")
 
 
 def _drop_response(_response: Response) -> None:
-    """Receive the response of an adopted request: its client is not connected here."""
+    """Ignore the response to an adopted request: its client is not connected to this gateway."""
--- a/meadowpulley/takeover/journaled_request.py
+++ b/meadowpulley/takeover/journaled_request.py
@@ -1,7 +1,7 @@
-"""One journaled request of this gateway: its attempts, its final response, and its record as far as known.
+"""One journaled request of this gateway: its attempts, final response and known record state.
 
-The adapter numbers the attempts that it was told to send, the policy all that it chose. Both count from 0 at
-each owner of the request; the numbers are translated here.
+The adapter numbers only the attempts that it was told to send; the policy numbers all attempts that it chose.
+Both start from 0 at each owner of the request. This module converts between the two numberings.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class PendingSend:
-    """An attempt that the policy chose, held until its grant is committed."""
+    """An attempt that the policy has chosen and that waits until its grant is committed."""
 
     action: Send
     expires_at_ms: float
@@ -35,15 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalResponse:
-    """How a request ends: its state, and the action that answers its own client."""
+    """The final state of a request, and the action that answers the client that sent it."""
 
     state: RequestState
     action: Reject | Fail | Deliver
-    response: RecordedResponse | None = None  # to be recorded; None: too long, or there is none
+    response: RecordedResponse | None = None  # response to record; None if too long or if there is none
 
     @classmethod
     def served(cls, event: ResponseReady) -> Self:
-        """Make one of an instance's good response; a body that is too long is not recorded."""
+        """Create one from an instance's successful response, which is recorded unless it is too long."""
         response = None
         if len(event.body) <= records.MAX_BODY_BYTES:
             response = RecordedResponse(records.RECORD_FORMAT, event.status, event.headers, event.body)
@@ -52,58 +52,58 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingWrite:
-    """A write that is under way, and what it proves once it is committed."""
+    """A write in progress, and the changes that take effect once it is committed."""
 
     created_at_ms: float
-    key_prefixes: tuple[str, ...] = ()  # of what it writes, in order; empty: it only looks up the id
-    covered_attempts: frozenset[int] = frozenset()  # attempts whose grants are in it
+    key_prefixes: tuple[str, ...] = ()  # of the written keys, in order; empty if the write is only a lookup
+    covered_attempts: frozenset[int] = frozenset()  # attempts whose grants are part of the write
     final_response: FinalResponse | None = None
     releases: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class JournaledRequest:
-    """A request that this gateway owns. Times are ms on this gateway's clock."""
+    """A request that this gateway owns. All times are in ms on this gateway's clock."""
 
     request: Request
-    request_id: str  # given by the client
+    request_id: str  # chosen by the client
     request_class: RequestClass
     tenant_name: str
     content: RequestContent
     digest: bytes
     sequence: int
     origin: Origin
-    received_at_ms: float  # of an adopted request: a lower bound
+    received_at_ms: float  # for an adopted request, a lower bound
     owner_count: int = 1
-    record_version: int = 0  # 0: no record is known
+    record_version: int = 0  # 0 if no record is known
     content_version: int = 0
     response_version: int = 0
     write_uncertain: bool = False  # a write with an unknown outcome may have been committed
     inherited_grants: tuple[AttemptGrant, ...] = ()  # attempts of earlier owners that may have been executed
-    grants: dict[int, AttemptGrant] = field(default_factory=dict)  # of this owner, by the policy's number
-    attempt_count: int = 0  # with those of earlier owners
-    pending_sends: dict[int, PendingSend] = field(default_factory=dict)  # by the policy's number
-    dispatched_attempts: list[int] = field(default_factory=list)  # the policy's numbers, in order of sending
-    outstanding_attempts: set[int] = field(default_factory=set)  # the adapter's numbers
+    grants: dict[int, AttemptGrant] = field(default_factory=dict)  # of this owner, by policy attempt number
+    attempt_count: int = 0  # including the attempts of earlier owners
+    pending_sends: dict[int, PendingSend] = field(default_factory=dict)  # by policy attempt number
+    dispatched_attempts: list[int] = field(default_factory=list)  # policy attempt numbers, in sending order
+    outstanding_attempts: set[int] = field(default_factory=set)  # adapter attempt numbers
     pending_write: PendingWrite | None = None
-    retry_at_ms: float = math.inf  # when to repeat a write with an unknown outcome
+    retry_at_ms: float = math.inf  # time at which to repeat a write with an unknown outcome
     final_response: FinalResponse | None = None
-    superseded_response: FinalResponse | None = None  # replaced by `final_response`; it may be recorded yet
-    hold_until_ms: float = math.inf  # the client gets the final response by then, recorded or not
-    answered: bool = False  # the client has its final response, or the slot was ended
+    superseded_response: FinalResponse | None = None  # replaced by `final_response`, may still be recorded
+    hold_until_ms: float = math.inf  # then the client is answered even if nothing is recorded
+    answered: bool = False  # the client has its final response, or its slot was freed
     has_client: bool = True
-    record_stale: bool = False  # the last write was committed late: its remaining time is too long
-    releasing: bool = False  # it is being released to other gateways
-    relinquished: bool = False  # no longer owned: only outcomes of its attempts still matter
+    record_stale: bool = False  # the last commit was late, so the recorded remaining time is too long
+    releasing: bool = False  # this gateway is releasing the request to other gateways
+    relinquished: bool = False  # no longer owned: only the outcomes of its attempts are still needed
 
     @property
     def record_key(self) -> str:
-        """The ledger key of its record."""
+        """The ledger key of the request's record."""
         return RECORD_PREFIX + self.request_id
 
     @property
     def needs_write(self) -> bool:
-        """Whether something waits for a write."""
+        """Whether the record has to be written again."""
         return bool(
             self.pending_sends
             or self.final_response
@@ -114,7 +114,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the policy has nothing more to decide for it."""
+        """Whether the policy has nothing left to decide for this request."""
         return self.relinquished or self.final_response is not None
 
     def failure(self) -> FinalResponse:
@@ -122,13 +122,13 @@
         return FinalResponse(RequestState.FAILED, Fail(self.request.request))
 
     def supersede_final_response(self) -> None:
-        """Make room for another final response; the first one may be recorded all the same."""
+        """Clear the final response so that another can be set; the first one may still become recorded."""
         if self.superseded_response is None:
             self.superseded_response = self.final_response
         self.final_response = None
 
     def final_response_for(self, state: RequestState) -> FinalResponse | None:
-        """Return the final response with which the record got this state; None where it is not final."""
+        """Return the final response that gave the record this state; None if no final response matches."""
         for candidate in (self.final_response, self.superseded_response):
             if candidate is not None and candidate.state is state:
                 return candidate
@@ -137,26 +137,26 @@
     # Attempts
 
     def add_grant(self, grant: AttemptGrant) -> int:
-        """Add the grant of the attempt that the policy has just chosen; return the policy's number of it."""
+        """Add the grant of the attempt that the policy has just chosen; return its policy number."""
         attempt = self.attempt_count - self.request.prior_attempt_count
         self.attempt_count += 1
         self.grants[attempt] = grant
         return attempt
 
     def begin_attempt(self, attempt: int) -> Send:
-        """Note that an attempt is sent now; return the action that sends it."""
+        """Mark an attempt as sent; return the action that sends it."""
         self.outstanding_attempts.add(len(self.dispatched_attempts))
         self.dispatched_attempts.append(attempt)
         return self.pending_sends.pop(attempt).action
 
     def withdraw_attempt(self, attempt: int) -> Outcome:
-        """Note that an attempt is never sent; return its outcome for the policy."""
+        """Drop an attempt that will not be sent; return its outcome for the policy."""
         server = self.pending_sends.pop(attempt).action.server
         del self.grants[attempt]
         return Outcome(self.request.request, attempt, server, Result.NOT_SENT, 0.0, self.is_over)
 
     def end_attempt(self, outcome: Outcome) -> Outcome:
-        """Note how a sent attempt has ended; return the outcome under the policy's number."""
+        """Record the end of a sent attempt; return the outcome with the policy's attempt number."""
         attempt = self.dispatched_attempts[outcome.attempt]
         self.outstanding_attempts.discard(outcome.attempt)
         if outcome.result in NOT_EXECUTED_RESULTS:
@@ -167,11 +167,11 @@
         return replace(outcome, attempt=attempt, request_complete=complete)
 
     def sent_number(self, attempt: int) -> int | None:
-        """Return the adapter's number of an attempt; None if it was not sent."""
+        """Convert a policy attempt number to the adapter's; return None if the attempt was not sent."""
         if attempt not in self.dispatched_attempts:
             return None
         return self.dispatched_attempts.index(attempt)
 
     def policy_number(self, sent_number: int) -> int:
-        """Return the policy's number of an attempt that the adapter names."""
+        """Convert an adapter attempt number to the policy's."""
         return self.dispatched_attempts[sent_number]
--- a/meadowpulley/takeover/ledger_view.py
+++ b/meadowpulley/takeover/ledger_view.py
@@ -1,8 +1,8 @@
-"""What this gateway has seen of the ledger: the open requests of all gateways, and the live incarnations.
+"""This gateway's view of the ledger: the open requests of all gateways, and the live incarnations.
 
-The age of a record is bounded by the poll that did not show it: a record that is new in a poll was written
-after the poll before it started. So each record has a time on the own clock before which it was not
-written; records that were there at the first poll have none.
+The last poll that did not contain a record limits the record's age: a record that is new in one poll was
+written after the previous poll started. The start of that previous poll, on this gateway's clock, is
+therefore the earliest possible time of the write. It is unknown for records that the first poll contained.
 """
 
 from __future__ import annotations
@@ -21,25 +21,26 @@
     decode_request_record,
 )
 
-# Finished requests that are remembered: a duplicate may find a record open that has finished since.
+# Maximum number of finished requests to remember. They are needed because a duplicate may read an open
+# record whose request has finished in the meantime.
 MAX_FINISHED = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedRequest:
-    """An open request as of one version of its record. Times are ms on this gateway's clock."""
+    """An open request at one version of its record. All times are in ms on this gateway's clock."""
 
     request_id: str
     record: RequestRecord
     version: int
     owner: Incarnation
-    not_before_ms: float  # the record was written no earlier than this; -inf: not known
-    grants_not_before_ms: tuple[float, ...] = ()  # each grant was committed no earlier than this
+    not_before_ms: float  # earliest time at which the record can have been written; -inf if unknown
+    grants_not_before_ms: tuple[float, ...] = ()  # earliest possible commit time of each grant
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedRequest:
-    """The end of a request as of one version of its record."""
+    """The final state of a request, and the version of the record that holds it."""
 
     version: int
     state: RequestState
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonedRequest:
-    """A finished request of an ended incarnation, which nobody else removes from the ledger."""
+    """A finished request of an ended incarnation, whose records no other gateway removes."""
 
     request_id: str
     version: int
@@ -55,30 +56,30 @@
 
 @dataclass(slots=True)
 class ViewDelta:
-    """What one poll has changed in the view."""
+    """The changes that one poll made to the view."""
 
-    changed_ids: list[str] = field(default_factory=list)  # requests whose records are new or removed
-    ignored_records: list[LedgerRecordIgnored] = field(default_factory=list)  # those that cannot be decoded
+    changed_ids: list[str] = field(default_factory=list)  # requests with a new, changed or removed record
+    ignored_records: list[LedgerRecordIgnored] = field(default_factory=list)  # records that cannot be decoded
     ended_incarnations: list[Incarnation] = field(default_factory=list)
     abandoned: list[AbandonedRequest] = field(default_factory=list)
 
 
 class LedgerView:
-    """The open requests, the last finished ones, and the members, as of the last poll."""
+    """Holds open requests, recently finished requests and members, as of the last poll."""
 
     def __init__(self) -> None:
-        """Begin with nothing seen."""
+        """Start with an empty view."""
         self.open_requests: dict[str, ObservedRequest] = {}
-        self.finished: dict[str, FinishedRequest] = {}  # the last ones, oldest first
+        self.finished: dict[str, FinishedRequest] = {}  # recently finished requests, oldest first
         self.members: dict[str, Member] = {}  # the latest incarnation of each name
-        # For incarnations that were seen to start: the version of the view before that.
+        # For each incarnation, the version of the view just before the incarnation first appeared.
         self.started_after_version: dict[Incarnation, int] = {}
-        self.expired_renewals: dict[Incarnation, int] = {}  # the renewal whose lease expired
+        self.expired_renewals: dict[Incarnation, int] = {}  # number of the renewal whose lease has expired
         self._version = 0
         self._last_poll_started_ms = -math.inf
 
     def apply(self, poll_started_ms: float, changes: Changes) -> ViewDelta:
-        """Apply the changes that a poll has brought, and return what is new."""
+        """Apply the changes that a poll returned, and return the resulting changes to the view."""
         delta = ViewDelta()
         for member in changes.members:
             delta.ended_incarnations += self.update_member(member)
@@ -90,7 +91,7 @@
         return delta
 
     def _remove_missing(self, changes: Changes) -> list[str]:
-        """Forget the requests whose records were removed, and return those that were known."""
+        """Forget the requests whose records were removed; return the ids that the view contained."""
         if changes.is_snapshot:
             present_keys = {record.key for record in changes.records}
             known_ids = [*self.open_requests, *self.finished]
@@ -140,13 +141,13 @@
         )
 
     def _not_before_ms(self, version: int) -> float:
-        """Return the time before which this version was not written; -inf: not known."""
+        """Return the earliest time at which this version can have been written; -inf if unknown."""
         return self._last_poll_started_ms if version > self._version else -math.inf
 
     def _grants_not_before_ms(
         self, record: RequestRecord, version: int, previous: ObservedRequest | None
     ) -> tuple[float, ...]:
-        """Return the time before which each grant was not committed; the previous observation knows some."""
+        """Return the earliest commit time of each grant; reuse the times from the previous observation."""
         known_times_ms: dict[int, float] = {}
         if previous is not None:
             previous_grants = zip(previous.record.grants, previous.grants_not_before_ms, strict=True)
@@ -162,13 +163,13 @@
         return tuple(times_ms)
 
     def version_of(self, request_id: str) -> int:
-        """Return the version of the last record seen of this request; 0: none."""
+        """Return the version of the last record seen for this request; 0 if there was none."""
         if request_id in self.open_requests:
             return self.open_requests[request_id].version
         return self.finished[request_id].version if request_id in self.finished else 0
 
     def update_member(self, member: Member) -> list[Incarnation]:
-        """Apply a member unless something newer is known; return the incarnations that ended by it."""
+        """Apply a member unless a newer state is known; return the incarnations that ended as a result."""
         incarnation = member.incarnation
         known = self.members.get(incarnation.name)
         if known is not None and _member_age(member) <= _member_age(known):
@@ -193,25 +194,25 @@
         ]
 
     def record_lease_expiry(self, member: Member) -> list[Incarnation]:
-        """Note an expired lease or a fence; return the incarnations that ended by it."""
+        """Record an expired lease or a fenced member; return the incarnations that ended as a result."""
         ended = self.update_member(member)
         if not member.fenced:
             self.expired_renewals[member.incarnation] = member.renewal
         return ended
 
     def has_ended(self, incarnation: Incarnation) -> bool:
-        """Return whether it was fenced or replaced: then it commits nothing any more."""
+        """Return whether an incarnation was fenced or replaced, so that it can no longer commit anything."""
         member = self.members.get(incarnation.name)
         if member is None or member.incarnation.epoch < incarnation.epoch:
             return False
         return member.incarnation.epoch > incarnation.epoch or member.fenced
 
     def existed_before(self, incarnation: Incarnation, version: int) -> bool:
-        """Return whether it existed, as far as is known, before this version: then it knows its age."""
+        """Return whether the incarnation may predate this version, and so know the age of its record."""
         return self.started_after_version.get(incarnation, 0) < version
 
     def live_incarnations(self, excluded: Incarnation | None = None) -> list[Incarnation]:
-        """Return the incarnations that are not fenced and whose lease has not expired."""
+        """Return the incarnations that are neither fenced nor expired, without `excluded`."""
         return [
             member.incarnation
             for member in self.members.values()
@@ -222,5 +223,5 @@
 
 
 def _member_age(member: Member) -> tuple[int, bool, int]:
-    """Return what grows with every change of the member of one name."""
+    """Return a sort key that increases with every change of the member with a given name."""
     return member.incarnation.epoch, member.fenced, member.renewal
--- a/meadowpulley/takeover/messages.py
+++ b/meadowpulley/takeover/messages.py
@@ -1,4 +1,4 @@
-"""Events and actions that pass between the takeover stage and its adapter, beside those of the policy."""
+"""Events and actions of the takeover stage and its adapter, in addition to those of the policy."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from meadowpulley.interface import Request
 from meadowpulley.takeover.records import STAGE_NAME, Headers
 
-COMMIT_OWNER = STAGE_NAME  # names this stage as the owner of its commits
-TIMER_TOKEN = 2  # of this stage's one timer; other timers are passed on
+COMMIT_OWNER = STAGE_NAME  # identifies this stage as the owner of its commits
+TIMER_TOKEN = 2  # identifies the only timer of this stage; other timers are forwarded
 
 # Events
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A client's complete request; replaces the policy's `Request` event for classes that are journaled."""
+    """A complete client request; replaces the `Request` event of the policy for journaled classes."""
 
     request: Request
-    request_id: str  # given by the client
+    request_id: str  # chosen by the client
     method: str
     target: str
-    headers: Headers  # those that are forwarded to an instance
+    headers: Headers  # the headers that are forwarded to an instance
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseReady:
-    """An instance's good response, not yet delivered. The `Outcome` that completes the request comes next."""
+    """An instance's successful response, not delivered yet; the completing `Outcome` follows."""
 
     request: int
     status: int
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDetached:
-    """The client of this request has disconnected; the slot stays until `Discard` or a final response."""
+    """The client has disconnected; its slot is kept until `Discard` or a final response."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class AdoptionResult:
-    """The reply to `AdoptRequest`: the handle of the new slot, or None when no slot is free."""
+    """The reply to `AdoptRequest`: the handle of the new slot, or None if no slot was free."""
 
     request_id: str
     request: int | None
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownNotice:
-    """The gateway was told to stop; it is killed in `grace_ms` if it has not ended by then."""
+    """The gateway was told to stop; it is killed after `grace_ms` if it is still running then."""
 
     grace_ms: float
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Send this final response to the client: its own, or that of the request it duplicates."""
+    """Send a final response to a client; a duplicate gets the response to the original request."""
 
     request: int
     status: int
@@ -72,16 +72,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Discard:
-    """End a request whose client has disconnected, without a response."""
+    """End a request without a response because its client has disconnected."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class AdoptRequest:
-    """Make a slot for a request without a client, and reply with `AdoptionResult`.
+    """Allocate a slot for a request without a client; the adapter replies with `AdoptionResult`.
 
-    `deadline_ms` is on this gateway's clock.
+    `deadline_ms` is in ms on this gateway's clock.
     """
 
     request_id: str
--- a/meadowpulley/takeover/orphan_claims.py
+++ b/meadowpulley/takeover/orphan_claims.py
@@ -1,8 +1,8 @@
-"""The orphans of lost gateways: which requests they are, and which of them this gateway claims when.
+"""Finds the orphaned requests of lost gateways, and decides which this gateway claims and when.
 
-Once a lost incarnation is fenced nothing it writes is committed any more; then its open requests are
-claimed, each by compare-and-set. `OrphanRanking` says when this gateway may claim each, `adoption` whether it
-may be adopted, and `PendingClaims` carries the claims out.
+After a lost incarnation is fenced, the ledger accepts no more writes from it, so the survivors claim its open
+requests, each by compare-and-set. `OrphanRanking` decides when this gateway may claim an orphan, `adoption`
+whether the orphan may be adopted, and `PendingClaims` writes the claims.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from meadowpulley.takeover.response_cache import ResponseCache
 from meadowpulley.takeover.transaction_builder import TransactionBuilder
 
-MAX_FINISHED_PER_TURN = 64  # orphans that are finished while one event is handled
-FULL_RECHECK_MS = 20.0  # between two checks while `max_adopted` requests are adopted
-MIN_RECHECK_MS = 1.0
+MAX_FINISHED_PER_TURN = 64  # limit, per event, on the orphans that are recorded as finished
+FULL_RECHECK_MS = 20.0  # ms between checks while `max_adopted` adopted requests are in flight
+MIN_RECHECK_MS = 1.0  # minimum delay in ms before orphans that may be claimed already are checked again
 
 
 class OrphanClaims:
     """Finds orphans, and chooses which of them to claim.
 
-    `due_at_ms`: when `claim_due` has something to do, in ms on this gateway's clock.
+    `due_at_ms` is the time, in ms on this gateway's clock, at which `claim_due` has to be called next.
     """
 
     def __init__(self, context: StageContext, view: LedgerView, response_cache: ResponseCache) -> None:
-        """Claim for the incarnation of `context` what `view` shows of lost gateways."""
+        """Claim orphans that `view` contains, on behalf of the incarnation in `context`."""
         self.incarnation = context.incarnation
         self.settings = context.settings
         self.classes = {
@@ -47,10 +47,10 @@
         self.budget = AdoptionBudget(context.settings)
         self.due_at_ms = math.inf
 
-    # What is an orphan
+    # Finding orphans
 
     def on_lease_expired(self, now: float, members: tuple[Member, ...]) -> None:
-        """Note that the leases of these members expired by this gateway's clock."""
+        """Handle members whose leases have expired according to this gateway's clock."""
         for member in members:
             for incarnation in self.view.record_lease_expiry(member):
                 self._add_orphans_of(incarnation, now)
@@ -63,7 +63,7 @@
         ended_incarnations: list[Incarnation],
         own_ids: Container[str],
     ) -> None:
-        """Update the orphans after a poll. `own_ids`: the requests that this gateway owns."""
+        """Update the orphans after a poll; `own_ids` are the ids of the requests that this gateway owns."""
         for incarnation in ended_incarnations:
             self._add_orphans_of(incarnation, now)
         if ended_incarnations:
@@ -97,18 +97,18 @@
             self.due_at_ms = now
 
     def drop_unclaimed(self) -> None:
-        """Leave all orphans that are not claimed yet to the other gateways."""
+        """Forget all unclaimed orphans, so that other gateways claim them."""
         self.ranking.clear()
 
-    # Which orphans to claim
+    # Choosing the orphans to claim
 
     def claim_due(self, builder: TransactionBuilder, adopted_count: int, latencies: LatencyEstimates) -> None:
-        """Claim the orphans that are due.
+        """Claim the orphans that this gateway may claim now, and retry unfinished claims.
 
         Args:
-            builder: takes the transactions; its `now` is the time.
-            adopted_count: adopted requests in flight.
-            latencies: how long an attempt of each class usually takes.
+            builder: collects the transactions; its `now` is the current time.
+            adopted_count: number of adopted requests in flight.
+            latencies: the typical duration of an attempt of each class.
         """
         now = builder.now
         self.ranking.rank_new(now)
@@ -120,9 +120,9 @@
         self.due_at_ms = self._next_due_at_ms(now, free_slots)
 
     def _next_due_at_ms(self, now: float, free_slots: int) -> float:
-        """Return when there is something to claim again.
+        """Return the time at which to check the orphans again.
 
-        An orphan that may be claimed already waits for a slot or for the budget.
+        An orphan that this gateway may already claim is waiting for a free slot or for the adoption budget.
         """
         if self.ranking.unranked:
             return now
@@ -136,7 +136,7 @@
     def _finish_or_collect(
         self, builder: TransactionBuilder, latencies: LatencyEstimates
     ) -> list[AdoptionCandidate]:
-        """Claim those orphans that end at once; return the ones that may be adopted."""
+        """Claim the orphans that are to be finished without adoption; return those that may be adopted."""
         now = builder.now
         candidates: list[AdoptionCandidate] = []
         finished_count = 0
@@ -156,14 +156,14 @@
         return candidates
 
     def _slack_ms(self, observed: ObservedRequest, now: float, latencies: LatencyEstimates) -> float:
-        """Return the remaining time beyond what an attempt of the class usually takes."""
+        """Return the time to the deadline minus the typical duration of an attempt of the class."""
         remaining_ms = adoption.remaining_ms(observed, now, self.settings)
         return remaining_ms - latencies.typical_ms(observed.record.class_name)
 
     def _adopt_or_miss(
         self, builder: TransactionBuilder, candidates: list[AdoptionCandidate], free_slots: int
     ) -> None:
-        """Claim candidates for adoption within slots and budget; finish those that can't begin in time."""
+        """Claim candidates as slots and budget allow; finish those whose adoption can't begin in time."""
         now = builder.now
         available = self.budget.available(now)
         adoptable, missed = adoption.schedule_adoptions(candidates, available, self.settings.adoptions_per_s)
@@ -188,12 +188,12 @@
         self.ranking.discard(observed.request_id)
         self.pending_claims.begin(builder, observed, target_state, deadline_ms)
 
-    # Results
+    # Results of claims
 
     def on_claim_result(
         self, builder: TransactionBuilder, request_id: str, result: TransactionResult
     ) -> None:
-        """Note whether a claim was committed, or drop one that another gateway has won."""
+        """Handle the result of a claim; drop the claim if another gateway changed the record first."""
         lost_claim = self.pending_claims.on_claim_result(request_id, result)
         if lost_claim is None:
             return
@@ -201,17 +201,17 @@
         if observed is None or observed.version <= lost_claim.observed.version:
             return
         if self._is_orphan(observed):
-            self._add_orphan(request_id, builder.now)  # it was observed while the claim was under way
+            self._add_orphan(request_id, builder.now)  # its record was observed while the claim was pending
 
     def on_content_read(
         self, builder: TransactionBuilder, request_id: str, result: TransactionResult
     ) -> None:
-        """Continue a committed claim with what the client sent: finish it, or ask for a slot."""
+        """Continue a committed claim with the request content: finish the request, or ask for a slot."""
         retry_at_ms = self.pending_claims.on_content_read(builder, request_id, result)
         self.due_at_ms = min(self.due_at_ms, retry_at_ms)
 
     def on_adoption_result(
         self, builder: TransactionBuilder, request_id: str, *, has_slot: bool
     ) -> Claim | None:
-        """Return the claim whose request has a slot now; without one the request is released."""
+        """Return the claim if its request got a slot; otherwise release the request and return None."""
         return self.pending_claims.on_adoption_result(builder, request_id, has_slot=has_slot)
--- a/meadowpulley/takeover/orphan_ranking.py
+++ b/meadowpulley/takeover/orphan_ranking.py
@@ -1,7 +1,8 @@
-"""The orphans that nobody has claimed yet, and when this gateway may claim each.
+"""The orphans that no gateway has claimed yet, and the times at which this gateway may claim them.
 
-Rendezvous hashing ranks the survivors for every orphan; each waits `claim_stagger_ms` longer than the one
-before it, so that a gateway that is busy, or crashes too, delays nothing for long.
+For every orphan, rendezvous hashing ranks the surviving gateways. Each gateway waits `claim_stagger_ms`
+longer than the one ranked before it. If a gateway is busy or crashes, the next one claims the orphan after
+that delay.
 """
 
 from __future__ import annotations
@@ -12,35 +13,35 @@
 from meadowpulley.takeover.ledger_view import LedgerView, ObservedRequest
 from meadowpulley.takeover.records import RequestState
 
-MAX_RANKED_PER_TURN = 64  # orphans that are ranked while one event is handled
+MAX_RANKED_PER_TURN = 64  # limit on the orphans that are ranked per event
 
 
 class OrphanRanking:
-    """Orders unclaimed orphans by when this gateway may claim them.
+    """Computes when this gateway may claim each unclaimed orphan.
 
-    `claimable_at_ms` is on this gateway's clock. An orphan that is to be ranked again keeps its earlier time
-    if that is sooner.
+    `claimable_at_ms` maps request ids to times in ms on this gateway's clock. Ranking an orphan again can
+    make its time earlier, never later.
     """
 
     def __init__(self, incarnation: Incarnation, claim_stagger_ms: float, view: LedgerView) -> None:
-        """Rank orphans for `incarnation` among the live ones that `view` knows."""
+        """Rank orphans for `incarnation` among the live incarnations in `view`."""
         self.incarnation = incarnation
         self.claim_stagger_ms = claim_stagger_ms
         self.view = view
-        self.unranked: dict[str, None] = {}  # ids, in the order in which they are ranked
+        self.unranked: dict[str, None] = {}  # request ids, in the order in which they will be ranked
         self.claimable_at_ms: dict[str, float] = {}
 
     def add(self, request_id: str) -> None:
-        """Have an orphan ranked, anew if it was ranked before."""
+        """Queue an orphan for ranking, even if it was ranked before."""
         self.unranked[request_id] = None
 
     def add_again(self) -> None:
-        """Have all orphans ranked anew: those ranked behind a lost gateway need not wait for it."""
+        """Queue all orphans for ranking again, so that none waits for a lost gateway that is ranked first."""
         for request_id in self.claimable_at_ms:
             self.unranked[request_id] = None
 
     def discard(self, request_id: str) -> None:
-        """Forget an orphan, if it is known."""
+        """Forget an orphan; do nothing if it is not known."""
         self.unranked.pop(request_id, None)
         self.claimable_at_ms.pop(request_id, None)
 
@@ -54,7 +55,7 @@
         return [request_id for request_id, at_ms in self.claimable_at_ms.items() if at_ms <= now]
 
     def rank_new(self, now: float) -> None:
-        """Rank orphans that were added, some of them for each event."""
+        """Rank queued orphans, at most `MAX_RANKED_PER_TURN` per event."""
         for request_id in list(self.unranked)[:MAX_RANKED_PER_TURN]:
             del self.unranked[request_id]
             observed = self.view.open_requests.get(request_id)
@@ -64,9 +65,9 @@
                 self.claimable_at_ms[request_id] = min(at_ms, known_at_ms)
 
     def _rank(self, observed: ObservedRequest) -> int:
-        """Return how many gateways claim it before this one.
+        """Return how many gateways may claim the orphan before this one.
 
-        Those that started later, and do not know its age, come last.
+        Gateways that started after the record was written do not know its age, and come last.
         """
         is_own = observed.owner == self.incarnation
         if is_own and observed.record.state is not RequestState.RELEASED:
--- a/meadowpulley/takeover/pending_claims.py
+++ b/meadowpulley/takeover/pending_claims.py
@@ -1,7 +1,7 @@
-"""The claims of this gateway that are under way, from the first write to a slot or an end.
+"""The unfinished claims of this gateway, from the first write until adoption or the final state.
 
-A claim is one compare-and-set of the record. What the client sent is read with it, so that a claim that is
-committed can go on at once.
+A claim is one compare-and-set of the record. The content of the request is read in the same commit, so that
+no further read is needed once the claim is committed.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 
 
 class PendingClaims:
-    """Writes claims, finishes those that end at once, and asks for a slot for those that are adopted."""
+    """Writes claims; then asks for a slot for each request to adopt, and finishes the others."""
 
     def __init__(self, context: StageContext, response_cache: ResponseCache) -> None:
-        """Claim for the incarnation of `context`; finished requests go to `response_cache`."""
+        """Claim for the incarnation in `context`; add finished requests to `response_cache`."""
         self.incarnation = context.incarnation
         self.settings = context.settings
         self.class_indexes = _class_indexes(context.gateway_settings)
@@ -48,11 +48,11 @@
         self.by_id: dict[str, Claim] = {}
 
     def adopting_count(self) -> int:
-        """Return how many claims are under way whose requests are to be adopted."""
+        """Return the number of unfinished claims whose requests are to be adopted."""
         return sum(claim.target_state is RequestState.OPEN for claim in self.by_id.values())
 
     def next_retry_at_ms(self) -> float:
-        """Return when the next claim is to be repeated; infinity: none is."""
+        """Return the time at which to retry the next claim; infinity if there is none to retry."""
         return min((claim.retry_at_ms for claim in self.by_id.values()), default=math.inf)
 
     def begin(
@@ -62,20 +62,20 @@
         target_state: RequestState,
         deadline_ms: float,
     ) -> None:
-        """Claim an orphan: to adopt it where `target_state` is OPEN, else to end it in that state."""
+        """Claim an orphan: adopt it if `target_state` is OPEN, otherwise record that state."""
         claim = Claim(observed, target_state, deadline_ms, builder.next_sequence())
         self.by_id[claim.request_id] = claim
         self._submit(builder, claim)
 
     def retry_due(self, builder: TransactionBuilder) -> None:
-        """Repeat the claims that are due."""
+        """Retry the claims whose retry time has come."""
         for claim in list(self.by_id.values()):
             if claim.retry_at_ms <= builder.now:
                 claim.retry_at_ms = math.inf
                 self._submit(builder, claim)
 
     def _submit(self, builder: TransactionBuilder, claim: Claim) -> None:
-        """Write the claim unless it is committed already, and read what the client sent."""
+        """Write the claim unless it is already committed, and read the content of the request."""
         request_id = claim.request_id
         if not claim.record_version:
             value = encode_record(claim.to_record(builder.now))
@@ -84,10 +84,10 @@
         read = CheckVersion(CONTENT_PREFIX + request_id, 0)
         builder.add(Transaction((read,)), TransactionIntent(TransactionKind.READ_CONTENT, request_id))
 
-    # Results
+    # Results of transactions
 
     def on_claim_result(self, request_id: str, result: TransactionResult) -> Claim | None:
-        """Note whether a claim was committed; return and forget one that another gateway has won."""
+        """Handle the result of a claim; if another gateway changed the record first, drop and return it."""
         claim = self.by_id.get(request_id)
         if claim is None:
             return None
@@ -96,7 +96,7 @@
         elif result.outcome is TransactionOutcome.UNKNOWN:
             claim.uncertain = True
         elif claim.uncertain and result.existing is not None and self._is_own(claim, result.existing):
-            claim.record_version = result.existing.version  # an earlier attempt was committed after all
+            claim.record_version = result.existing.version  # an earlier write was committed after all
         else:
             return self.by_id.pop(request_id)
         return None
@@ -109,10 +109,10 @@
     def on_content_read(
         self, builder: TransactionBuilder, request_id: str, result: TransactionResult
     ) -> float:
-        """Continue a committed claim with what the client sent: finish it, or ask for a slot.
+        """Continue a committed claim with the request content: finish the request, or ask for a slot.
 
         Returns:
-            When the claim is to be repeated; infinity where it goes on.
+            The time at which to retry the claim; infinity if no retry is needed.
         """
         claim = self.by_id.get(request_id)
         if claim is None:
@@ -134,7 +134,7 @@
     def on_adoption_result(
         self, builder: TransactionBuilder, request_id: str, *, has_slot: bool
     ) -> Claim | None:
-        """Return the claim whose request has a slot now; without one the request is released."""
+        """Return the claim if its request got a slot; otherwise release the request and return None."""
         claim = self.by_id.get(request_id)
         if claim is None:
             return None
@@ -155,7 +155,7 @@
         )
 
     def _change_target(self, builder: TransactionBuilder, claim: Claim, target_state: RequestState) -> None:
-        """Finish a request that was claimed for adoption, or release it as if it had not been claimed."""
+        """Write another state for a request that was claimed for adoption: finish it, or release it."""
         self.begin(
             builder, claim.as_observed(self.incarnation, target_state), target_state, claim.deadline_ms
         )
@@ -174,7 +174,7 @@
 
 
 def _class_indexes(gateway_settings: Settings) -> dict[str, int]:
-    """Return the policy's index of each class, by the name that records have for it."""
+    """Return the policy's index of each class, keyed by the class name that records contain."""
     return {request_class.name: index for index, request_class in enumerate(gateway_settings.classes)}
 
 
--- a/meadowpulley/takeover/record_writes.py
+++ b/meadowpulley/takeover/record_writes.py
@@ -1,7 +1,7 @@
 """The writes that keep the record of a journaled request up to date in the ledger.
 
-One write is under way for each request at most (`JournaledRequest.pending_write`). Each write of a
-transaction has the ledger's next version, so the versions of a transaction follow from its last one.
+At most one transaction per request is in progress (`JournaledRequest.pending_write`). The ledger numbers the
+writes of a transaction consecutively, so the version of its last write determines the others.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 def begin_write(entry: JournaledRequest, now: float) -> Transaction:
-    """Return the transaction that brings the record up to date; `pending_write` says what it would prove.
+    """Return the transaction that updates the record, and set `pending_write` to describe it.
 
-    Where a record of the request may yet be created by a late write, its end is created instead of looked
-    up: then the late write conflicts.
+    A request without a record that already has its final response is only looked up. If an earlier write may
+    still create the record, the final record is created instead, so that the late write conflicts.
     """
     final_response = entry.final_response
     if final_response is not None and not entry.record_version and not entry.write_uncertain:
-        # Nothing of the request was ever sent.
+        # No write for this request was ever sent to the ledger.
         entry.pending_write = PendingWrite(now, final_response=final_response)
         return Transaction((CheckVersion(entry.record_key, 0),))
     entry.record_stale = False
@@ -53,7 +53,7 @@
 
 
 def current_record(entry: JournaledRequest, now: float) -> RequestRecord:
-    """Return what the record should say now."""
+    """Return the record that describes the request at `now`."""
     request = entry.request
     expected_work_ms = request.expected_work_ms
     return RequestRecord(
@@ -90,7 +90,7 @@
 
 
 def _content_write(entry: JournaledRequest) -> Write | None:
-    """The content is created with the first record, and removed with the final response."""
+    """Create the content together with the first record, and remove it with the final response."""
     key = CONTENT_PREFIX + entry.request_id
     if entry.final_response is None and not entry.content_version:
         return Create(key, encode_record(entry.content))
@@ -107,26 +107,26 @@
 
 
 def apply_commit(entry: JournaledRequest, pending_write: PendingWrite, version: int) -> None:
-    """Note the versions of a committed write; `version` is that of its last part."""
+    """Store the versions of a committed transaction; `version` is the version of its last write."""
     key_prefixes = pending_write.key_prefixes
     first_version = version - len(key_prefixes) + 1
     _set_versions(entry, key_prefixes, first_version, is_final=pending_write.final_response is not None)
 
 
 def reconcile(entry: JournaledRequest, found: Record) -> RequestState | None:
-    """Note the versions of a write with an unknown outcome whose record was found.
+    """Store the versions of a write with an unknown outcome whose record was found in the ledger.
 
     Returns:
-        The record's state; None if another incarnation's write, or another request's, has left it.
+        The record's state; None if the record's sequence number differs, since another write made it then.
 
     Raises:
-        RecordError: the record can't be decoded.
+        RecordError: the record cannot be decoded.
     """
     record = decode_request_record(found.value)
     if record.sequence != entry.sequence:
         return None
     key_prefixes = [RECORD_PREFIX]
-    content_was_written = record.is_final == bool(entry.content_version)  # removed, or created
+    content_was_written = record.is_final == bool(entry.content_version)  # removed or created by the write
     if content_was_written:
         key_prefixes.append(CONTENT_PREFIX)
     final_response = entry.final_response_for(record.state)
@@ -144,11 +144,11 @@
     entry.record_version = versions.get(RECORD_PREFIX, entry.record_version)
     entry.content_version = 0 if is_final else versions.get(CONTENT_PREFIX, entry.content_version)
     entry.response_version = versions.get(RESPONSE_PREFIX, entry.response_version)
-    for attempt, grant in entry.grants.items():  # at worst, a later one is dated too early
+    for attempt, grant in entry.grants.items():  # may date a later grant too early, which is safe
         if not grant.granted_version:
             entry.grants[attempt] = replace_fields(grant, granted_version=entry.record_version)
 
 
 def _clamp_duration(duration_ms: float) -> float:
-    """Return the duration within the limits of a record."""
+    """Limit a duration in ms to the range that a record can hold."""
     return min(max(duration_ms, 0.0), MAX_DURATION_MS)
--- a/meadowpulley/takeover/records.py
+++ b/meadowpulley/takeover/records.py
@@ -1,12 +1,13 @@
-"""Records of journaled requests as they are stored in the ledger.
+"""The stored formats of the records that the ledger holds for journaled requests.
 
-Each journaled request has one small record that every gateway watches (`RECORD_PREFIX` and the client's id of
-the request), and two that are read only when they are needed: what the client sent (`CONTENT_PREFIX`) and the
-response (`RESPONSE_PREFIX`). Records are msgpack, strict and versioned; one that cannot be decoded is logged
-and left alone. The names of encoded fields and the encoded values are part of the stored format.
+Each journaled request has one small record that every gateway watches (its key is `RECORD_PREFIX` followed by
+the request id that the client chose). Two more records are read only when they are needed: the request
+content (`CONTENT_PREFIX`) and the response (`RESPONSE_PREFIX`). Records are encoded as msgpack, checked
+strictly and versioned; a record that cannot be decoded is logged and left unchanged. The names of encoded
+fields and the encoded values are part of the stored format.
 
-Clocks are never compared between gateways. A record holds durations, counted from the moment it was made, and
-versions of the ledger; each gateway knows from its own polls when it had not seen a version yet.
+The clocks of different gateways are never compared. A record holds durations, relative to its creation, and
+ledger versions; each gateway knows from its own polls at what time it had not seen a version yet.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 
 from meadowpulley.takeover.errors import TakeoverError
 
-STAGE_NAME = "takeover"  # as the log and the owners of commits name this stage
+STAGE_NAME = "takeover"  # identifies this stage in log events and as the owner of commits
 RECORD_PREFIX = "takeover/work/"
 CONTENT_PREFIX = "takeover/content/"
 RESPONSE_PREFIX = "takeover/answer/"
-WATCHED_PREFIXES = (RECORD_PREFIX,)  # the prefixes whose changes the stage must be notified of
-MAX_BODY_BYTES = 64 * 1024  # a request with a longer body is not journaled
-RECORD_FORMAT: Final[Literal[2]] = 2  # format 1 did not name the origin of a request
-MAX_DURATION_MS = 1e9  # the longest duration a record can hold
+WATCHED_PREFIXES = (RECORD_PREFIX,)  # the stage has to be notified of changes under these prefixes
+MAX_BODY_BYTES = 64 * 1024  # requests with longer bodies are not journaled, longer responses not recorded
+RECORD_FORMAT: Final[Literal[2]] = 2  # format 1 did not contain the origin of a request
+MAX_DURATION_MS = 1e9  # the longest duration in ms that a record can hold
 DIGEST_BYTES = 16
-LENGTH_PREFIX_BYTES = 8  # before each part of what is digested
+LENGTH_PREFIX_BYTES = 8  # size of the length that precedes each part in the digest input
 
 DurationMs = Annotated[float, msgspec.Meta(ge=0, le=MAX_DURATION_MS)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
@@ -36,56 +37,59 @@
 
 
 class RecordError(TakeoverError):
-    """A record is damaged or has another format.
+    """A record is damaged or has another format version.
 
     Attributes:
-        record_type: what the record should be, by the name of its class.
-        reason: what is wrong with it.
+        record_type: the name of the class that the record should decode to.
+        reason: why the record could not be decoded.
     """
 
     def __init__(self, record_type: str, reason: str) -> None:
-        """Make the error of a record that is no `record_type`."""
+        """Create the error for a record that is not a valid `record_type`."""
         super().__init__(f"not a {record_type} of format {RECORD_FORMAT}: {reason}")
         self.record_type = record_type
         self.reason = reason
 
 
 class RequestState(Enum):
-    """What a record says of its request; the values are stored.
+    """The state of a request in its record; the values are part of the stored format.
+
+    Transitions:
 
     | from | to | by |
     | --- | --- | --- |
     | none | OPEN | the first grant |
-    | none | FAILED, REJECTED | its owner, where an earlier write may yet be carried out |
+    | none | FAILED, REJECTED | its owner, if an earlier write may still be carried out |
     | OPEN | SERVED | its owner |
-    | OPEN | FAILED, REJECTED | its owner; a gateway that claims it and does not adopt it |
+    | OPEN | FAILED, REJECTED | its owner; a gateway that claims it without adopting it |
     | OPEN | OPEN | each further grant; a gateway that claims it to adopt it |
-    | OPEN | RELEASED | its owner in a shutdown; a gateway that has claimed it and has no slot |
-    | RELEASED | as from OPEN | a gateway that claims it; its owner until it knows of the release |
-    | REJECTED | OPEN | the first grant of a request under the same id |
+    | OPEN | RELEASED | its owner during a shutdown; a gateway that has claimed it and has no free slot |
+    | RELEASED | as from OPEN | a gateway that claims it; its owner until the owner learns of the release |
+    | REJECTED | OPEN | the first grant of a new request with the same id |
     """
 
-    OPEN = "open"  # its owner works on it
-    RELEASED = "free"  # its owner shuts down and has released it
+    OPEN = "open"  # its owner is processing it
+    RELEASED = "free"  # its owner has released it, in a shutdown or for lack of a slot
     SERVED = "served"
     FAILED = "failed"  # it may have been executed
-    REJECTED = "refused"  # it was never executed: the same id may be sent again
+    REJECTED = "refused"  # it was never executed, so the client may send the same id again
 
 
 class AttemptGrant(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """Permission for one attempt to be sent: unless its outcome says otherwise, it was or may be executed."""
+    """Permission to send one attempt; unless its outcome shows otherwise, it may have been executed."""
 
     server: int
     build: int
     zone: int
     cell: int
-    granted_version: Count = 0  # ledger version that granted it; 0: the write that carries this record
+    granted_version: Count = 0  # ledger version of the grant; 0 stands for the version of this record
 
 
 class Origin(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """The incarnation that received a request first, and its own sequence number of the request.
+    """The incarnation that first received a request, and the sequence number it gave the request.
 
-    The sequence numbers of an incarnation only grow. Request handles do not: they return with the slot.
+    The sequence numbers of an incarnation only increase. Handles are not used here, because a handle is
+    reused together with its slot.
     """
 
     incarnation: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
@@ -103,14 +107,14 @@
     digest: bytes  # of what the client sent, by `request_digest`
     sequence: Count = msgspec.field(name="mark")  # number of the request at the incarnation that wrote this
     origin: Origin = msgspec.field(name="first")
-    remaining_ms: DurationMs = msgspec.field(name="left_ms")  # until the deadline
-    elapsed_ms: DurationMs = msgspec.field(name="waited_ms")  # since it was first received, at any gateway
+    remaining_ms: DurationMs = msgspec.field(name="left_ms")  # from the record's creation to the deadline
+    elapsed_ms: DurationMs = msgspec.field(name="waited_ms")  # since any gateway first received the request
     expected_work_ms: DurationMs | None = msgspec.field(name="hint_ms")
     write: bool
     arm: int
     owner_count: Annotated[int, msgspec.Meta(ge=1)] = msgspec.field(name="lives")
-    attempt_count: Count = msgspec.field(name="tries")  # attempts that were granted
-    # Grants of the attempts that are not known never to have been executed.
+    attempt_count: Count = msgspec.field(name="tries")  # number of attempts granted so far
+    # The grants of all attempts that may have been executed.
     grants: tuple[AttemptGrant, ...] = msgspec.field(name="rights")
 
     @property
@@ -120,12 +124,12 @@
 
     @property
     def was_never_executed(self) -> bool:
-        """Whether the request was rejected, and none of its attempts may have been executed."""
+        """Whether the request was rejected and certainly none of its attempts was executed."""
         return self.state is RequestState.REJECTED and not self.grants
 
 
 class RequestContent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the client sent."""
+    """The request as the client sent it."""
 
     format_version: Literal[2] = msgspec.field(name="v")
     method: str
@@ -135,7 +139,7 @@
 
 
 class RecordedResponse(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The response of a served request."""
+    """The response to a served request."""
 
     format_version: Literal[2] = msgspec.field(name="v")
     status: Annotated[int, msgspec.Meta(ge=100, le=599)]
@@ -155,36 +159,37 @@
 
 
 def decode_request_record(value: bytes) -> RequestRecord:
-    """Decode the state of a request.
+    """Decode the record that holds the state of a request.
 
     Raises:
-        RecordError: it is no complete record of this format.
+        RecordError: the value is not a complete record of this format.
     """
     return _decode(value, RequestRecord)
 
 
 def decode_request_content(value: bytes) -> RequestContent:
-    """Decode what a client sent.
+    """Decode the content of a request.
 
     Raises:
-        RecordError: it is no complete record of this format.
+        RecordError: the value is not a complete record of this format.
     """
     return _decode(value, RequestContent)
 
 
 def decode_recorded_response(value: bytes) -> RecordedResponse:
-    """Decode a response.
+    """Decode a recorded response.
 
     Raises:
-        RecordError: it is no complete record of this format.
+        RecordError: the value is not a complete record of this format.
     """
     return _decode(value, RecordedResponse)
 
 
 def request_digest(method: str, target: str, body: bytes) -> bytes:
-    """Return the digest that tells different requests under one id apart.
+    """Return a digest that distinguishes different requests with the same id.
 
-    Headers are left out: the remaining time differs each time a client repeats a request.
+    Headers are not included, because they contain the remaining time, which differs each time a client
+    repeats a request.
     """
     hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method.encode(), target.encode(), body):
--- a/meadowpulley/takeover/request_intake.py
+++ b/meadowpulley/takeover/request_intake.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that a client sends: journaled, joined to its original, unjournaled or failed."""
+"""Decides how to handle a client's request: journal it, await its original, forward it or fail it."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class RequestIntake:
-    """Decides how a client's request begins, by its class, its id and the state of the ledger."""
+    """Decides how to handle a new request, from its class, its id and the state of the ledger."""
 
     def __init__(self, context: StageContext, journal: RequestJournal, entries: EntryFactory) -> None:
-        """Begin requests in `journal`."""
+        """Start requests in `journal`, with entries made by `entries`."""
         self.builder = context.builder
         self.journal_scope = context.settings.journal_scope
         self.classes = context.gateway_settings.classes
         self.journal = journal
         self.entries = entries
-        # Until then clients may repeat requests that gateways without a ledger have served unjournaled.
+        # Until this time, clients may repeat requests that were served unjournaled in a ledger outage.
         self.unjournaled_until_ms = -math.inf
 
     def is_journaled_class(self, class_index: int, body_bytes: int) -> bool:
@@ -39,7 +39,7 @@
         return self.classes[class_index].effect is Effect.IDEMPOTENT
 
     def on_client_request(self, event: ClientRequest) -> None:
-        """Begin a request, or let it wait for the one that is in flight under its id."""
+        """Start a request, or make it wait for the request in flight with the same id."""
         request = event.request
         if not self.is_journaled_class(request.class_index, len(event.body)):
             self.journal.forward(request)
@@ -59,7 +59,7 @@
                 self.journal.start(entry)
 
     def _on_duplicate(self, event: ClientRequest, digest: bytes, original: JournaledRequest) -> None:
-        """Let a request wait for the one with its id; fail one that differs from it."""
+        """Make a duplicate wait for its original; fail it if its digest differs."""
         if digest == original.digest:
             self.journal.answers.add_waiter(event.request_id, event.request)
             self.journal.answers.answer_waiters(original)
@@ -69,17 +69,18 @@
     def _may_have_been_executed_unjournaled(self, request: Request) -> bool:
         """Return whether an earlier copy of a request may have been executed without a record.
 
-        For a while after the ledger was unavailable, clients may repeat what was served then.
+        For some time after a ledger outage, clients may repeat requests that were served during it.
         """
         if not request.client_retry or self._is_idempotent(request.class_index):
             return False
         return self.builder.now < self.unjournaled_until_ms
 
     def _handle_without_ledger(self, request: Request) -> None:
-        """Serve a request unjournaled, so that nobody adopts it, or fail it where it could be executed twice.
+        """Serve a request unjournaled, so that nobody adopts it, or fail it if it might be executed twice.
 
-        Whether a repeated one is in flight elsewhere cannot be known. And what a fenced incarnation executes
-        unjournaled, while the others have the ledger, would be executed again where its client repeats it.
+        Without the ledger, this gateway cannot know whether a repeated request is in flight elsewhere. If a
+        fenced incarnation executed a request unjournaled while the other gateways still have the ledger, they
+        would execute it again when the client repeats it.
         """
         others_may_execute_it = self.journal.fenced and not self._is_idempotent(request.class_index)
         if request.client_retry or others_may_execute_it:
@@ -88,7 +89,7 @@
             self.journal.forward(request)
 
     def on_ledger_recovered(self) -> None:
-        """Expect repeated requests until the last client of one that was served unjournaled has given up."""
+        """Expect repeats of unjournaled requests for the longest deadline of a non-idempotent class."""
         unrepeatable = [
             request_class for request_class in self.classes if request_class.effect is not Effect.IDEMPOTENT
         ]
--- a/meadowpulley/takeover/request_journal.py
+++ b/meadowpulley/takeover/request_journal.py
@@ -1,9 +1,9 @@
 """The journaled requests of this gateway, between the policy and the adapter.
 
-- A `Send` is held until the record with its grant is committed. It is cancelled, with the result NOT_SENT
-  for the policy, when that takes too long or conflicts, or when the lease has expired by then.
-- The final response is held until it is recorded. For a request that is rejected before anything of it was
-  written, the id is only looked up: other gateways may know it.
+- A `Send` is held until the record with its grant is committed. If the commit takes too long or conflicts, or
+  if the lease has expired by then, the send is cancelled and the policy gets the result NOT_SENT.
+- The final response is held until it is recorded. If a request is rejected before a record was written for
+  it, the id is only looked up in the ledger, because another gateway may already know the id.
 """
 
 from __future__ import annotations
@@ -51,12 +51,12 @@
 
 
 class RequestJournal:
-    """Holds sends until they are granted, and final responses until they are recorded."""
+    """Holds sends until their grants are committed, and final responses until they are recorded."""
 
     def __init__(
         self, context: StageContext, inner: Stage, waiters: DuplicateWaiters, response_cache: ResponseCache
     ) -> None:
-        """Stand before `inner`, the next stage."""
+        """Wrap `inner`, the next stage."""
         self.inner = inner
         self.incarnation = context.incarnation
         self.holds_lease = context.holds_lease
@@ -74,16 +74,16 @@
 
     @property
     def by_id(self) -> dict[str, JournaledRequest]:
-        """The requests that this gateway owns, by the client's id."""
+        """The requests that this gateway owns, by request id."""
         return self.table.by_id
 
     @property
     def ledger_usable(self) -> bool:
-        """Whether this gateway can commit anything, as far as it knows."""
+        """Whether this gateway can commit to the ledger, as far as it knows."""
         return not (self.fenced or self.ledger_unavailable)
 
     def forward(self, event: object) -> None:
-        """Pass an event to the next stage, and hold what it decides for journaled requests."""
+        """Pass an event to the next stage, and hold its decisions for journaled requests."""
         for action in self.inner.handle(self.builder.now, event):
             if not isinstance(action, Send | Cancel | Reject | Fail):
                 self.builder.actions.append(action)
@@ -107,28 +107,28 @@
             self.finish(entry, FinalResponse(state, action))
 
     def on_endpoint_update(self, event: EndpointUpdate) -> None:
-        """Note where servers stand, for the grants, and forward the update."""
+        """Store the locations of servers for use in grants, and forward the update."""
         self.server_locations.apply(event)
         self.forward(event)
 
     # New requests
 
     def start(self, entry: JournaledRequest) -> None:
-        """Begin a request that a client sent or that this gateway adopts."""
+        """Start a request that a client sent or that this gateway adopts."""
         known = self.table.by_id.get(entry.request_id)
-        if known is not None:  # a duplicate of the request that is adopted now came first
+        if known is not None:  # a duplicate arrived before this adoption
             self._lose_ownership(known)
         self.table.add(entry)
         self.forward(entry.request)
         self.flush(entry)
 
     def fail_if_unknown(self, entry: JournaledRequest) -> None:
-        """Fail a request unless a record answers it: it may have been executed unjournaled."""
+        """Fail a request that may have been executed unjournaled, unless a record for its id is found."""
         self.table.add(entry)
         self.finish(entry, entry.failure())
 
     def _resolve_known_id(self, entry: JournaledRequest, found: Record) -> None:
-        """Act on the record that the id of a new request has already."""
+        """Handle an existing record with the id of a new request."""
         record: RequestRecord | None = None
         try:
             record = decode_request_record(found.value)
@@ -138,7 +138,7 @@
             self.answers.answer_once(entry, Fail(entry.request.request))
             self._withdraw(entry)
         elif record.was_never_executed and entry.final_response is None:
-            entry.record_version = found.version  # the same id may be sent again
+            entry.record_version = found.version  # an id that was never executed may be used again
             self.flush(entry)
         else:
             self._lose_ownership(entry)
@@ -157,7 +157,8 @@
     def _may_send(self, entry: JournaledRequest) -> bool:
         """Return whether an attempt whose grant is committed may be sent.
 
-        A gateway that was paused since the commit finds out here, at the last moment.
+        This is checked immediately before sending, so a gateway that was paused after the commit notices that
+        its lease has expired.
         """
         now = self.builder.now
         if self.fenced or entry.is_over or now >= entry.request.deadline_ms:
@@ -165,7 +166,7 @@
         return self.holds_lease(now)
 
     def _cancel_pending_send(self, entry: JournaledRequest, attempt: int) -> None:
-        """Tell the policy that this attempt is never sent; it chooses anew."""
+        """Report to the policy that an attempt was not sent, so that the policy decides again."""
         self.forward(entry.withdraw_attempt(attempt))
 
     def _cancel_pending_sends(self, entry: JournaledRequest) -> None:
@@ -173,7 +174,7 @@
             self._cancel_pending_send(entry, attempt)
 
     def on_outcome(self, outcome: Outcome) -> None:
-        """Note the outcome of an attempt, and forward it under the policy's number."""
+        """Record the outcome of an attempt, and forward it with the policy's attempt number."""
         entry = self.table.by_request.get(outcome.request)
         if entry is None:
             self.forward(outcome)
@@ -184,7 +185,7 @@
         self.table.forget_if_settled(entry)
 
     def on_response_started(self, event: ResponseStarted) -> None:
-        """Forward the start of a response under the policy's number of the attempt."""
+        """Forward the start of a response with the policy's attempt number."""
         entry = self.table.by_request.get(event.request)
         if entry is not None:
             event = replace(event, attempt=entry.policy_number(event.attempt))
@@ -193,7 +194,7 @@
     # Final responses
 
     def on_response_ready(self, event: ResponseReady) -> None:
-        """Hold an instance's good response until it is recorded, if its request is journaled."""
+        """Hold an instance's successful response until it is recorded, if its request is journaled."""
         entry = self.table.by_request.get(event.request)
         if entry is None:
             self.builder.actions.append(deliver(event))
@@ -201,7 +202,7 @@
             self.finish(entry, FinalResponse.served(event))
 
     def finish(self, entry: JournaledRequest, final_response: FinalResponse) -> None:
-        """Set the final response of a request unless it has one, and write it down."""
+        """Set and record the final response of a request, unless it already has one."""
         if entry.final_response is not None:
             return
         entry.final_response = final_response
@@ -211,16 +212,17 @@
         self.flush(entry)
 
     def _hold_until_ms(self, entry: JournaledRequest) -> float:
-        """Return until when a final response may be held: its client waits until the deadline and a slack.
+        """Return the latest time until which a final response may be held.
 
-        Half of the slack is left for the way to the client.
+        The client waits until its deadline plus `response_slack_ms`. Half of that slack is reserved for
+        transmission to the client.
         """
         now = self.builder.now
         latest_ms = max(entry.request.deadline_ms + self.response_slack_ms / 2, now)
         return min(now + self.settings.response_hold_ms, latest_ms)
 
     def on_answered_as_failed(self, entry: JournaledRequest) -> None:
-        """Finish a request that the adapter has answered as failed, past its deadline."""
+        """Finish a request that the adapter has already answered as failed after its deadline."""
         entry.answered = True
         entry.supersede_final_response()
         self.finish(entry, entry.failure())
@@ -228,19 +230,19 @@
     # Ownership
 
     def _withdraw(self, entry: JournaledRequest) -> None:
-        """Tell the policy that it has nothing more to do with a request."""
+        """Relinquish a request, and tell the policy to stop by reporting the client as disconnected."""
         entry.relinquished = True
         self.forward(ClientDisconnected(entry.request.request))
         self._cancel_pending_sends(entry)
         self.table.relinquish(entry)
 
     def _lose_ownership(self, entry: JournaledRequest) -> None:
-        """Leave a request to its new owner."""
+        """Stop processing a request that another gateway owns now; its client waits for that gateway."""
         self._withdraw(entry)
         self.answers.wait_for_new_owner(entry)
 
     def release(self, entry: JournaledRequest) -> None:
-        """Release a request to the other gateways, with what its record proves."""
+        """Release an unfinished request to the other gateways; its record keeps the grants."""
         if entry.final_response is not None or entry.releasing:
             return
         entry.releasing = True
@@ -249,7 +251,7 @@
         self.flush(entry)
 
     def fence(self) -> None:
-        """Fail every request: other gateways own them now, and how they end cannot be known here."""
+        """Fail every request: other gateways own them now, and their outcomes cannot be known here."""
         if self.fenced:
             return
         self.fenced = True
@@ -261,7 +263,7 @@
     # Writes
 
     def flush(self, entry: JournaledRequest) -> None:
-        """Write what the record lacks, one write at a time."""
+        """Write the record if it is out of date and no write is in progress."""
         if not self.ledger_usable or entry.relinquished:
             return
         if entry.needs_write and entry.pending_write is None:
@@ -270,7 +272,7 @@
             self.builder.add(begin_write(entry, self.builder.now), intent)
 
     def on_written(self, handle: int, result: TransactionResult) -> None:
-        """Act on the result of the write that was under way for this request."""
+        """Handle the result of the write that was in progress for this request."""
         entry = self.table.by_request.get(handle)
         if entry is None or entry.pending_write is None or entry.relinquished:
             return
@@ -303,7 +305,7 @@
             self.flush(entry)
 
     def _on_conflict(self, entry: JournaledRequest, existing: Record | None) -> None:
-        """Find out whose record is in the way: an own write with an unknown outcome may have left it."""
+        """Handle a conflicting record; it may come from an own write whose outcome was unknown."""
         if existing is None or existing.key != entry.record_key:
             self._lose_ownership(entry)
             return
@@ -327,7 +329,7 @@
     # Time
 
     def check_due_requests(self) -> None:
-        """Do what is due now for each request."""
+        """Check all requests whose wakeup time has come."""
         now = self.builder.now
         handle = self.wakeups.pop_due(now)
         while handle is not None:
@@ -339,7 +341,7 @@
             handle = self.wakeups.pop_due(now)
 
     def _check_due(self, entry: JournaledRequest) -> None:
-        """Cancel late sends, stop holding a response, repeat a write."""
+        """Cancel expired sends, answer an overdue client, and repeat a write, as far as each is due."""
         now = self.builder.now
         late = [attempt for attempt, pending in entry.pending_sends.items() if pending.expires_at_ms <= now]
         for attempt in late:
--- a/meadowpulley/takeover/response_cache.py
+++ b/meadowpulley/takeover/response_cache.py
@@ -1,4 +1,4 @@
-"""Keeps finished records in the ledger for clients that repeat a request, and removes them in time."""
+"""Keeps the records of finished requests for clients that repeat them, and removes expired records."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from meadowpulley.takeover.settings import TakeoverSettings
 from meadowpulley.takeover.transaction_builder import TransactionBuilder, TransactionIntent, TransactionKind
 
-MAX_REMOVALS_PER_TURN = 64  # entries removed while one event is handled
+MAX_REMOVALS_PER_TURN = 64  # limit on the entries that are removed per event
 
 
 @dataclass(slots=True)
 class CachedResponse:
-    """A finished request, and the versions at which its records may be removed; 0: no such record."""
+    """A finished request and the ledger versions of its records; version 0 means no record."""
 
     request_id: str
     expires_at_ms: float
     record_version: int
     response_version: int = 0
     content_version: int = 0
-    size_bytes: int = 0  # of the response's body
-    inherited: bool = False  # left by an ended incarnation: the versions of content and response are unknown
+    size_bytes: int = 0  # size of the response body
+    inherited: bool = False  # left by an ended incarnation; content and response versions unknown
 
 
 @dataclass(slots=True)
 class ResponseCache:
-    """Finished requests, oldest first; bounded by age, and the bodies also by their total size.
+    """Holds finished requests, oldest first; limits their age and the total size of their bodies.
 
-    An incarnation removes its own records. Those of an ended incarnation are removed by the gateways that
-    start later and see all records in their first poll.
+    Each incarnation removes its own records. The records of an ended incarnation are removed by gateways that
+    start later, because their first poll returns all records.
     """
 
     settings: TakeoverSettings
@@ -44,9 +44,9 @@
     size_bytes: int = 0
 
     def add(self, builder: TransactionBuilder, entry: CachedResponse) -> None:
-        """Add a finished request, and remove the oldest bodies where the cache is over its size.
+        """Add a finished request, and remove the oldest bodies if the cache exceeds its size limit.
 
-        The records stay, so that a duplicate of a request without its body is not executed again.
+        The request records are kept, so that a duplicate is not executed again although the body is gone.
         """
         previous = self.entries.pop(entry.request_id, None)
         if previous is not None:
@@ -66,7 +66,7 @@
     def add_finished(
         self, builder: TransactionBuilder, entry: JournaledRequest, final_response: FinalResponse
     ) -> None:
-        """Add a request of this gateway that has a record in the ledger."""
+        """Add a finished request of this gateway, if it has a record in the ledger."""
         if not entry.record_version:
             return
         response = final_response.response
@@ -87,7 +87,7 @@
         entry.size_bytes = 0
 
     def inherit(self, now: float, abandoned: Iterable[AbandonedRequest]) -> None:
-        """Take over the finished requests that ended incarnations have left."""
+        """Add finished requests of ended incarnations, so that their records get removed."""
         expires_at_ms = now + self.settings.response_retention_ms
         for left in abandoned:
             if left.request_id not in self.entries:
@@ -95,14 +95,14 @@
                 self.entries[left.request_id] = entry
 
     def due_at_ms(self) -> float:
-        """Return when the next entry expires; infinity: there is none."""
+        """Return the time at which the next entry expires; infinity if there are no entries."""
         if not self.entries:
             return math.inf
         oldest = next(iter(self.entries.values()))
         return oldest.expires_at_ms
 
     def on_timer(self, builder: TransactionBuilder) -> None:
-        """Remove expired entries, some of them for each event."""
+        """Remove expired entries, at most `MAX_REMOVALS_PER_TURN` per event."""
         oldest = islice(self.entries.values(), MAX_REMOVALS_PER_TURN)
         expired = [entry for entry in oldest if entry.expires_at_ms <= builder.now]
         for entry in expired:
@@ -114,7 +114,7 @@
                 self._remove(builder, entry)
 
     def _read_inherited(self, builder: TransactionBuilder, entry: CachedResponse) -> None:
-        """Ask for the versions of the response and of the content, in this order."""
+        """Read the versions of the response and of the content, in this order."""
         self.reading_inherited[entry.request_id] = entry
         for prefix in (RESPONSE_PREFIX, CONTENT_PREFIX):
             key = prefix + entry.request_id
@@ -122,9 +122,9 @@
             builder.add(read, TransactionIntent(TransactionKind.READ_INHERITED, key))
 
     def on_inherited_read(self, builder: TransactionBuilder, key: str, result: TransactionResult) -> None:
-        """Note the version that was read, and remove the records once both are known.
+        """Store the version that was read, and remove the records once both versions are known.
 
-        Where a read fails, the records stay until the next gateway starts.
+        If a read fails, the records stay in the ledger until another gateway starts and removes them.
         """
         is_response = key.startswith(RESPONSE_PREFIX)
         prefix = RESPONSE_PREFIX if is_response else CONTENT_PREFIX
--- a/meadowpulley/takeover/server_locations.py
+++ b/meadowpulley/takeover/server_locations.py
@@ -1,4 +1,4 @@
-"""Where servers stand: what a grant says of the server that its attempt goes to."""
+"""The locations of servers, as grants record them for the server of an attempt."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(slots=True)
 class ServerLocations:
-    """The servers of the endpoint list, by their numbers."""
+    """Maps server numbers to the entries of the endpoint list."""
 
     servers: dict[int, ServerEntry] = field(default_factory=dict)
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply an update of the endpoint list."""
+        """Apply an endpoint list update; a full or cached list replaces all known servers."""
         if update.kind in FULL_LIST_KINDS:
             self.servers.clear()
         for entry in update.entries:
@@ -27,7 +27,7 @@
                 del self.servers[entry.server]
 
     def grant_for(self, server: int) -> AttemptGrant:
-        """Return the grant of an attempt at this server; one of an unknown server names no location."""
+        """Return the grant of an attempt at this server; its location is 0 for an unknown server."""
         entry = self.servers.get(server)
         if entry is None:
             return AttemptGrant(server, build=0, zone=0, cell=0)
--- a/meadowpulley/takeover/settings.py
+++ b/meadowpulley/takeover/settings.py
@@ -7,32 +7,33 @@
 
 
 class JournalScope(Enum):
-    """Which request classes are journaled; the values are those of the setting."""
+    """Which request classes are journaled; the values are the texts that the setting accepts."""
 
     NONE = "none"
-    UNREPEATABLE = "unrepeatable"  # those that must not simply be sent again: all but the idempotent ones
+    UNREPEATABLE = "unrepeatable"  # all classes except the idempotent ones, which are safe to send again
     ALL = "all"
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverSettings:
-    """Limits and time-outs of the takeover stage. Durations are milliseconds on the gateway's own clock.
+    """Limits and timeouts of the takeover stage. Durations are in ms on the gateway's own clock.
 
     Attributes:
         journal_scope: which request classes are journaled.
-        grant_timeout_ms: an attempt whose grant takes longer to commit is cancelled, and the policy chooses
-            anew.
-        response_hold_ms: how long a final response is held back, at most, until it is recorded.
-        retry_delay_ms: pause before a write with an unknown outcome is repeated.
-        claim_stagger_ms: each gateway in the ranking of an orphan claims it this much later than the one
-            before.
+        grant_timeout_ms: an attempt is cancelled if committing its grant takes longer than this; the policy
+            then decides again.
+        response_hold_ms: the maximum time for which a final response is held until it is recorded.
+        retry_delay_ms: the delay before a read or write with an unknown outcome is repeated.
+        claim_stagger_ms: each gateway in the ranking of an orphan waits this much longer than the previous
+            one before it claims the orphan.
         min_remaining_ms: an orphan with less slack than this is finished instead of adopted.
-        clock_drift: largest relative difference in speed between two gateways' clocks.
-        max_owners: how many gateways may have owned a request, the first one included.
-        max_adopted: largest number of adopted requests in flight.
-        adoptions_per_s: largest rate of adoptions.
-        response_retention_ms: how long a finished record is kept for clients that repeat the request.
-        response_cache_bytes: total size of the response bodies that this gateway keeps; the oldest go first.
+        clock_drift: the maximum relative difference in speed between the clocks of two gateways.
+        max_owners: the maximum number of gateways that may own a request in turn, including the first.
+        max_adopted: the maximum number of adopted requests in flight.
+        adoptions_per_s: the maximum rate of adoptions.
+        response_retention_ms: how long the records of a finished request are kept for clients that repeat it.
+        response_cache_bytes: the maximum total size of the response bodies that this gateway keeps; the
+            oldest bodies are removed first.
         shutdown_release_ms: how long before SIGKILL the requests still in flight are released to other
             gateways.
     """
--- a/meadowpulley/takeover/settings_reader.py
+++ b/meadowpulley/takeover/settings_reader.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _NumberSetting:
-    field: str  # of `TakeoverSettings`
+    field: str  # name of the attribute of `TakeoverSettings`
     minimum: float
     is_integer: bool = False
 
@@ -34,10 +34,10 @@
 
 
 def read_settings(environ: Mapping[str, str]) -> TakeoverSettings | None:
-    """Read the settings; None where takeover is off.
+    """Read the settings; return None if takeover is off.
 
     Raises:
-        LedgerUnusableError: a setting can't be read; one line says which, what is wrong, and what to do.
+        LedgerUnusableError: a setting is invalid; the message names setting, problem and remedy.
     """
     scope = environ.get(SCOPE_VARIABLE, "")
     if not scope:
@@ -61,7 +61,7 @@
     try:
         value = float(text)
     except ValueError:
-        value = math.nan  # as a text that reads NaN, it is in no range
+        value = math.nan  # fails the range check below, as does the text "nan"
     if not setting.minimum <= value <= MAX_DURATION_MS:
         raise _unusable(variable, f"'{text}' is no number from {setting.minimum:g}: set it")
     return int(value) if setting.is_integer else value
--- a/meadowpulley/takeover/stage.py
+++ b/meadowpulley/takeover/stage.py
@@ -1,17 +1,17 @@
 """The stage that journals requests in flight and takes over those of lost gateways.
 
-`handle(now, event) -> actions`, wrapped round the next stage; all times are ms on this gateway's own clock.
+The stage wraps the next stage; its interface is `handle(now, event) -> actions`. All times are in ms on this
+gateway's own clock.
 
-Events: those of the policy, with `ClientRequest` in place of `Request`; `ResponseReady` before each good
-response is delivered; `ClientDetached`, `AdoptionResult`, `ShutdownNotice`; of the ledger
+Events: those of the policy, with `ClientRequest` in place of `Request`; `ResponseReady` before each
+successful response is delivered; `ClientDetached`, `AdoptionResult`, `ShutdownNotice`; and from the ledger
 `CommitCompleted`, `LedgerChanged` (under `WATCHED_PREFIXES`), `LeaseExpired`, `Fenced`,
 `LedgerUnavailable`, `LedgerRecovered`. Actions: those of the policy, `Deliver`, `Discard`, `AdoptRequest`,
-and at most one `Commit` for each event. The lease manager stands outside this stage: it fences lost
-incarnations.
+and at most one `Commit` for each event. The lease manager wraps this stage, and fences lost incarnations.
 
-Every `Send`, `Reject` and `Fail` was decided by the policy; for journaled requests `request_journal.py`
-holds it until the ledger has the record that it rests on. The policy never sees a duplicate of a known
-request: it gets the response of the original.
+The policy decides every `Send`, `Reject` and `Fail`; for journaled requests, `request_journal.py` holds the
+action until the ledger contains the record that it depends on. The policy never sees a duplicate of a known
+request: the duplicate gets the response to the original.
 """
 
 from __future__ import annotations
@@ -64,15 +64,15 @@
 from meadowpulley.takeover.settings import TakeoverSettings
 from meadowpulley.takeover.transaction_builder import TransactionBuilder, TransactionIntent, TransactionKind
 
-TIMER_TOLERANCE_MS = 1.0  # clocks may run a timer early by this
+TIMER_TOLERANCE_MS = 1.0  # timers may fire early by up to this many ms
 
 EventT = TypeVar("EventT")
 
 
 class TakeoverStage:
-    """Journals, deduplicates, adopts and releases requests round the next stage.
+    """Journals, deduplicates, adopts and releases requests in front of the next stage.
 
-    `holds_lease(now)` tells whether the lease of this incarnation holds; it is asked at the last moment
+    `holds_lease(now)` returns whether the lease of this incarnation is still valid; it is called immediately
     before anything is sent.
     """
 
@@ -84,7 +84,7 @@
         holds_lease: Callable[[float], bool],
         settings: TakeoverSettings | None = None,
     ) -> None:
-        """Stand before `inner`, the next stage, at the gateway whose incarnation is given."""
+        """Wrap `inner`, the next stage, at the gateway with this incarnation."""
         self.settings = settings if settings is not None else TakeoverSettings()
         self.builder = TransactionBuilder()
         self.view = LedgerView()
@@ -96,7 +96,7 @@
         self.intake = RequestIntake(context, self.journal, self.entries)
         self.orphans = OrphanClaims(context, self.view, self.response_cache)
         self.shutting_down = False
-        self.release_at_ms = math.inf  # when the requests still in flight are released, in a shutdown
+        self.release_at_ms = math.inf  # time of a shutdown at which requests still in flight are released
         self.timer_at_ms = math.inf
         self.last_ticket = 0
         self.intents_by_ticket: dict[int, list[TransactionIntent]] = {}
@@ -122,13 +122,13 @@
         self._register(LedgerRecovered, self._on_ledger_recovered)
 
     def _register(self, event_type: type[EventT], handler: Callable[[EventT], None]) -> None:
-        # The cast holds because `handle` looks each handler up by the type of its event.
+        # The cast is safe because `handle` selects each handler by the type of the event.
         self.handlers[event_type] = cast(Callable[[object], None], handler)
 
     def handle(self, now: float, event: object) -> list[object]:
         """Handle one event; return the actions to carry out, in order.
 
-        Events that this stage has no handler for, and actions that it does not know, pass through.
+        Events without a handler and unknown actions of inner stages are forwarded unchanged.
         """
         self.builder.begin(now)
         handler = self.handlers.get(type(event), self.journal.forward)
@@ -141,22 +141,22 @@
         return self.builder.actions
 
     def _claim_due(self) -> None:
-        if self.shutting_down:  # claims with an unknown outcome are still its own; the rest is left to others
+        if self.shutting_down:  # only retry own claims with an unknown outcome; leave other orphans
             self.orphans.drop_unclaimed()
         adopted_count = self.journal.table.adopted_count()
         self.orphans.claim_due(self.builder, adopted_count, self.journal.latencies)
 
     def _commit(self) -> None:
-        """Ask for one commit of the transactions that the event has led to."""
+        """Request one commit for all transactions that this event has produced."""
         self.last_ticket += 1
         self.intents_by_ticket[self.last_ticket] = self.builder.intents
         transactions = tuple(self.builder.transactions)
         self.builder.actions.append(Commit(self.last_ticket, transactions, COMMIT_OWNER))
 
-    # Queries of the adapter and of inner stages
+    # Queries from the adapter and from inner stages
 
     def is_known(self, request_id: str) -> bool:
-        """Return whether this id is in flight here, or waits here for a request in flight elsewhere."""
+        """Return whether a request with this id is in flight, or a duplicate of it waits, at this gateway."""
         return request_id in self.journal.table.by_id or request_id in self.waiters.by_id
 
     def is_journaled_class(self, class_index: int, body_bytes: int) -> bool:
@@ -164,19 +164,19 @@
         return self.intake.is_journaled_class(class_index, body_bytes)
 
     def is_journaled(self, request: int) -> bool:
-        """Return whether a request is or was journaled: then its response passes through this stage."""
+        """Return whether the response to this request has to pass through this stage."""
         return request in self.journal.table.by_request
 
     def continues_without_client(self, request: int) -> bool:
-        """Return whether a request goes on without its client."""
+        """Return whether a request continues after its client disconnects."""
         entry = self.journal.table.by_request.get(request)
         return entry is not None and not entry.relinquished
 
     def origin_of(self, request: int) -> tuple[Origin, float] | None:
-        """Return the origin of a journaled request, and a lower bound of when it was received there.
+        """Return the origin of a journaled request, and the earliest time it can have been received there.
 
-        The time is on this gateway's clock. None for a request that is not journaled. Inner stages may ask
-        from when they get the request until its end.
+        The time is on this gateway's clock. Return None if the request is not journaled. Inner stages may
+        call this from the time they receive the request until its end.
         """
         entry = self.journal.table.by_request.get(request)
         if entry is None:
@@ -187,8 +187,8 @@
         """Return whether a request that inner stages see as disconnected continues at another gateway.
 
         Returns:
-            False where its id was known, and it was never executed for itself; None where it ended with its
-            client.
+            False if its id was already known, so that the request itself was never executed; None if it ended
+            because its client disconnected.
         """
         entry = self.journal.table.by_request.get(request)
         if entry is None or not (entry.relinquished or entry.releasing):
@@ -200,7 +200,7 @@
     def _on_client_detached(self, event: ClientDetached) -> None:
         entry = self.journal.table.by_request.get(event.request)
         if entry is not None and not entry.relinquished:
-            entry.has_client = False  # the request goes on to its end, and its response is kept
+            entry.has_client = False  # the request still completes, and its response is kept
         elif self.waiters.remove(event.request):
             self.builder.actions.append(Discard(event.request))
         elif entry is None:
@@ -208,7 +208,7 @@
             self.journal.forward(ClientDisconnected(event.request))
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Finish a request that the adapter has answered as failed, past its deadline."""
+        """Finish a request that the adapter has already answered as failed after its deadline."""
         entry = self.journal.table.by_request.get(event.request)
         if self.waiters.remove(event.request):
             return
@@ -216,7 +216,7 @@
         if entry is not None and not entry.relinquished:
             self.journal.on_answered_as_failed(entry)
 
-    # The ledger
+    # Ledger events
 
     def _on_committed(self, event: CommitCompleted) -> None:
         if event.owner != COMMIT_OWNER:
@@ -301,7 +301,7 @@
             if not entry.outstanding_attempts and not entry.pending_sends:
                 self.journal.release(entry)
 
-    # Time
+    # Timers
 
     def _on_timer(self, event: Timer) -> None:
         if event.token != TIMER_TOKEN:
@@ -320,7 +320,7 @@
             self.response_cache.on_timer(self.builder)
 
     def _set_timer(self) -> None:
-        """Ask for a timer unless one runs out by the time at which something is due."""
+        """Set a timer for the next due time, unless a timer already fires by then."""
         now = self.builder.now
         due_times_ms = [self.waiters.due_at_ms(), self.release_at_ms, self.journal.wakeups.next_at_ms()]
         if self.journal.ledger_usable:
--- a/meadowpulley/takeover/transaction_builder.py
+++ b/meadowpulley/takeover/transaction_builder.py
@@ -1,4 +1,4 @@
-"""Collects the actions and transactions that the takeover stage asks for while it handles one event."""
+"""Collects the actions and transactions that the takeover stage produces while it handles one event."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class TransactionKind(Enum):
-    """What a transaction is for."""
+    """The purpose of a transaction."""
 
-    WRITE_RECORD = "write record"  # of a journaled request
-    READ_RESPONSE = "read response"  # for duplicates that wait for it
-    CLAIM = "claim"  # of an orphan
-    READ_CONTENT = "read content"  # of a claimed orphan
-    REMOVE = "remove"  # of records that were kept long enough
-    READ_INHERITED = "read inherited"  # versions of what belongs to a record that an ended incarnation left
+    WRITE_RECORD = "write record"  # update the record of a journaled request
+    READ_RESPONSE = "read response"  # read a response for waiting duplicates
+    CLAIM = "claim"  # become the owner of an orphan
+    READ_CONTENT = "read content"  # read the content of a claimed orphan
+    REMOVE = "remove"  # remove expired records, or a body that no longer fits in the cache
+    READ_INHERITED = "read inherited"  # read the versions of records left by an ended incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class TransactionIntent:
     """Identifies a transaction when its result comes back.
 
-    `subject` is the client's id of the request, or for READ_INHERITED the key that is read. `request` is the
-    handle of the request for WRITE_RECORD.
+    `subject` is the id of the request, or the key to read for READ_INHERITED. `request` is the handle of the
+    request for WRITE_RECORD, and otherwise unused.
     """
 
     kind: TransactionKind
@@ -34,10 +34,10 @@
 
 @dataclass(slots=True)
 class TransactionBuilder:
-    """The output of the stage for one event, which `begin` starts anew.
+    """Holds the output of the stage for one event; `begin` clears it for the next event.
 
-    `now` is the time of the event, in ms on the gateway's own clock. The actions are those of all stages
-    further in, too, so their types are open.
+    `now` is the time of the event, in ms on the gateway's own clock. The actions include those of all inner
+    stages, so their types are not restricted.
     """
 
     now: float = 0.0
@@ -47,14 +47,14 @@
     last_sequence: int = 0
 
     def begin(self, now: float) -> None:
-        """Start the output for the next event."""
+        """Clear the output, and set the time of the next event."""
         self.now = now
         self.actions = []
         self.transactions = []
         self.intents = []
 
     def next_sequence(self) -> int:
-        """Return a new sequence number for a request; a writer recognizes its own records by it."""
+        """Return a new sequence number; an incarnation recognizes its own records by these numbers."""
         self.last_sequence += 1
         return self.last_sequence
 
