--- a/tests/takeover_fleet.py
+++ b/tests/takeover_fleet.py
@@ -1,6 +1,7 @@
-"""A small fleet for tests of takeover: stages over a scripted policy, one ledger in memory, virtual time.
+"""A small fleet for takeover tests: stages with a scripted policy, one in-memory ledger and virtual time.
 
-Every gateway has its own clock. Instances respond after `execution_ms`, and count executions by request.
+Every gateway has its own clock. The simulated instance responds after `execution_ms`, and executions are
+counted per request.
 """
 
 from __future__ import annotations
@@ -76,25 +77,25 @@
 
 LEASE_TERM_MS = 1000.0
 POLL_INTERVAL_MS = 20.0
-COMMIT_MS = 1.0  # from a commit to the store, and from there back
-SLOW_COMMIT_MS = 400.0
-SETTLING_MS = 300.0  # in which the gateways of a new fleet learn of each other
-CLOCK_OFFSET_MS = 1e5  # between the clocks of one gateway and the next
+COMMIT_MS = 1.0  # delay from a gateway to the store, and again from the store back
+SLOW_COMMIT_MS = 400.0  # delay to the store while the ledger is slow
+SETTLING_MS = 300.0  # time for the gateways of a new fleet to discover each other
+CLOCK_OFFSET_MS = 1e5  # difference between the clocks of consecutive gateways
 STATUS_OK = 200
 SERVER = ServerEntry(1, cell=0, zone=0, state=ServerState.READY, build=7, started_ms=0, kind=0, weight=1.0)
 
 
 class LedgerFault(Enum):
-    """What is wrong with the ledger of one gateway."""
+    """A fault of the ledger as one gateway experiences it."""
 
     NONE = "none"
-    UNREACHABLE = "unreachable"  # nothing is committed, and the outcome is unknown
-    UNCONFIRMED = "unconfirmed"  # commits of takeover are carried out, and the outcome is unknown
-    SLOW = "slow"  # commits are carried out `SLOW_COMMIT_MS` late
+    UNREACHABLE = "unreachable"  # nothing is committed, and the gateway gets an unknown outcome
+    UNCONFIRMED = "unconfirmed"  # commits are carried out, but takeover gets an unknown outcome
+    SLOW = "slow"  # commits are delayed by `SLOW_COMMIT_MS`
 
 
 class Gateway:
-    """One gateway: the takeover stage and the lease manager round a `ScriptedPolicy`."""
+    """One gateway: a lease manager and a takeover stage in front of a `ScriptedPolicy`."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet = fleet
@@ -113,9 +114,9 @@
         self.last_request = 0
         self.deferred_calls: list[Callable[[], None]] = []
         self.watched_incarnations: tuple[str, ...] | None = ()
-        self.requests_by_handle: dict[int, tuple[str, int, float]] = {}  # client's id, class, deadline
+        self.requests_by_handle: dict[int, tuple[str, int, float]] = {}  # request id, class, deadline
         self.attempt_counts: Counter[int] = Counter()
-        self.responses: dict[str, list[str]] = {}  # of its clients, by id
+        self.responses: dict[str, list[str]] = {}  # to clients of this gateway, by request id
         self.log_lines: list[str] = []
         self.adopted: set[int] = set()
         self.finished: set[int] = set()
@@ -171,7 +172,7 @@
                 self.call_later(action.delay_ms, lambda: self.dispatch(Timer(action.token)))
             case WatchRequest():
                 self.watched_incarnations = action.names
-            case Commit():  # with a fault that has passed, a later commit may be carried out before
+            case Commit():  # once a fault ends, a later commit may overtake a slow one
                 delay_ms = SLOW_COMMIT_MS if self.ledger_fault is LedgerFault.SLOW else COMMIT_MS
                 self.fleet.call_at(self.fleet.now + delay_ms, lambda: self.commit(action))
             case Send():
@@ -210,7 +211,7 @@
             response = f"{action.status} {action.body.decode()}"
         if action.request not in self.adopted:
             self.responses.setdefault(request_id, []).append(response)
-        assert action.request not in self.finished, "answered twice"
+        assert action.request not in self.finished, "each request is answered once"
         self.finished.add(action.request)
 
     def commit(self, action: Commit) -> None:
@@ -232,7 +233,7 @@
         remaining_ms: float = 4000.0,
         repeat: bool = False,
     ) -> int:
-        """Send a request of a client; return its handle."""
+        """Submit a client request; return its handle."""
         self.last_request += 1
         request = Request(self.last_request, class_index, 0, 5, self.now + remaining_ms, client_retry=repeat)
         self.requests_by_handle[self.last_request] = (request_id, class_index, self.now + remaining_ms)
@@ -241,7 +242,7 @@
 
 
 class Fleet:
-    """Gateways on one ledger. `settings`: those of takeover that differ from the default."""
+    """Gateways that share one ledger; `settings` override the default takeover settings."""
 
     def __init__(self, names: str = "abc", **settings: Any) -> None:
         self.now = 0.0
@@ -249,16 +250,16 @@
         self.scheduled: list[tuple[float, int, Callable[[], None]]] = []
         self.store = MemoryStore()
         self.settings = replace(TakeoverSettings(journal_scope=JournalScope.ALL), **settings)
-        self.executions: Counter[str] = Counter()  # of each request
-        self.sent_at_ms: dict[str, list[float]] = {}  # when the attempts of each request were sent
+        self.executions: Counter[str] = Counter()  # number of executions by request id
+        self.sent_at_ms: dict[str, list[float]] = {}  # send times of attempts, by request id
         self.cancelled: list[tuple[str, int]] = []
         self.transaction_counts: Counter[str] = Counter()
         # Called for each committed transaction.
         self.on_commit: Callable[[Gateway, Transaction], None] = lambda _gateway, _transaction: None
-        self.lost_replacements = 0  # records that had changed when they were to be replaced
+        self.lost_replacements = 0  # replacements that conflicted with a newer record
         self.adopted: list[tuple[str, str]] = []
         self.execution_ms = 30.0
-        self.results = [Result.OK]  # of the attempts in turn; the last one is repeated
+        self.results = [Result.OK]  # results of successive attempts; the last one is repeated
         self.gateways: dict[str, Gateway] = {}
         for name in names:
             self.gateways[name] = Gateway(self, name)
@@ -280,7 +281,7 @@
         return self
 
     def commit(self, gateway: Gateway, action: Commit) -> list[TransactionResult]:
-        """Commit the transactions of a gateway, and count them."""
+        """Commit the transactions of a gateway; count them by owner, and count conflicting replacements."""
         results = self.store.commit(gateway.incarnation, action.transactions)
         self.transaction_counts[action.owner] += len(action.transactions)
         for transaction, result in zip(action.transactions, results, strict=True):
@@ -300,7 +301,7 @@
     def execute(
         self, gateway: Gateway, request: int, attempt: int, request_id: str, class_index: int
     ) -> None:
-        """Execute an attempt at the instance; the gateway gets its outcome if it still runs."""
+        """Execute an attempt at the instance; the gateway gets the outcome if it is still running."""
         result = self.results.pop(0) if len(self.results) > 1 else self.results[0]
         self.executions[request_id] += result not in NOT_EXECUTED_RESULTS
         body = f"run {self.executions[request_id]}".encode()
@@ -314,15 +315,15 @@
         gateway.call_later(self.execution_ms, finish)
 
     def responses(self, request_id: str) -> list[str]:
-        """Return what the clients of this id got, at all gateways."""
+        """Return the responses to all requests with this id, from all gateways."""
         found: list[str] = []
         for gateway in self.gateways.values():
             found += gateway.responses.get(request_id, [])
         return found
 
     def adopted_requests(self) -> list[Request]:
-        """Return the adopted requests that policies have received, by gateway."""
-        received = chain.from_iterable(g.decisions.received for g in self.gateways.values())
+        """Return the adopted requests that the policies have received, in the order of the gateways."""
+        received = chain.from_iterable(gateway.decisions.received for gateway in self.gateways.values())
         return [request for request in received if request.adopted]
 
     def record_keys(self, prefix: str = "takeover/") -> list[str]:
@@ -332,9 +333,9 @@
 def interrupt_at(
     fleet: Fleet, action_type: type, skip: int, interrupt: Callable[[], None], name: str = "a"
 ) -> None:
-    """Call `interrupt` right before an action of this type, once `skip` of them have passed.
+    """Call `interrupt` immediately before an action of this type, after skipping `skip` such actions.
 
-    Of commits only those of takeover count.
+    Only commits that takeover owns are counted.
     """
     remaining = [skip]
 
--- a/tests/takeover_policy.py
+++ b/tests/takeover_policy.py
@@ -1,4 +1,4 @@
-"""The policy of tests of takeover, and the settings of its gateways."""
+"""A scripted policy for takeover tests, and the settings of the gateways in these tests."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class ScriptedPolicy:
-    """Sends each request to server 1, and again where prior attempts allow it, three times at most."""
+    """Sends each request to server 1; retries if earlier attempts allow it, up to three attempts in all."""
 
     def __init__(self) -> None:
         self.in_flight: dict[int, Request] = {}
@@ -75,7 +75,7 @@
         self.in_flight[request.request] = request
         self.received.append(request)
         self.attempt_counts[request.request] = request.prior_attempt_count
-        # Attempts of earlier owners have negative numbers.
+        # The attempts of earlier owners are given negative numbers here.
         self.possible_executions[request.request] = {
             -1 - index: prior.sent_ms for index, prior in enumerate(request.prior_attempts)
         }
@@ -101,15 +101,15 @@
     def _next(self, request: Request) -> list[Any]:
         possible = self.possible_executions[request.request]
         attempt_count = self.attempt_counts[request.request]
-        if self._is_barred(request) or attempt_count >= MAX_ATTEMPTS:
+        if self._is_retry_forbidden(request) or attempt_count >= MAX_ATTEMPTS:
             del self.in_flight[request.request]
             return [Fail(request.request) if possible else Reject(request.request, 100.0)]
-        # Each owner numbers its own attempts from 0.
+        # Each owner numbers its own attempts starting from 0.
         possible[attempt_count - request.prior_attempt_count] = self.now
         self.attempt_counts[request.request] += 1
         return [Send(request.request, 1)]
 
-    def _is_barred(self, request: Request) -> bool:
+    def _is_retry_forbidden(self, request: Request) -> bool:
         """Return whether an attempt that may have been executed forbids another one."""
         request_class = CLASSES[request.class_index]
         sent_times = self.possible_executions[request.request].values()
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Journaled requests when their gateway is lost: what is executed, who adopts it, what clients get."""
+"""Journaled requests whose gateway is lost: executions, adoptions and the responses that clients get."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 def test_request_grant_and_response_are_journaled_before_each_is_sent() -> None:
     fleet = Fleet()
-    found: dict[type, tuple[list[str], int]] = {}  # by type of action: the records and executions before it
+    found: dict[type, tuple[list[str], int]] = {}  # record keys and executions before each type of action
 
     def before_action(action: object) -> None:
         found[type(action)] = (fleet.record_keys(), fleet.executions.total())
@@ -30,18 +30,18 @@
     fleet.advance(100)
     assert found[Send] == (["takeover/content/n", "takeover/work/n"], 0)
     assert found[Deliver] == (["takeover/answer/n", "takeover/work/n"], 1)
-    assert fleet.transaction_counts["takeover"] == 2  # one with the grant, one with the response
+    assert fleet.transaction_counts["takeover"] == 2  # one transaction with the grant, one with the response
 
 
-# When a duplicate comes, at which gateway, with which body; what both clients get.
+# Delay in ms until a duplicate is sent, its gateway and its body; the responses to both clients.
 DUPLICATE_CASES: dict[str, tuple[float, str, bytes, list[str]]] = {
     "in flight here": (10, "a", b"b", SERVED_ONCE * 2),
     "in flight elsewhere": (10, "b", b"b", SERVED_ONCE * 2),
     "served here": (100, "a", b"b", SERVED_ONCE * 2),
     "served elsewhere": (100, "c", b"b", SERVED_ONCE * 2),
-    "another body, in flight elsewhere": (10, "b", b"x", ["200 run 1", "Fail"]),
-    "another body, in flight here": (10, "a", b"x", ["200 run 1", "Fail"]),
-    "another body, served": (100, "b", b"x", ["200 run 1", "Fail"]),
+    "different body, in flight elsewhere": (10, "b", b"x", ["200 run 1", "Fail"]),
+    "different body, in flight here": (10, "a", b"x", ["200 run 1", "Fail"]),
+    "different body, served": (100, "b", b"x", ["200 run 1", "Fail"]),
 }
 
 
@@ -98,22 +98,23 @@
     assert fleet.executions["n"] == 1
 
 
-# Class; results of the first attempts; where a crashes: before its n-th action of a type, with its attempt
-# outstanding, or with no server chosen; what clients get that repeat the request at b and c; the number of
-# executions; and for each adoption the attempts so far, and how many of them may have been executed.
+# Request class; results of the first attempts; point at which gateway a crashes (before an action of a type,
+# counted from 0, while its attempt is outstanding, or before a server was chosen); response to the clients
+# that repeat the request at b and c; number of executions; and for each adoption, the number of earlier
+# attempts and how many of them may have been executed.
 OK = Result.OK
 REJECTED = Result.REJECTED
 LOSS_CASES: dict[str, tuple[int, list[Result], tuple[type, int] | str, str, int, list[tuple[int, int]]]] = {
     "not idempotent, no grant": (PAY, [OK], "no server", "200 run 1", 1, [(0, 0)]),
     "not idempotent, granted, not sent": (PAY, [OK], (Send, 0), "Fail", 0, []),
     "not idempotent, sent": (PAY, [OK], "outstanding", "Fail", 1, []),
-    "not idempotent, one not executed, the next granted": (PAY, [REJECTED, OK], (Send, 1), "Fail", 0, []),
+    "not idempotent, one not executed, second granted": (PAY, [REJECTED, OK], (Send, 1), "Fail", 0, []),
     "not idempotent, response not recorded": (PAY, [OK], (Commit, 1), "Fail", 1, []),
     "not idempotent, response recorded, not delivered": (PAY, [OK], (Deliver, 0), "200 run 1", 1, []),
     "idempotent, granted, not sent": (READ, [OK], (Send, 0), "200 run 1", 1, [(1, 1)]),
     "idempotent, sent": (READ, [OK], "outstanding", "200 run 2", 2, [(1, 1)]),
-    "with key, sent, in its window": (ORDER, [OK], "outstanding", "200 run 2", 2, [(1, 1)]),
-    "with key, one not executed, the next sent": (
+    "with key, sent, inside its deduplication window": (ORDER, [OK], "outstanding", "200 run 2", 2, [(1, 1)]),
+    "with key, first attempt not executed, second sent": (
         ORDER,
         [REJECTED, OK],
         "outstanding",
@@ -121,7 +122,7 @@
         2,
         [(2, 1)],
     ),
-    "idempotent, one reset, the next sent": (
+    "idempotent, first attempt reset, second sent": (
         READ,
         [Result.RESET, OK],
         "outstanding",
@@ -146,9 +147,9 @@
     executions: int,
     prior_attempts: list[tuple[int, int]],
 ) -> None:
-    """Gateway a is killed at one point of a request's way; its client repeats the request at b and c.
+    """Gateway a is killed at some step of processing a request; clients repeat the request at b and c.
 
-    Whether another gateway may execute it again follows from its class and from the grants in its record.
+    Whether another gateway may execute the request again depends on its class and its recorded grants.
     """
     fleet = Fleet()
     fleet.results = list(results)
@@ -175,15 +176,15 @@
         assert all(prior.server == 1 for prior in request.prior_attempts)
 
 
-def test_an_idempotent_request_is_not_repeated_outside_its_window() -> None:
-    """The owner is killed so late that its attempt is older than instances keep keys at the adoption.
+def test_a_keyed_request_is_not_repeated_outside_its_deduplication_window() -> None:
+    """The owner is killed late, so at the adoption its attempt is older than the deduplication window.
 
-    Another attempt could be executed a second time, so the request fails.
+    Instances no longer recognize the key then, and would execute another attempt. So the request fails.
     """
     fleet = Fleet(claim_stagger_ms=100.0)
     fleet["a"].submit("n", ORDER, remaining_ms=8000.0)
     fleet.execution_ms = 9000.0
-    fleet.advance(2600)  # the adoption comes a lease term later or more: over 3500 ms after the first attempt
+    fleet.advance(2600)  # adoption at least one lease term later: over 3500 ms after the first attempt
     fleet.kill("a")
     fleet["b"].submit("n", ORDER, remaining_ms=6000.0)
     fleet.advance(5000)
@@ -194,14 +195,14 @@
 
 @pytest.mark.parametrize("grant_timeout_ms", [100.0, 1e6])
 def test_a_gateway_paused_between_grant_and_send_sends_nothing(grant_timeout_ms: float) -> None:
-    """A gateway is paused after its grant was committed, and resumes when others own the request.
+    """A gateway is paused after its grant was committed, and resumes after another gateway took the request.
 
-    They have failed it, since it may have been executed; so the attempt must not be sent any more.
+    That gateway has failed the request because it may have been executed, so the attempt must not be sent.
     """
     fleet = Fleet(grant_timeout_ms=grant_timeout_ms)
     fleet["a"].submit("n", PAY)
     fleet.advance(0.5)
-    fleet["a"].paused = True  # the grant is committed by then, and a has not seen the result
+    fleet["a"].paused = True  # the grant is committed, but a has not received the result
     fleet["b"].submit("n", PAY)
     fleet.advance(3 * LEASE_TERM_MS)
     assert fleet.responses("n") == ["Fail"]
@@ -214,10 +215,10 @@
 @pytest.mark.parametrize(
     ("class_index", "executions"), [(PAY, 1), (READ, 2)], ids=["not idempotent", "idempotent"]
 )
-def test_only_a_send_already_past_the_last_check_can_go_out_late(class_index: int, executions: int) -> None:
-    """A gateway is paused between its last check of the lease and the first byte of an attempt.
+def test_only_a_send_past_the_last_lease_check_can_be_sent_late(class_index: int, executions: int) -> None:
+    """A gateway is paused between its last lease check and the first byte of an attempt.
 
-    No check can prevent that this attempt is executed when the gateway resumes.
+    No check can prevent this attempt from being executed when the gateway resumes.
     """
     fleet = Fleet()
     interrupt_at(fleet, Send, 0, partial(setattr, fleet["a"], "paused", True))
@@ -226,12 +227,12 @@
     fleet.advance(3 * LEASE_TERM_MS)
     fleet["a"].resume()
     fleet.advance(LEASE_TERM_MS)
-    # At most once by each owner, and by one owner alone if it is not idempotent.
+    # Each owner executes it at most once; if it is not idempotent, only one owner does.
     assert fleet.executions["n"] == executions
 
 
 def test_a_graceful_shutdown_releases_waiting_requests_at_once_and_the_rest_before_the_kill() -> None:
-    """A gateway gets SIGTERM with one request that waits for a server and one that is being executed."""
+    """A gateway is told to stop while one request waits for a server and another is being executed."""
     fleet = Fleet()
     fleet["a"].decisions.has_no_server = True
     fleet["a"].submit("n", PAY)
@@ -267,9 +268,9 @@
 def test_the_record_of_an_oversized_response_is_removed_after_an_unconfirmed_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The ledger does not confirm the write of a response that is recorded without its body.
+    """The response body is too long to be recorded, and the ledger does not confirm the final record.
 
-    The record is found by a repeated write, and must be removed in time like any other.
+    The repeated write finds the record, which must be removed after the retention time like any other.
     """
     monkeypatch.setattr(records, "MAX_BODY_BYTES", len("run 1") - 1)
     fleet = Fleet(response_retention_ms=1000.0)
@@ -286,7 +287,7 @@
 
 
 def test_records_of_an_ended_incarnation_are_removed_by_a_later_one() -> None:
-    """A gateway is killed that has finished requests in the ledger, which only their owner removes."""
+    """A gateway is killed while the ledger holds its finished requests, which only their owner removes."""
     fleet = Fleet(response_retention_ms=1000.0)
     fleet["a"].submit("n", PAY)
     fleet.advance(100)
@@ -313,7 +314,7 @@
 
 
 def test_an_unreadable_record_is_logged_and_left_alone() -> None:
-    """A record is damaged, or of a later version; what its request went through cannot be known."""
+    """A record is damaged or of a later format, so its request may have been executed and must fail."""
     fleet = Fleet()
     fleet.store.commit(fleet["c"].incarnation, [Transaction((Create("takeover/work/n", b"\x81junk"),))])
     fleet.advance(50)
--- a/tests/test_takeover_adoption.py
+++ b/tests/test_takeover_adoption.py
@@ -1,4 +1,4 @@
-"""Which gateway adopts a request, how many at once, and how deadlines and send times are bounded."""
+"""Which gateway adopts a request, limits on adoptions, and bounds on deadlines and send times."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.takeover_fleet import PAY, READ, Fleet, Gateway, LedgerFault
 
 
-def test_each_orphan_is_claimed_by_the_first_in_its_ranking() -> None:
-    """A gateway is killed with many requests, and the survivors share them without a message."""
+def test_each_orphan_is_claimed_by_the_first_gateway_in_its_ranking() -> None:
+    """A gateway is killed with many requests; the survivors divide them up without communicating."""
     fleet = Fleet("abcd")
     fleet["a"].decisions.has_no_server = True
     for n in range(30):
@@ -27,7 +27,7 @@
 
 
 def test_a_crashed_adopter_is_replaced_until_the_owner_limit() -> None:
-    """Each gateway that adopts a request is killed; a request that kills gateways must not kill them all."""
+    """Each adopter of a request is killed; a request that crashes gateways must not crash all of them."""
     fleet = Fleet("abcd")
     fleet.execution_ms = 1e6
     fleet["a"].submit("n", READ, remaining_ms=60_000.0)
@@ -38,7 +38,7 @@
         while len(fleet.adopted) == adopted_before:
             fleet.advance(10)
         fleet.kill(fleet.adopted[-1][0])
-    survivor = next(g for g in fleet.gateways.values() if g.running)
+    survivor = next(gateway for gateway in fleet.gateways.values() if gateway.running)
     survivor.submit("n", READ, remaining_ms=60_000.0)
     fleet.advance(4000)
     assert len(fleet.adopted) == 2
@@ -47,7 +47,7 @@
 
 
 def crash_with_waiting_requests(fleet: Fleet, count: int) -> None:
-    """Kill gateway a with so many requests that wait for a server."""
+    """Kill gateway a while `count` of its requests wait for a server."""
     fleet["a"].decisions.has_no_server = True
     for n in range(count):
         fleet["a"].submit(f"n{n}", PAY)
@@ -56,7 +56,7 @@
 
 
 def test_gateways_started_after_a_crash_delay_no_adoption() -> None:
-    """New gateways start after a crash; they do not know the age of the records, and rank last."""
+    """Gateways that start after a crash do not know the age of the records, so they must rank last."""
     fleet = Fleet("abc", claim_stagger_ms=1000.0)
     crash_with_waiting_requests(fleet, 30)
     for name in "defg":
@@ -66,8 +66,8 @@
     assert {gateway for gateway, _ in fleet.adopted} == {"b", "c"}
 
 
-def test_the_next_in_the_ranking_does_not_wait_for_a_crashed_one() -> None:
-    """A second gateway is killed that was to claim some of the first one's requests."""
+def test_the_next_gateway_in_the_ranking_does_not_wait_for_a_crashed_one() -> None:
+    """After the first gateway, another is killed that ranked first for some of the orphans."""
     fleet = Fleet("abcd", claim_stagger_ms=5000.0)
     crash_with_waiting_requests(fleet, 30)
     fleet.advance(250)
@@ -77,10 +77,11 @@
     assert {gateway for gateway, _ in fleet.adopted} == {"c", "d"}
 
 
-def test_prior_attempts_are_dated_at_most_a_little_before_they_were_sent() -> None:
-    """Two owners of a request are killed in turn, and clocks are never compared.
+def test_prior_attempts_are_dated_at_most_60_ms_before_they_were_sent() -> None:
+    """Two owners of a request are killed in turn; gateways never compare their clocks.
 
-    A send time that is too late would let a keyed request be executed again outside its window.
+    If a send time were dated too late, a keyed request could be repeated outside its deduplication
+    window and be executed again.
     """
     fleet = Fleet("abcd")
     fleet.results = [Result.RESET, Result.OK]
@@ -103,7 +104,7 @@
 
 
 def test_a_cancelled_attempt_is_the_one_that_was_sent() -> None:
-    """The first attempt gets no grant in time and is never sent, so the policy's numbers are one ahead."""
+    """The first attempt is not granted and never sent, so policy numbers exceed adapter numbers by one."""
     fleet = Fleet(grant_timeout_ms=300.0)
     fleet["a"].ledger_fault = LedgerFault.SLOW
     fleet.execution_ms = 2000.0
@@ -116,8 +117,8 @@
     assert fleet.cancelled == [("n", 0)]
 
 
-def test_adoptions_stay_in_budget_and_the_rest_end_in_time() -> None:
-    """A gateway is killed with more requests than the only survivor may adopt."""
+def test_adoptions_stay_in_budget_and_other_orphans_are_finished_in_time() -> None:
+    """A gateway is killed with more requests than the only surviving gateway may adopt."""
     fleet = Fleet("ab", max_adopted=3, adoptions_per_s=10.0)
     fleet["a"].decisions.has_no_server = True
     deadlines_ms = {}
@@ -143,7 +144,7 @@
     assert stage.view.open_requests == {}
     assert max(fleet.executions.values()) == 1
     assert 10 <= len(adoptions) < 25
-    for adopted_at_ms, request_id in adoptions[5:]:  # once it knows how long one takes
+    for adopted_at_ms, request_id in adoptions[5:]:  # the adopter knows the typical duration by then
         assert adopted_at_ms < deadlines_ms[request_id] - 400.0
     adoptions_by_second = Counter(int(adopted_at_ms // 1000) for adopted_at_ms, _ in adoptions)
     assert max(adoptions_by_second.values()) <= 12
@@ -151,9 +152,9 @@
 
 @pytest.mark.parametrize("ledger_fault", [LedgerFault.NONE, LedgerFault.SLOW], ids=lambda fault: fault.value)
 def test_the_adopters_deadline_is_never_later_than_the_clients(ledger_fault: LedgerFault) -> None:
-    """The record says how much time is left as of its making, which the adopter did not see.
+    """The record holds the remaining time at its creation, and the adopter does not know when that was.
 
-    An adopter that took the deadline for later would execute what its client has given up.
+    With too late a deadline, the adopter would execute a request that its client has given up on.
     """
     fleet = Fleet()
     fleet["a"].decisions.has_no_server = True
--- a/tests/test_takeover_extension.py
+++ b/tests/test_takeover_extension.py
@@ -1,4 +1,4 @@
-"""The takeover extension at a gateway, on scripted connections and a ledger in memory."""
+"""The takeover extension of a gateway, with scripted connections and an in-memory ledger."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from meadowpulley.takeover.extension import TakeoverExtension
 from meadowpulley.takeover.messages import ShutdownNotice
 from meadowpulley.takeover.settings_reader import read_settings
-from tests.test_net_extension import GatewayBench as HookBench
+from tests.test_net_extension import GatewayBench as ExtensionBench
 
 
-class TakeoverBench(HookBench):
-    """A gateway whose ledger commits at once; while `deferred_commits` is a list, commits wait there."""
+class TakeoverBench(ExtensionBench):
+    """A gateway whose ledger commits immediately, or defers commits to the list `deferred_commits`."""
 
     deferred_commits: list[Commit] | None
 
@@ -57,7 +57,7 @@
         return int(self.instance.received_by_peer.count(b"HTTP/1.1\r\n"))
 
     def commit_deferred(self) -> None:
-        """Carry out the one commit that waits, and each later one at once."""
+        """Carry out the single deferred commit, and commit immediately from then on."""
         assert self.deferred_commits is not None
         (commit,) = self.deferred_commits
         self.deferred_commits = None
@@ -84,7 +84,7 @@
     bench.deferred_commits = []
     client = bench.request("r1")
     assert bench.sent_requests() == 1
-    assert b" 409 " in bench.request("r1").received_by_peer  # nobody could join it: that one goes on
+    assert b" 409 " in bench.request("r1").received_by_peer  # no response to share; the original continues
     bench.respond()
     assert b" 200 " in client.received_by_peer
     assert not bench.deferred_commits
@@ -115,7 +115,7 @@
 
 
 def test_a_response_after_fencing_is_failed() -> None:
-    """A gateway is fenced while it waits for the record of a response: others own the request now."""
+    """A gateway is fenced while it waits for a record of a response, so others may own the request."""
     bench = TakeoverBench()
     client = bench.request("r1")
     bench.deferred_commits = []
@@ -126,9 +126,9 @@
 
 
 def test_a_recorded_response_stands_after_a_pause_beyond_the_hold_time() -> None:
-    """A gateway is paused past its lease, and learns only then that its response was recorded.
+    """A gateway is paused beyond its lease, and learns only after it that its response was recorded.
 
-    Its client gets a failure, which means that the outcome is unknown; duplicates get what is recorded.
+    Its client gets a failure, which means that the outcome is unknown; duplicates get the recorded response.
     """
     bench = TakeoverBench()
     client = bench.request("r1")
@@ -138,7 +138,7 @@
     results = bench.store.commit(bench.incarnation, commit.transactions)
     bench.holds_lease = False
     bench.deferred_commits = None
-    bench.wait(310.0)  # when it resumes, its timers come before the result of the write
+    bench.wait(310.0)  # after the pause, timers fire before the result of the write arrives
     assert b" 502 " in client.received_by_peer
     bench.gateway.dispatch(CommitCompleted(commit.ticket, tuple(results), commit.owner))
     assert b" 200 " in bench.request("r1").received_by_peer
@@ -146,7 +146,7 @@
 
 
 def test_an_adopted_request_is_sent_without_a_client_and_its_response_recorded() -> None:
-    """A gateway crashes with a request whose client has not come back."""
+    """A gateway crashes with a request whose client does not repeat it."""
     bench = TakeoverBench()
     crashed = TakeoverBench()
     crashed.store = bench.store
@@ -155,7 +155,7 @@
     crashed.request("r1", "/look?n=7")
     (record,) = bench.store.scan("takeover/work/")
     bench.store.dead_incarnations.add(Incarnation("b", 1))
-    bench.store.register("b", 2000.0)  # its next life: that one is over
+    bench.store.register("b", 2000.0)  # a new incarnation of b: the previous one has ended
     bench.gateway.dispatch(LedgerChanged(Changes(record.version - 1)))
     bench.gateway.dispatch(LedgerChanged(bench.store.changes(record.version - 1)))
     bench.wait(10.0)
@@ -166,14 +166,14 @@
 
 
 def test_a_graceful_shutdown_waits_for_a_held_response() -> None:
-    """A gateway is told to stop while a response waits for its record."""
+    """A gateway is told to stop while a response waits to be recorded."""
     bench = TakeoverBench()
     bench.gateway.drain()
     bench.wait(DRAIN_ACCEPT_MS - 100.0)
     client = bench.request("r1")
     bench.deferred_commits = []
     bench.respond()
-    bench.wait(100.0)  # from here on its last connection's end is the gateway's
+    bench.wait(100.0)  # from here on, the gateway stops when its last connection closes
     assert client.connected
     assert client.received_by_peer == b""
     assert bench.phase == "draining"
@@ -191,8 +191,8 @@
     assert ShutdownNotice(3000.0) not in bench.recorder.events
 
 
-def test_without_a_slot_an_adopted_request_is_given_back() -> None:
-    """A gateway claims a request of a crashed one while all of its slots are in use."""
+def test_without_a_free_slot_an_adoption_is_refused() -> None:
+    """A gateway claims a request of a crashed gateway while all of its own slots are in use."""
     bench = TakeoverBench()
     requests = bench.gateway.requests
     while not requests.slots.full:
@@ -208,7 +208,7 @@
 SETTINGS_CASES: dict[str, tuple[dict[str, str], TakeoverSettings | None]] = {
     "none given": ({}, None),
     "all classes": ({"MEADOWPULLEY_TAKEOVER": "all"}, TakeoverSettings(JournalScope.ALL)),
-    "no class, and a limit": (
+    "no class and a limit": (
         {"MEADOWPULLEY_TAKEOVER": "none", "MEADOWPULLEY_TAKEOVER_IN_HAND": "4"},
         TakeoverSettings(JournalScope.NONE, max_adopted=4),
     ),
@@ -221,7 +221,7 @@
 
 
 UNUSABLE_SETTINGS_CASES: dict[str, tuple[dict[str, str], str]] = {
-    "no such scope": (
+    "unknown scope": (
         {"MEADOWPULLEY_TAKEOVER": "some"},
         "^MEADOWPULLEY_TAKEOVER: 'some' is none of none, unrepeatable, all: set one of them, or leave it out",
     ),
@@ -229,7 +229,7 @@
         {"MEADOWPULLEY_TAKEOVER": "all", "MEADOWPULLEY_TAKEOVER_PER_S": "0"},
         "^MEADOWPULLEY_TAKEOVER_PER_S: '0' is no number from 1: set it, or leave it out$",
     ),
-    "no number": (
+    "not a number": (
         {"MEADOWPULLEY_TAKEOVER": "all", "MEADOWPULLEY_TAKEOVER_HOLD_MS": "x"},
         "^MEADOWPULLEY_TAKEOVER_HOLD_MS: 'x' is no number from 0: set it, or leave it out$",
     ),
--- a/tests/test_takeover_formats.py
+++ b/tests/test_takeover_formats.py
@@ -1,4 +1,4 @@
-"""Records of the takeover stage keep their stored format: literal bytes of version 0.4.0."""
+"""The stored format of takeover records stays compatible: they match literal bytes from version 0.4.0."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 )
 
 
-def test_a_request_record_of_the_previous_version_reads_and_writes_unchanged() -> None:
+def test_a_request_record_of_version_0_4_0_is_decoded_and_encoded_unchanged() -> None:
     assert decode_request_record(REQUEST_RECORD_BYTES) == REQUEST_RECORD
     assert encode_record(REQUEST_RECORD) == REQUEST_RECORD_BYTES
 
@@ -83,12 +83,12 @@
     assert encode_record(found) == stored
 
 
-def test_a_request_content_of_the_previous_version_reads_and_writes_unchanged() -> None:
+def test_request_content_of_version_0_4_0_is_decoded_and_encoded_unchanged() -> None:
     assert decode_request_content(CONTENT_BYTES) == CONTENT
     assert encode_record(CONTENT) == CONTENT_BYTES
 
 
-def test_a_response_of_the_previous_version_reads_and_writes_unchanged() -> None:
+def test_a_response_of_version_0_4_0_is_decoded_and_encoded_unchanged() -> None:
     assert decode_recorded_response(RESPONSE_BYTES) == RESPONSE
     assert encode_record(RESPONSE) == RESPONSE_BYTES
 
--- a/tests/test_takeover_interleavings.py
+++ b/tests/test_takeover_interleavings.py
@@ -1,4 +1,4 @@
-"""Signals, duplicates and responses that come between two steps of a takeover: each order is forced."""
+"""Shutdowns, duplicates and responses that arrive between two steps of a takeover, in forced orders."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from tests.takeover_fleet import LEASE_TERM_MS, ORDER, PAY, READ, Fleet, LedgerFault, interrupt_at
 
 SERVED_ONCE = "200 run 1"
-CLAIMANT = "c"  # the first in the ranking for the id "n"
+CLAIMANT = "c"  # ranks first for the request id "n"
 
-# Gateway, type of action, and how many of them pass before: the owner's write of the grant, its send, the
-# write of the response and its delivery; the claimant's claim, its slot, and then the same steps.
+# Gateway, type of the interrupted action, and number of earlier actions of that type. For the owner, these
+# are the write of the grant, the send, the write of the response and its delivery; for the claimant, the
+# claim, the request for a slot, and then the same steps as for the owner.
 INTERRUPTION_POINTS = [
     ("a", Commit, 0),
     ("a", Send, 0),
@@ -35,7 +36,7 @@
 def test_an_event_between_two_steps_is_answered_by_the_single_execution(
     gateway: str, step: type, skip: int, event: str
 ) -> None:
-    """A gateway is told to stop, or a duplicate comes, right before one step of a takeover."""
+    """A gateway is told to stop, or a duplicate arrives, immediately before one step of a takeover."""
     fleet = Fleet()
     events: list[str] = []
 
@@ -68,14 +69,15 @@
 def test_an_unconfirmed_claim_is_released_on_shutdown(class_index: int) -> None:
     """A gateway is told to stop while it does not know whether its claim was committed.
 
-    It was: nobody else claims the request until the gateway gives it back.
+    The claim was committed, so no other gateway claims the request until this gateway releases it.
     """
     fleet = Fleet()
 
     def stop() -> None:
         fleet[CLAIMANT].ledger_fault = LedgerFault.UNCONFIRMED
         fleet.call_at(fleet.now + 50.0, partial(setattr, fleet[CLAIMANT], "ledger_fault", LedgerFault.NONE))
-        fleet[CLAIMANT].dispatch(ShutdownNotice(10_000.0))  # it has long requests of its own
+        # The grace time is long, as at a gateway that has long requests of its own.
+        fleet[CLAIMANT].dispatch(ShutdownNotice(10_000.0))
 
     interrupt_at(fleet, Commit, 0, stop, CLAIMANT)
     fleet["a"].decisions.has_no_server = True
@@ -88,10 +90,10 @@
     assert fleet.adopted == [(CLAIMANT, "n"), ("b", "n")]
 
 
-# An attempt is outstanding (one that can't be cancelled, as its response streams) when its gateway releases
-# the request. The ledger's fault; what the own client gets, and one that repeats the request elsewhere: a
-# response that comes then and is held for too long need not be the one with which others have finished the
-# request.
+# Ledger fault, request class, response to the gateway's own client, and response to a client that repeats the
+# request at another gateway. The gateway releases the request while an attempt is outstanding that cannot be
+# cancelled because its response is being streamed. If that response arrives later and is held for too long,
+# other gateways may have finished the request with a different response.
 RELEASED_CASES: dict[str, tuple[LedgerFault, int, str, str]] = {
     "idempotent": (LedgerFault.NONE, READ, "200 run 2", "200 run 2"),
     "not idempotent": (LedgerFault.NONE, PAY, "Fail", "Fail"),
@@ -124,7 +126,7 @@
 
 
 def test_two_simultaneous_claimants_adopt_once() -> None:
-    """All survivors claim each orphan at the same time, and compare-and-set lets one of them win."""
+    """All survivors claim each orphan at the same time; compare-and-set lets exactly one of them succeed."""
     fleet = Fleet("abcd", claim_stagger_ms=0.0)
     fleet["a"].decisions.has_no_server = True
     for n in range(10):
@@ -132,7 +134,7 @@
     fleet.advance(20)
     fleet.kill("a")
     fleet.advance(3 * LEASE_TERM_MS)
-    assert fleet.lost_replacements == 20  # claims of the two later ones
+    assert fleet.lost_replacements == 20  # for each of 10 orphans, the claims of the two later gateways
     assert sorted(name for _, name in fleet.adopted) == sorted(f"n{n}" for n in range(10))
     assert fleet.executions.total() == 10
 
@@ -143,14 +145,14 @@
     ids=["idempotent", "with key", "not idempotent"],
 )
 def test_a_response_after_the_claim_is_not_delivered(class_index: int, other_response: str) -> None:
-    """A gateway resumes with an instance's response when another one has finished the request."""
+    """A gateway resumes and gets an instance's response after another gateway has finished the request."""
     fleet = Fleet()
     fleet["a"].submit("n", class_index)
-    fleet.advance(10)  # its attempt is outstanding
+    fleet.advance(10)  # the attempt of a is outstanding
     fleet.pause("a", 2 * LEASE_TERM_MS)
     fleet["b"].submit("n", class_index)
     fleet.advance(2 * LEASE_TERM_MS - 50)
-    assert fleet.responses("n") == [other_response]  # claimed and finished
-    fleet.advance(LEASE_TERM_MS)  # a has the response, and resumes
+    assert fleet.responses("n") == [other_response]  # b or c has claimed and finished the request
+    fleet.advance(LEASE_TERM_MS)  # a resumes and receives the response
     assert fleet["a"].responses["n"] == ["Fail"]
     assert fleet["b"].responses["n"] == [other_response]
--- a/tests/test_takeover_ledger_faults.py
+++ b/tests/test_takeover_ledger_faults.py
@@ -1,4 +1,4 @@
-"""Journaled requests while the ledger is in trouble, and requests that were served without it."""
+"""Journaled requests during ledger faults, and requests that were served without the ledger."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     ids=lambda fault: fault.value,
 )
 def test_without_a_grant_in_time_nothing_is_sent(ledger_fault: LedgerFault) -> None:
-    """The ledger of a gateway is in trouble before a request comes, so no grant is known to be committed."""
+    """The ledger of a gateway is faulty before a request arrives, so no grant is confirmed as committed."""
     fleet = Fleet()
     fleet["a"].ledger_fault = ledger_fault
     fleet["a"].submit("n", PAY)
     fleet.advance(700)
-    assert fleet.responses("n") == ["Fail"], "long before its deadline, however slow the ledger"
+    assert fleet.responses("n") == ["Fail"], "fails long before its deadline, whatever the ledger fault"
     fleet["a"].ledger_fault = LedgerFault.NONE
     fleet.advance(5000)
     assert fleet.responses("n") == ["Fail"]
@@ -38,8 +38,8 @@
     assert fleet["b"].stage.view.open_requests == {}
 
 
-# The fault of a's ledger when the response comes, and whether a's lease holds when the hold time is over;
-# what a's client gets, and what later duplicates get, also once all is written.
+# Fault of a's ledger when the response arrives; whether a's lease is still valid at the end of the hold time;
+# responses to a's client; responses to later duplicates, both before and after a's final write is committed.
 HELD_RESPONSE_CASES: dict[str, tuple[LedgerFault, bool, list[str], list[str]]] = {
     "recorded, unconfirmed": (LedgerFault.UNCONFIRMED, True, SERVED_ONCE, SERVED_ONCE),
     "recorded, unconfirmed, lease expired": (LedgerFault.UNCONFIRMED, False, ["Fail"], SERVED_ONCE),
@@ -58,22 +58,22 @@
 def test_an_unconfirmed_response_is_delivered_only_under_the_lease_and_a_record_stands(
     ledger_fault: LedgerFault, holds_lease: bool, responses: list[str], later_responses: list[str]
 ) -> None:
-    """The ledger of a gateway fails when a response is to be recorded, and its lease may expire meanwhile.
+    """The ledger of a gateway fails when a response has to be recorded, and its lease may expire meanwhile.
 
-    Others can contradict a response that is not recorded once the lease does not hold.
+    Once the lease has expired, other gateways may finish an unrecorded request with a different response.
     """
     fleet = Fleet()
     states = recorded_states(fleet)
     fleet["a"].submit("n", PAY)
     fleet.advance(20)
     fleet["a"].ledger_fault = ledger_fault
-    if not holds_lease:  # as after a pause
+    if not holds_lease:  # as after a pause of the gateway
         lease_manager = fleet["a"].lease_manager
         lease_manager.timings = LeaseTimings(term_ms=LEASE_TERM_MS, hold_fraction=0.0)
         lease_manager._lease_held_until = 0.0
     fleet.advance(360)
     assert fleet.responses("n") == responses
-    for gateway in "bc":  # at b before a's own write is committed, at c after it
+    for gateway in "bc":  # b gets it before a's write is committed, c after that
         fleet[gateway].submit("n", PAY)
         fleet.advance(100 if ledger_fault != LedgerFault.UNREACHABLE else 240)
         fleet["a"].ledger_fault = LedgerFault.NONE
@@ -82,11 +82,11 @@
     assert fleet["c"].responses["n"] == later_responses
     assert fleet.executions["n"] == 1
     final_state = RequestState.SERVED if later_responses == SERVED_ONCE else RequestState.FAILED
-    assert states == [RequestState.OPEN, final_state], "the end is written once"
+    assert states == [RequestState.OPEN, final_state], "the final state must be written exactly once"
 
 
 def recorded_states(fleet: Fleet) -> list[RequestState]:
-    """Return the list to which the states of all records are added as they are committed."""
+    """Return a list that collects the state of every request record as it is committed."""
     states: list[RequestState] = []
 
     def on_commit(_gateway: Gateway, transaction: Transaction) -> None:
@@ -101,7 +101,7 @@
 
 
 def test_without_the_ledger_new_requests_are_served_unjournaled_and_resent_ones_fail() -> None:
-    """A gateway loses its ledger: it cannot know whether a repeated request is in flight elsewhere."""
+    """A gateway without its ledger cannot know whether a repeated request is in flight elsewhere."""
     fleet = Fleet()
     fleet["a"].dispatch(LedgerUnavailable("gone"))
     fleet["a"].submit("n", PAY)
@@ -116,15 +116,16 @@
     assert fleet.record_keys() == ["takeover/answer/o", "takeover/work/o"]
 
 
-# A request is executed at a while these gateways are without their ledger, or before that, and a crashes;
-# what its client gets at b so long after the ledger is back, marked as repeated or not; the executions.
+# Request class; gateways that lose their ledger; whether gateway a executes the request before that; whether
+# the client marks its repeat at b as a retry; delay in ms of the repeat after the ledger recovers; the
+# response that b gives; number of executions. Gateway a crashes after it has executed the request.
 UNJOURNALED_CASES: dict[str, tuple[int, str, bool, bool, float, str, int]] = {
     "not idempotent": (PAY, "ab", False, True, 0, "Fail", 1),
     "idempotent with key": (ORDER, "ab", False, True, 0, "Fail", 1),
     "idempotent": (READ, "ab", False, True, 0, "200 run 2", 2),
     "just before one deadline": (PAY, "ab", False, True, 5900, "Fail", 1),
     "journaled before": (PAY, "ab", True, True, 0, "200 run 1", 1),
-    # Nothing tells these from requests that no gateway has seen.
+    # These cannot be distinguished from requests that no gateway has seen before.
     "after one deadline": (PAY, "ab", False, True, 6000, "200 run 2", 2),
     "not marked": (PAY, "ab", False, False, 0, "200 run 2", 2),
     "only its gateway without the ledger": (PAY, "a", False, True, 0, "200 run 2", 2),
@@ -145,9 +146,9 @@
     response: str,
     executions: int,
 ) -> None:
-    """A gateway is lost that has executed a request without its ledger, and the client repeats the request.
+    """A gateway executes a request without its ledger and is lost; the client repeats the request elsewhere.
 
-    No record tells the others of it, so they can only go by the mark of the client.
+    No record shows the earlier execution, so the other gateways depend on the client to mark the retry.
     """
     fleet = Fleet()
     if journaled:
@@ -173,10 +174,10 @@
     [(PAY, ["Fail"]), (ORDER, ["Fail"]), (READ, SERVED_ONCE)],
     ids=["not idempotent", "with key", "idempotent"],
 )
-def test_a_fenced_incarnation_accepts_only_safe_requests(class_index: int, responses: list[str]) -> None:
-    """A gateway that was fenced gets a request, whose client may turn to another gateway next.
+def test_a_fenced_gateway_accepts_only_idempotent_requests(class_index: int, responses: list[str]) -> None:
+    """A fenced gateway receives a request, and the client may then repeat it at another gateway.
 
-    Served unjournaled there, it was executed a second time where its client repeated it.
+    When the fenced gateway served such a request unjournaled, the repeat was executed a second time.
     """
     fleet = Fleet("ab")
     fleet.gateways["a"].dispatch(Fenced())
--- a/tests/test_takeover_origin.py
+++ b/tests/test_takeover_origin.py
@@ -1,4 +1,4 @@
-"""The origin of a request as takeover keeps it, and the counters of an experiment that rest on it."""
+"""The origin of a request that takeover keeps, and the experiment counters that depend on it."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from meadowpulley.takeover.records import Origin, RecordError, decode_request_record, encode_record
 from tests.takeover_fleet import CLASSES, READ, SETTINGS, Fleet, Gateway
 
-CHECKPOINT_INTERVAL_MS = 2000.0  # the stage's, between two records of its counts
+CHECKPOINT_INTERVAL_MS = 2000.0  # between two writes of the counters of a placement stage
 
 
 class ExperimentFleet(Fleet):
     """A fleet with a placement stage between takeover and the policy of each gateway.
 
-    The handles of requests decrease, as those of slots may.
+    Request handles decrease here, which is also possible with the handles of real slots.
     """
 
-    def __init__(self, **terms: Any) -> None:
-        super().__init__(**terms)
+    def __init__(self, **settings: Any) -> None:
+        super().__init__(**settings)
         arms = (Arm("now", "own", 0.5), Arm("other", "own", 0.5))
         self.experiment = Experiment(1, "try", arms, EndCondition(requests=10**6))
         self.stages: dict[str, PlacementStage] = {}
@@ -42,14 +42,14 @@
         self.advance(100.0)
         self.next_handle = 1000
 
-    def submit_many(self, prefix: str, count: int, gateway: str = "a", **more: Any) -> None:
+    def submit_many(self, prefix: str, count: int, gateway: str = "a", **options: Any) -> None:
         for n in range(count):
             self.next_handle -= 2
             self[gateway].last_request = self.next_handle
-            self[gateway].submit(f"{prefix}{n}", READ, **more)
+            self[gateway].submit(f"{prefix}{n}", READ, **options)
 
     def summary(self) -> Summary:
-        """Return the summary once every live gateway has written its counters."""
+        """Wait until every live gateway has written its counters, and return the summary."""
         self.advance(2 * CHECKPOINT_INTERVAL_MS)
         return read_summary(self.experiment, CLASSES, self.store.scan("placement/"), self.store.members())
 
@@ -59,7 +59,7 @@
 
 
 def test_the_origin_stays_through_any_number_of_adoptions() -> None:
-    """A request's owners are killed in turn; counters rest on who received it first, and when."""
+    """A request's owners are killed in turn; counters depend on who first received it and when."""
     fleet = Fleet(max_owners=5)
     fleet.execution_ms = 1500.0
     fleet["a"].submit("n", READ, remaining_ms=30_000.0)
@@ -69,7 +69,7 @@
     assert found is not None
     origin, _ = found
     assert origin == Origin("a.1", 1)
-    for gateway in "ab":  # whoever adopts it dies with it too
+    for gateway in "ab":  # kill the first owner, then the adopter
         fleet.kill(fleet.adopted[-1][0] if fleet.adopted else gateway)
         fleet.advance(1500.0)
     adopter = fleet[fleet.adopted[-1][0]]
@@ -78,12 +78,12 @@
     assert found is not None
     origin, received_at_ms = found
     assert origin == Origin("a.1", 1)
-    # No later than it was.
+    # The receive time is a lower bound.
     assert submitted_at_ms - 500.0 < received_at_ms - adopter.clock_offset_ms <= submitted_at_ms
 
 
 def test_a_record_of_the_previous_format_is_rejected() -> None:
-    """A ledger holds records of an earlier version, which did not name the origin of a request."""
+    """Records of format 1, which had no origin, and records with an empty origin are rejected."""
     fleet = Fleet()
     fleet["a"].submit("n", READ)
     fleet.advance(10.0)
@@ -99,14 +99,14 @@
 
 
 def test_each_request_counts_once_when_its_gateway_is_lost() -> None:
-    """A gateway is killed between two writes of its counters, with requests in every state."""
+    """A gateway is killed between two writes of its counters, with requests in all states."""
     fleet = ExperimentFleet()
     fleet.submit_many("early", 20)
     fleet.advance(CHECKPOINT_INTERVAL_MS - 150.0)
     fleet.execution_ms = 400.0
     fleet.submit_many("open", 10)
-    fleet.advance(200.0)  # past the look: the record has those as open
-    fleet.submit_many("late", 10)  # and none of these
+    fleet.advance(200.0)  # after the counters were written, with those requests as open
+    fleet.submit_many("late", 10)  # these are not in the written counters
     fleet.advance(50.0)
     arms_by_request = {request.request: request.arm for request in fleet["a"].decisions.received}
     fleet.kill("a")
@@ -118,14 +118,14 @@
     assert {gateway for gateway, _ in fleet.adopted} == {"b", "c"}
     received = [*fleet["b"].decisions.received, *fleet["c"].decisions.received]
     arms = [request.arm for request in received]
-    assert sorted(arms) == sorted(list(arms_by_request.values())[20:])  # each keeps its arm
+    assert sorted(arms) == sorted(list(arms_by_request.values())[20:])  # each request keeps its arm
 
 
-@pytest.mark.parametrize("shuts_down", [False, True], ids=["repeated", "planned stop"])
-def test_a_moved_or_known_request_is_not_counted_as_gone(shuts_down: bool) -> None:
-    """A gateway gives its requests away, or learns that their ids are in flight elsewhere.
+@pytest.mark.parametrize("shuts_down", [False, True], ids=["repeated", "shutdown"])
+def test_a_moved_or_known_request_is_not_counted_as_disconnected(shuts_down: bool) -> None:
+    """A gateway releases its requests, or another gateway finds that their ids are already in flight.
 
-    Its policy sees them as disconnected; the counters must not.
+    The policy of that gateway sees the requests as disconnected, but the counters must not count them so.
     """
     fleet = ExperimentFleet()
     fleet.execution_ms = 900.0
--- a/tests/test_takeover_random_faults.py
+++ b/tests/test_takeover_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults of gateways and their ledgers: nothing is executed twice, and every request is answered."""
+"""Random gateway and ledger faults: non-idempotent requests run once at most, and all are answered."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RandomFaults:
-    """A fleet whose gateways get requests and faults at random."""
+    """A fleet whose gateways receive random requests and faults."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -27,7 +27,7 @@
         return [gateway for gateway in self.fleet.gateways.values() if gateway.running]
 
     def step(self) -> None:
-        """Let some time pass, and do one thing to one gateway."""
+        """Advance time by a random interval, then apply one random event to one gateway."""
         self.fleet.advance(self.random.expovariate(1 / 40.0))
         running = self.running_gateways()
         gateway = self.random.choice(running)
@@ -40,7 +40,7 @@
         elif chance < 0.68 and len(running) > 1 and not gateway.paused:
             self.pause_at_an_action(gateway)
         elif chance < 0.72:
-            self.break_ledger(gateway)
+            self.inject_ledger_fault(gateway)
         elif chance < 0.77:
             results = [self.random.choice(list(Result)) for _ in range(self.random.randrange(6))]
             self.fleet.results = [*results, Result.OK]
@@ -64,12 +64,12 @@
             self.fleet, action_type, 0, partial(self.fleet.pause, gateway.name, pause_ms), gateway.name
         )
 
-    def break_ledger(self, gateway: Gateway) -> None:
+    def inject_ledger_fault(self, gateway: Gateway) -> None:
         faults = [LedgerFault.UNREACHABLE, LedgerFault.UNCONFIRMED, LedgerFault.SLOW]
         gateway.ledger_fault = self.random.choice(faults)
         duration_ms = self.random.choice([100.0, 600.0, 2500.0])
-        mend = partial(setattr, gateway, "ledger_fault", LedgerFault.NONE)
-        self.fleet.call_at(self.fleet.now + duration_ms, mend)
+        repair = partial(setattr, gateway, "ledger_fault", LedgerFault.NONE)
+        self.fleet.call_at(self.fleet.now + duration_ms, repair)
 
 
 @pytest.mark.parametrize("seed", range(40))
