--- a/meadowpulley/takeover/__init__.py
+++ b/meadowpulley/takeover/__init__.py
@@ -1,4 +1,4 @@
-"""Takeover: requests in flight survive the loss of their gateway, and another one adopts each.
+"""Takeover: requests in flight survive the loss of their gateway; one other gateway adopts each.
 
 Takeover is off unless the environment variable MEADOWPULLEY_TAKEOVER is set. Each request is journaled in
 the ledger. The modules, in a sensible reading order:
--- a/meadowpulley/takeover/adoption.py
+++ b/meadowpulley/takeover/adoption.py
@@ -124,7 +124,7 @@
         return self._tokens
 
     def consume(self, now: float) -> None:
-        """Count one adoption."""
+        """Take one token from the bucket for an adoption."""
         self._tokens = self.available(now) - 1
 
     def wait_ms(self, now: float) -> float:
--- a/meadowpulley/takeover/journaled_request.py
+++ b/meadowpulley/takeover/journaled_request.py
@@ -43,7 +43,7 @@
 
     @classmethod
     def served(cls, event: ResponseReady) -> Self:
-        """Create one from an instance's successful response, which is recorded unless it is too long."""
+        """Create one from an instance's successful response; a body that is too long is not recorded."""
         response = None
         if len(event.body) <= records.MAX_BODY_BYTES:
             response = RecordedResponse(records.RECORD_FORMAT, event.status, event.headers, event.body)
@@ -80,16 +80,16 @@
     response_version: int = 0
     write_uncertain: bool = False  # a write with an unknown outcome may have been committed
     inherited_grants: tuple[AttemptGrant, ...] = ()  # attempts of earlier owners that may have been executed
-    grants: dict[int, AttemptGrant] = field(default_factory=dict)  # of this owner, by policy attempt number
+    grants: dict[int, AttemptGrant] = field(default_factory=dict)  # this owner's, by policy attempt number
     attempt_count: int = 0  # including the attempts of earlier owners
-    pending_sends: dict[int, PendingSend] = field(default_factory=dict)  # by policy attempt number
+    pending_sends: dict[int, PendingSend] = field(default_factory=dict)  # keyed by policy attempt number
     dispatched_attempts: list[int] = field(default_factory=list)  # policy attempt numbers, in sending order
     outstanding_attempts: set[int] = field(default_factory=set)  # adapter attempt numbers
     pending_write: PendingWrite | None = None
     retry_at_ms: float = math.inf  # time at which to repeat a write with an unknown outcome
     final_response: FinalResponse | None = None
     superseded_response: FinalResponse | None = None  # replaced by `final_response`, may still be recorded
-    hold_until_ms: float = math.inf  # then the client is answered even if nothing is recorded
+    hold_until_ms: float = math.inf  # the client is answered at this time even if nothing is recorded yet
     answered: bool = False  # the client has its final response, or its slot was freed
     has_client: bool = True
     record_stale: bool = False  # the last commit was late, so the recorded remaining time is too long
--- a/meadowpulley/takeover/ledger_view.py
+++ b/meadowpulley/takeover/ledger_view.py
@@ -71,7 +71,7 @@
         """Start with an empty view."""
         self.open_requests: dict[str, ObservedRequest] = {}
         self.finished: dict[str, FinishedRequest] = {}  # recently finished requests, oldest first
-        self.members: dict[str, Member] = {}  # the latest incarnation of each name
+        self.members: dict[str, Member] = {}  # the latest known incarnation of each gateway, by name
         # For each incarnation, the version of the view just before the incarnation first appeared.
         self.started_after_version: dict[Incarnation, int] = {}
         self.expired_renewals: dict[Incarnation, int] = {}  # number of the renewal whose lease has expired
--- a/meadowpulley/takeover/orphan_claims.py
+++ b/meadowpulley/takeover/orphan_claims.py
@@ -23,8 +23,8 @@
 from meadowpulley.takeover.response_cache import ResponseCache
 from meadowpulley.takeover.transaction_builder import TransactionBuilder
 
-MAX_FINISHED_PER_TURN = 64  # limit, per event, on the orphans that are recorded as finished
-FULL_RECHECK_MS = 20.0  # ms between checks while `max_adopted` adopted requests are in flight
+MAX_FINISHED_PER_TURN = 64  # maximum number of orphans that each claim step finishes per event
+FULL_RECHECK_MS = 20.0  # ms between checks while the limit `max_adopted` is reached
 MIN_RECHECK_MS = 1.0  # minimum delay in ms before orphans that may be claimed already are checked again
 
 
--- a/meadowpulley/takeover/orphan_ranking.py
+++ b/meadowpulley/takeover/orphan_ranking.py
@@ -13,7 +13,7 @@
 from meadowpulley.takeover.ledger_view import LedgerView, ObservedRequest
 from meadowpulley.takeover.records import RequestState
 
-MAX_RANKED_PER_TURN = 64  # limit on the orphans that are ranked per event
+MAX_RANKED_PER_TURN = 64  # maximum number of orphans ranked per event
 
 
 class OrphanRanking:
--- a/meadowpulley/takeover/record_writes.py
+++ b/meadowpulley/takeover/record_writes.py
@@ -144,7 +144,7 @@
     entry.record_version = versions.get(RECORD_PREFIX, entry.record_version)
     entry.content_version = 0 if is_final else versions.get(CONTENT_PREFIX, entry.content_version)
     entry.response_version = versions.get(RESPONSE_PREFIX, entry.response_version)
-    for attempt, grant in entry.grants.items():  # may date a later grant too early, which is safe
+    for attempt, grant in entry.grants.items():  # this may date a later grant too early, which is safe
         if not grant.granted_version:
             entry.grants[attempt] = replace_fields(grant, granted_version=entry.record_version)
 
--- a/meadowpulley/takeover/records.py
+++ b/meadowpulley/takeover/records.py
@@ -104,11 +104,11 @@
     class_name: str = msgspec.field(name="cls")
     tenant_name: str = msgspec.field(name="tenant")
     key: Count
-    digest: bytes  # of what the client sent, by `request_digest`
-    sequence: Count = msgspec.field(name="mark")  # number of the request at the incarnation that wrote this
+    digest: bytes  # digest of the request content, computed by `request_digest`
+    sequence: Count = msgspec.field(name="mark")  # the number that the writing incarnation gave the request
     origin: Origin = msgspec.field(name="first")
-    remaining_ms: DurationMs = msgspec.field(name="left_ms")  # from the record's creation to the deadline
-    elapsed_ms: DurationMs = msgspec.field(name="waited_ms")  # since any gateway first received the request
+    remaining_ms: DurationMs = msgspec.field(name="left_ms")  # time from record creation to the deadline
+    elapsed_ms: DurationMs = msgspec.field(name="waited_ms")  # time since any gateway first received it
     expected_work_ms: DurationMs | None = msgspec.field(name="hint_ms")
     write: bool
     arm: int
--- a/meadowpulley/takeover/request_journal.py
+++ b/meadowpulley/takeover/request_journal.py
@@ -326,7 +326,7 @@
         else:
             self.flush(entry)
 
-    # Time
+    # Wakeups
 
     def check_due_requests(self) -> None:
         """Check all requests whose wakeup time has come."""
--- a/meadowpulley/takeover/response_cache.py
+++ b/meadowpulley/takeover/response_cache.py
@@ -14,7 +14,7 @@
 from meadowpulley.takeover.settings import TakeoverSettings
 from meadowpulley.takeover.transaction_builder import TransactionBuilder, TransactionIntent, TransactionKind
 
-MAX_REMOVALS_PER_TURN = 64  # limit on the entries that are removed per event
+MAX_REMOVALS_PER_TURN = 64  # maximum number of entries removed per event
 
 
 @dataclass(slots=True)
--- a/meadowpulley/takeover/server_locations.py
+++ b/meadowpulley/takeover/server_locations.py
@@ -27,7 +27,7 @@
                 del self.servers[entry.server]
 
     def grant_for(self, server: int) -> AttemptGrant:
-        """Return the grant of an attempt at this server; its location is 0 for an unknown server."""
+        """Return the grant of an attempt at this server; an unknown server gets location 0."""
         entry = self.servers.get(server)
         if entry is None:
             return AttemptGrant(server, build=0, zone=0, cell=0)
--- a/meadowpulley/takeover/transaction_builder.py
+++ b/meadowpulley/takeover/transaction_builder.py
@@ -43,7 +43,7 @@
     now: float = 0.0
     actions: list[object] = field(default_factory=list)
     transactions: list[Transaction] = field(default_factory=list)
-    intents: list[TransactionIntent] = field(default_factory=list)  # one for each transaction
+    intents: list[TransactionIntent] = field(default_factory=list)  # one per transaction, in the same order
     last_sequence: int = 0
 
     def begin(self, now: float) -> None:
