--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -179,7 +179,7 @@
 def test_a_keyed_request_is_not_repeated_outside_its_deduplication_window() -> None:
     """The owner is killed late, so at the adoption its attempt is older than the deduplication window.
 
-    Instances no longer recognize the key then, and would execute another attempt. So the request fails.
+    Instances no longer recognize the key then, and would execute it once more. So the request fails.
     """
     fleet = Fleet(claim_stagger_ms=100.0)
     fleet["a"].submit("n", ORDER, remaining_ms=8000.0)
@@ -202,7 +202,7 @@
     fleet = Fleet(grant_timeout_ms=grant_timeout_ms)
     fleet["a"].submit("n", PAY)
     fleet.advance(0.5)
-    fleet["a"].paused = True  # the grant is committed, but a has not received the result
+    fleet["a"].paused = True  # the grant is committed, but gateway a has not received the result
     fleet["b"].submit("n", PAY)
     fleet.advance(3 * LEASE_TERM_MS)
     assert fleet.responses("n") == ["Fail"]
--- a/tests/test_takeover_extension.py
+++ b/tests/test_takeover_extension.py
@@ -126,7 +126,7 @@
 
 
 def test_a_recorded_response_stands_after_a_pause_beyond_the_hold_time() -> None:
-    """A gateway is paused beyond its lease, and learns only after it that its response was recorded.
+    """A gateway is paused beyond its lease, and learns only afterwards that its response was recorded.
 
     Its client gets a failure, which means that the outcome is unknown; duplicates get the recorded response.
     """
--- a/tests/test_takeover_interleavings.py
+++ b/tests/test_takeover_interleavings.py
@@ -148,11 +148,11 @@
     """A gateway resumes and gets an instance's response after another gateway has finished the request."""
     fleet = Fleet()
     fleet["a"].submit("n", class_index)
-    fleet.advance(10)  # the attempt of a is outstanding
+    fleet.advance(10)  # the attempt of gateway a is outstanding
     fleet.pause("a", 2 * LEASE_TERM_MS)
     fleet["b"].submit("n", class_index)
     fleet.advance(2 * LEASE_TERM_MS - 50)
-    assert fleet.responses("n") == [other_response]  # b or c has claimed and finished the request
-    fleet.advance(LEASE_TERM_MS)  # a resumes and receives the response
+    assert fleet.responses("n") == [other_response]  # gateway b or c has claimed and finished the request
+    fleet.advance(LEASE_TERM_MS)  # gateway a resumes and receives the response
     assert fleet["a"].responses["n"] == ["Fail"]
     assert fleet["b"].responses["n"] == [other_response]
