--- a/meadowpulley/net/__init__.py
+++ b/meadowpulley/net/__init__.py
@@ -1,19 +1,22 @@
-"""The gateway on real sockets: it translates protocols to `meadowpulley.interface`, and decides nothing.
+"""The gateway's network layer: it translates wire protocols to `meadowpulley.interface`.
 
-Modules in reading order, lowest first; imports go one way:
+All decisions are made by the policy.
 
-- `errors`, `protocol`, `json_fields`, `config`: the platform's names, and the configuration.
-- `reactor_interface`, `reactor`: what of a reactor is used, and the gateway's own.
-- `deadlines`, `ring`, `slots`, `http1`, `connection`: what every connection uses.
-- `extension`, `gateway_context`: what components may use of the gateway.
-- `request_table`, `request_parsing`, `request_admission`: requests.
-- `client_connection`, `client_listener`: clients.
+The modules in reading order, lowest layer first; a module imports only modules of lower layers:
+
+- `errors`, `protocol`, `json_fields`, `config`: the names of the wire protocol, and the configuration.
+- `reactor_interface`, `reactor`: the reactor methods in use, and the gateway's own reactor.
+- `deadlines`, `ring`, `slots`, `http1`, `connection`: building blocks of all connections.
+- `extension`, `gateway_context`: the gateway as extensions and components see it.
+- `request_table`, `request_parsing`, `request_admission`: requests from their arrival to their response.
+- `client_connection`, `client_listener`: connections from clients.
 - `instance_connection`, `instance_pools`, `instance_response`, `attempts`: attempts at instances.
 - `endpoint_list`, `discovery_connection`, `discovery_call`, `current_endpoint_list`, `endpoint_fetch`,
-  `endpoint_watch`, `discovery_client`: discovery.
-- `platform_messages`, `platform_connection`, `platform_connector`, `rollout_client`: the platform.
-- `gossip`: the other gateways.
-- `gateway`: connects all of them.
+  `endpoint_watch`, `discovery_client`: the client of the discovery service.
+- `platform_messages`, `platform_connection`, `platform_connector`, `rollout_client`: the client of the
+  rollout platform.
+- `gossip`: datagrams exchanged with other gateways.
+- `gateway`: creates these components and connects them.
 
-`counters`, `log`, `capture`, `interval_metrics` and `request_tracing` record what happens.
+`counters`, `log`, `capture`, `interval_metrics` and `request_tracing` record what the gateway does.
 """
--- a/meadowpulley/net/capture.py
+++ b/meadowpulley/net/capture.py
@@ -1,8 +1,9 @@
-"""Capture of arriving requests into a file that `meadowpulley load` reads. Off unless a file is named.
+"""Capture of arriving requests into a file that `meadowpulley load` reads. Off by default.
 
-Capturing never slows or fails a request: pending records are bounded, a thread writes the file, and whatever
-finds no room in memory or on disk is dropped and counted. Keys are hashed with a salt of the capture, so that
-it holds no customer's data.
+The environment variable `MEADOWPULLEY_CAPTURE` names the file and turns the capture on. Capturing never slows
+or fails a request: the number of pending records is bounded, a thread writes the file, and a record that fits
+neither in memory nor on disk is dropped and counted. Request keys are hashed with a random salt of this
+capture, so that the file holds no customer data.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 
 ENV_FILE = "MEADOWPULLEY_CAPTURE"
 ENV_MAX_MB = "MEADOWPULLEY_CAPTURE_MB"
-MAX_PENDING_ARRIVALS = 4096  # that wait for the thread
+MAX_PENDING_ARRIVALS = 4096  # arrivals waiting to be written by the thread; further ones are dropped
 FLUSH_INTERVAL_MS = 500.0
 DEFAULT_MAX_MB = 64.0
 MAX_MB = 1e6
 BYTES_PER_MB = 1024 * 1024
-MAX_SOURCE_CHARS = 80  # of the gateway's name in the header, whose length is fixed
-KEY_DIGEST_BYTES = 7  # a hashed key stays below 2^56
-MS_DECIMALS = 3
-HEADER_BYTES = 256  # of the first line, which is rewritten at the end with the number of dropped arrivals
+MAX_SOURCE_CHARS = 80  # the gateway's name is cut to this length, since the header's length is fixed
+KEY_DIGEST_BYTES = 7  # 7 bytes: a hashed key stays below 2^56
+MS_DECIMALS = 3  # times are written in milliseconds, rounded to the microsecond
+HEADER_BYTES = 256  # fixed, since the header is rewritten at the end with the dropped count
 
 
 # `run_in_thread(work, done)` runs `work` in a thread, then calls `done(failed)` in the reactor's thread.
@@ -36,12 +37,12 @@
 
 
 class CaptureError(NetError):
-    """The capture that the environment asks for can't be started."""
+    """The capture that the environment variables request can't be started."""
 
 
 @dataclass(frozen=True, slots=True)
 class CaptureFile:
-    """Where a capture goes: a path, the name of its source, and the most bytes that it may take."""
+    """The file of a capture: its path, the gateway that records it, and its maximum size in bytes."""
 
     path: str
     source: str
@@ -55,13 +56,13 @@
     arrived_ms: float
     class_index: int
     key: int
-    work_estimate_ms: float  # 0: none was given
+    work_estimate_ms: float  # 0 if the client gave no estimate
     body_bytes: int
-    remaining_ms: float  # until the deadline
+    remaining_ms: float  # time from the arrival to the deadline
 
 
 class Capture:
-    """Record arrivals and write them to a file. `now` returns the gateway's time in milliseconds."""
+    """Records arrivals and writes them to a file. `now` returns the gateway's time in milliseconds."""
 
     def __init__(
         self, file: CaptureFile, settings: Settings, now: Callable[[], float], run_in_thread: ThreadRunner
@@ -80,7 +81,7 @@
         self._failed = False
         self.written = 0
         self.dropped = 0
-        self._file: IO[bytes] = open(file.path, "wb")  # noqa: SIM115  # closed at the gateway's end
+        self._file: IO[bytes] = open(file.path, "wb")  # noqa: SIM115  # close() closes it when the gateway stops
         self._file.write(self._header())
 
     def _header(self) -> bytes:
@@ -94,7 +95,7 @@
         return json.dumps(header).encode().ljust(HEADER_BYTES - 1) + b"\n"
 
     def record(self, request: Request, arrived_at: float, body_bytes: int) -> None:
-        """Record an accepted request. A client's retry is not recorded: its first attempt was."""
+        """Record an accepted request, except a client retry: the original request was recorded."""
         if request.client_retry:
             return
         if self._failed or len(self._pending) >= MAX_PENDING_ARRIVALS:
@@ -111,7 +112,7 @@
         self._pending.append(arrival)
 
     def flush(self) -> None:
-        """Pass pending arrivals to the thread, one batch at a time: a slow disk delays nothing else."""
+        """Pass pending arrivals to the thread, unless it still writes: a slow disk delays nothing else."""
         if self._writing or not self._pending:
             return
         batch = self._pending
@@ -142,7 +143,7 @@
         return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
     def _write_batch(self, batch: list[Arrival]) -> None:
-        """Write the lines of a batch, as many as there is room for. Runs in the thread; raises OSError."""
+        """Write a batch up to the size limit and drop the rest. Runs in the thread; raises OSError."""
         for index, arrival in enumerate(batch):
             line = self._encode(arrival)
             if self._file_bytes + len(line) > self._max_bytes:
@@ -158,7 +159,7 @@
         self._file.flush()
 
     def close(self) -> None:
-        """Write what is pending and the final header. Errors are ignored: the gateway is ending."""
+        """Write pending arrivals and the final header. Ignore write errors: the gateway is stopping."""
         batch = self._pending
         self._pending = []
         try:
@@ -180,10 +181,10 @@
     now: Callable[[], float],
     run_in_thread: ThreadRunner,
 ) -> Capture | None:
-    """Open the capture that the environment asks for; None where it names no file.
+    """Open the capture that the environment requests; None if it names no file.
 
     Raises:
-        CaptureError: the file can't be opened, or the size limit is no number of megabytes above 0.
+        CaptureError: the file can't be opened, or the size limit is not a number of megabytes in (0, 1e6].
     """
     path = environ.get(ENV_FILE)
     if not path:
@@ -202,7 +203,7 @@
     try:
         max_mb = float(text)
     except ValueError:
-        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is no size; give megabytes above 0") from None
+        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is not a size in megabytes above 0") from None
     if not 0 < max_mb <= MAX_MB:
-        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is no size; give megabytes above 0")
+        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is not a size in megabytes above 0")
     return max_mb
--- a/meadowpulley/net/config.py
+++ b/meadowpulley/net/config.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration: read from a file and the environment, and checked in full before it starts."""
+"""The gateway's configuration, read from a file and the environment and validated before the start."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 MIN_SOCKETS = 128
 DEFAULT_SOCKETS = 1024
 GOSSIP_KEYS = ("peer_listen", "peers", "peers_all")
-# Keys of the file whose names say little of what they hold.
+# Keys of the configuration file whose names differ from the terms used in the code.
 CACHED_ENDPOINTS_KEY = "known"
-INITIAL_ROLLOUT_KEY = "news"  # of the platform
-GATEWAY_COUNT_KEY = "balancers"  # of the settings
-GATEWAY_INDEX_KEY = "me"  # of the settings
+INITIAL_ROLLOUT_KEY = "news"  # a key of the object 'platform'
+GATEWAY_COUNT_KEY = "balancers"  # a key of the object 'settings'
+GATEWAY_INDEX_KEY = "me"  # a key of the object 'settings'
 IPV4_OCTETS = 4
 MAX_OCTET = 255
 MAX_OCTET_DIGITS = 3
 MAX_PORT = 65535
 HEXADECIMAL = 16
 
-Address: TypeAlias = tuple[str, int]  # an IPv4 address in text, and a port
+Address: TypeAlias = tuple[str, int]  # IPv4 address in dotted-decimal text, and port number
 JsonObject: TypeAlias = Mapping[str, object]
 
 
 class ConfigError(NetError):
-    """The configuration cannot be used; the text says in one line what is wrong and where."""
+    """The configuration cannot be used; the message says in one line what is wrong and where."""
 
 
 class AddressError(NetError, ValueError):
-    """A value is no IPv4 address with a port."""
+    """A value is not an IPv4 address with a port."""
 
     def __init__(self, value: object) -> None:
-        super().__init__(f"{value!r} is no address with a port")
+        super().__init__(f"{value!r} is not an IPv4 address with a port")
         self.value = value
 
 
@@ -47,9 +47,9 @@
 class Config:
     """The configuration of one gateway.
 
-    `initial_rollout` and `cached_endpoints` are decoded JSON in the platform's and discovery's form: what the
-    gateway knew before. `warnings` are what is wrong in a configuration that can be used all the same, and
-    what is done instead, a line each.
+    `initial_rollout` and `cached_endpoints` are decoded JSON in the formats of the platform and of discovery:
+    the last known state from before the start. `warnings` holds one line for each inconsistency that does not
+    prevent a start, with its consequence.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
 
 def read_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that the environment names; some variables override it. Raises ConfigError."""
+    """Read the file that the environment names; variables override its keys. Raises ConfigError."""
     path = environ.get(protocol.ENV_CONFIG)
     if not path:
         raise ConfigError(f"{protocol.ENV_CONFIG} is not set")
@@ -78,9 +78,9 @@
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: no JSON: {error}") from None
+        raise ConfigError(f"{path}: not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: no JSON object")
+        raise ConfigError(f"{path}: not a JSON object")
     try:
         return _build_config(raw, environ)
     except (ConfigError, SettingsError) as error:
@@ -88,9 +88,9 @@
 
 
 def reload_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration at a reload. Raises ConfigError.
+    """Read the configuration again for a reload. Raises ConfigError.
 
-    The file says where discovery is now: the environment holds what was true at the start.
+    The address of discovery is taken from the file: the environment still holds the address of the start.
     """
     return read_config({key: value for key, value in environ.items() if key != protocol.ENV_DISCOVERY})
 
@@ -98,10 +98,11 @@
 def parse_address(text: object) -> Address:
     """Parse an IPv4 address with a port.
 
-    Host names are not looked up: there is no DNS where the gateway runs.
+    Host names are not resolved: there is no DNS where the gateway runs.
 
     Raises:
-        ValueError: the value is no such address; an AddressError unless the port has thousands of digits.
+        ValueError: the value is not such an address. The error is an AddressError, except when `int` refuses
+            a port of thousands of digits.
     """
     if isinstance(text, str):
         host, _, port = text.rpartition(":")
@@ -133,7 +134,7 @@
     discovery = _read_address(raw, "discovery")
     settings = read_settings(raw.get("settings"), "config")
     if not settings.classes:
-        raise ConfigError("'settings' name no classes")
+        raise ConfigError("'settings' lists no request classes")
     config = Config(
         name=str(raw.get("name", "")),
         listen=listen,
@@ -152,7 +153,7 @@
 
 
 def _overrides(environ: Mapping[str, str]) -> dict[str, str]:
-    """Return the values, by their keys in the file, that the environment sets."""
+    """Return the values that the environment sets, by the keys of the file that they override."""
     variables = {
         "name": protocol.ENV_NAME,
         "listen": protocol.ENV_LISTEN,
@@ -164,14 +165,14 @@
 def _read_object(raw: JsonObject, key: str) -> JsonObject:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"'{key}' is no object")
+        raise ConfigError(f"'{key}' is not a JSON object")
     return value
 
 
 def _read_peers(raw: JsonObject) -> list[object]:
     peers = raw.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigError("'peers' is no list")
+        raise ConfigError("'peers' is not a list")
     return peers
 
 
@@ -189,25 +190,25 @@
 def _read_max_sockets(limits: JsonObject) -> int:
     max_sockets = limits.get("sockets", DEFAULT_SOCKETS)
     if not isinstance(max_sockets, int) or max_sockets < MIN_SOCKETS:
-        raise ConfigError(f"'limits': 'sockets' is {max_sockets!r}, at least {MIN_SOCKETS} are needed")
+        raise ConfigError(f"'limits': 'sockets' is {max_sockets!r}: at least {MIN_SOCKETS} are needed")
     return max_sockets
 
 
 def _read_seed(raw: JsonObject) -> int:
-    """Read the seed: a number, or one in hexadecimal digits."""
+    """Read the seed, which is a number or a string of hexadecimal digits."""
     seed = raw.get("seed", 0)
     try:
         if isinstance(seed, str):
             return int(seed, HEXADECIMAL)
         if isinstance(seed, int | float):
             return int(seed)
-    except (ValueError, OverflowError):  # no hexadecimal digits, not a number, or an infinite one
+    except (ValueError, OverflowError):  # a string that is not hexadecimal, NaN, or an infinite number
         pass
-    raise ConfigError(f"'seed': {seed!r} is no number")
+    raise ConfigError(f"'seed': {seed!r} is not a finite or hexadecimal number")
 
 
 def _find_inconsistencies(config: Config, raw_settings: JsonObject) -> tuple[str, ...]:
-    """Return what the operator should know of a configuration that can be used all the same, a line each."""
+    """Return one line for each inconsistency of a usable configuration, for the operator."""
     return (
         *_corrected_settings(config.settings, raw_settings),
         *_gossip_inconsistencies(config),
@@ -222,10 +223,10 @@
     raw_index = raw_settings.get(GATEWAY_INDEX_KEY)
     warnings = []
     if (raw_count or 0) != count and GATEWAY_COUNT_KEY in raw_settings:
-        warnings.append(f"'settings': '{GATEWAY_COUNT_KEY}' is {raw_count}: taken as {count}")
+        warnings.append(f"'settings': '{GATEWAY_COUNT_KEY}' is {raw_count}: using {count}")
     if (raw_index or 0) != index:
         warnings.append(
-            f"'settings': '{GATEWAY_INDEX_KEY}' is {raw_index} with {count} gateways: taken as {index}"
+            f"'settings': '{GATEWAY_INDEX_KEY}' is {raw_index} with {count} gateways: using {index}"
         )
     return warnings
 
@@ -237,11 +238,11 @@
     missing = [key for key in GOSSIP_KEYS if not getattr(config, key)]
     if missing:
         return [
-            f"gossip is allowed, but without {', '.join(missing)}: this gateway decides by its own evidence"
+            f"gossip is enabled without {', '.join(missing)}: this gateway uses only its own measurements"
         ]
     if len(config.peers) != gateway_count:
         return [
-            f"'peers' are {len(config.peers)} of {gateway_count} gateways: gossip of the others is rejected"
+            f"'peers' lists {len(config.peers)} of {gateway_count} gateways: gossip from others is rejected"
         ]
     return []
 
@@ -252,6 +253,4 @@
     endpoints = config.cached_endpoints.get(protocol.LIST_ENDPOINTS)
     if not isinstance(endpoints, list) or config.max_sockets >= len(endpoints):
         return []
-    return [
-        f"'limits': {config.max_sockets} 'sockets' for {len(endpoints)} instances: idle connections close"
-    ]
+    return [f"'limits': {config.max_sockets} 'sockets' for {len(endpoints)} instances: idle ones get closed"]
--- a/meadowpulley/net/current_endpoint_list.py
+++ b/meadowpulley/net/current_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in use: its version and age, and how each list reaches the pools and the policy."""
+"""The endpoint list in use: tracks its version and age, and passes new lists to the pools and the policy."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class EndpointRegistry(Protocol):
-    """Who has to know the addresses of the instances: the connection pools."""
+    """The component that keeps the addresses of the instances: the connection pools."""
 
     def register(self, server: int, address: Address, incarnation: ServerIncarnation) -> None:
-        """Note the address and incarnation of an instance."""
+        """Record the address and incarnation of an instance."""
 
     def close_idle(self, server: int) -> None:
-        """Close the idle connections to an instance that drains."""
+        """Close the idle connections to a draining instance."""
 
     def remove(self, server: int) -> None:
-        """Forget an instance that is gone."""
+        """Remove an instance that no longer exists."""
 
 
 class CurrentEndpointList:
-    """What is known of the endpoint list in use. Times are milliseconds on the gateway's clock.
+    """The state of the endpoint list in use. Times are milliseconds on the gateway's clock.
 
     Attributes:
-        version: the version that the next watch names as known; 0 asks for everything.
+        version: the version after which the next watch requests changes; 0 requests the whole list.
         lists_applied: how many lists have been applied so far.
-        confirmed_at: up to when the list in use holds all changes.
-        update_owed: the policy asked for a watch: it gets one update, even if nothing changed.
+        confirmed_at: the list in use includes all changes up to this time.
+        update_owed: a watch was started, so the policy gets one update even if nothing changed.
     """
 
     def __init__(self, gateway: GatewayContext, registry: EndpointRegistry) -> None:
@@ -44,22 +44,23 @@
         self.confirmed_at = -math.inf
         self.update_owed = False
         self._applied_at = -math.inf
-        self._watched_version = 0  # which the last watch named as known
+        self._watched_version = 0  # the version after which the last watch requested changes
 
     def start_watch(self) -> int:
-        """Return the version that a new watch names as known."""
+        """Return the version after which a new watch requests changes, and remember it."""
         self._watched_version = self.version
         return self.version
 
     def as_of_ms(self) -> float | None:
-        """Return up to when the list in use holds all changes, once no call is out.
+        """Return the time up to which the list in use includes all changes, while no call is open.
 
-        None stands for now: where lists are pushed, discovery that fails a call notifies nobody of anything.
+        None means the present time: where lists are pushed, a discovery service that fails calls has notified
+        no gateway of any change.
         """
         return self.confirmed_at if self._gateway.config.settings.must_poll else None
 
     def age_ms(self) -> int | None:
-        """Return how long ago the list in use was applied; None if there is none yet."""
+        """Return how long ago the list in use was applied; None if no list was applied yet."""
         if not self.lists_applied:
             return None
         return round(self._gateway.deadlines.now() - self._applied_at)
@@ -67,24 +68,24 @@
     def require_not_stale(self, endpoint_list: EndpointList, report: CallReport) -> None:
         """Check that the list of a response is not older than the one in use.
 
-        Discovery handles calls in order, so its versions rise; they fall only when it was restarted or has
-        moved. A call that was written after all lists applied so far is answered with the present state,
-        whatever its version. A response with a lower version to a call that was written before is either
-        older than the newest list, or from after a restart. These cannot be told apart: it is not applied,
-        and the list requested again.
+        Discovery handles calls in order, so its versions increase; they decrease only after it was restarted
+        or has moved. A call sent after the last list was applied is answered with the current state, whatever
+        its version. If a call was sent before that and its response has a lower version, the response either
+        is older than the list in use or comes from a restarted discovery. The two cases cannot be
+        distinguished, so the response is not applied and the list is requested again.
 
         Raises:
-            StaleListError: the list may be older.
+            StaleListError: the list may be older than the one in use.
         """
         if endpoint_list.version < self.version and report.lists_applied_at_send < self.lists_applied:
-            raise StaleListError(f"version {endpoint_list.version} after {self.version}: fetch it again")
+            raise StaleListError(f"version {endpoint_list.version} may be older than {self.version}")
 
     def confirm(self, earliest_as_of_ms: float) -> None:
-        """Note that the list which is applied next holds all changes up to a time at least."""
+        """Record that the list to be applied next includes all changes up to a time at least."""
         self.confirmed_at = max(self.confirmed_at, earliest_as_of_ms)
 
     def log(self, endpoint_list: EndpointList, report: CallReport | None) -> None:
-        """Log which list takes the place of which, and how long its call took; None for the cached list."""
+        """Log that a list replaces the one in use. `report` is None for the cached list."""
         states = [endpoint.entry.state for endpoint in endpoint_list.endpoints]
         self._gateway.log.info(
             "endpoint_list_applied",
@@ -100,9 +101,9 @@
         )
 
     def apply(self, endpoint_list: EndpointList, known_ids: Collection[int], is_cached: bool) -> set[int]:
-        """Use a list from now on: update the registry, then the policy.
+        """Make a list the one in use: update the registry, then the policy.
 
-        `known_ids` are the numbers of the instances known so far. Returns the numbers of those that are gone.
+        `known_ids` are the numbers of the instances known so far. Returns the numbers of the removed ones.
         """
         removed_ids = endpoint_list.removed_ids
         if endpoint_list.is_snapshot or is_cached:
@@ -123,9 +124,9 @@
                 self._registry.close_idle(endpoint.entry.server)
 
     def _advance_version(self, endpoint_list: EndpointList, is_cached: bool) -> None:
-        # Changes since a version that discovery has not reached, or that this gateway no longer has, mean
-        # that discovery was restarted: they say nothing of what it forgot or never knew. The next watch asks
-        # for everything.
+        # Discovery was restarted if it reports changes since a version that it has not reached itself, or
+        # that this gateway no longer has. Such changes omit instances that the restarted discovery forgot
+        # or never knew, so the next watch requests the whole list.
         is_partial = not is_cached and not endpoint_list.is_snapshot
         has_gap = is_partial and self._watched_version > min(endpoint_list.version, self.version)
         self.version = 0 if has_gap else endpoint_list.version
--- a/meadowpulley/net/deadlines.py
+++ b/meadowpulley/net/deadlines.py
@@ -1,6 +1,6 @@
-"""All deadlines of the gateway, in one heap behind one reactor call, and the clock that they run on.
+"""The gateway's clock and deadlines: one heap of deadlines, served by a single delayed reactor call.
 
-Times are milliseconds on that clock. Compiled by mypyc.
+Times are milliseconds on that clock. mypyc compiles this module.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from meadowpulley.net.reactor_interface import DelayedCall, TimerReactor
 
-MIN_CANCELLED_TO_COMPACT = 64  # fewer cancelled deadlines are not worth a pass over the heap
+MIN_CANCELLED_TO_COMPACT = 64  # with fewer cancelled deadlines, compacting the heap is not worthwhile
 
 
 def now_ms() -> float:
@@ -21,7 +21,7 @@
 
 
 class Deadline:
-    """A callback that runs once, unless it is cancelled before; None once it has run or is cancelled."""
+    """A callback that runs once unless it is cancelled; `callback` is None after either."""
 
     __slots__ = ("callback",)
 
@@ -30,9 +30,9 @@
 
 
 class Deadlines:
-    """Runs callbacks at their times.
+    """Runs callbacks at their scheduled times.
 
-    `report_failure` is called, with a word for the place, while the exception of a callback is handled.
+    If a callback raises, `report_failure` is called with the component's name while the exception is handled.
     """
 
     def __init__(
@@ -44,11 +44,11 @@
         self.now = clock
         self._reactor = reactor
         self._report_failure = report_failure
-        self._heap: list[tuple[float, int, Deadline]] = []  # tuples, since the heap compares them in C
-        self._cancelled = 0  # entries of the heap whose deadline is cancelled
-        self._last_sequence = 0  # keeps deadlines of the same time in the order in which they were set
+        self._heap: list[tuple[float, int, Deadline]] = []  # tuples, which heapq compares in C
+        self._cancelled = 0  # number of heap entries whose deadline is cancelled
+        self._last_sequence = 0  # orders deadlines with equal times by when they were set
         self._running = False
-        self.polled_at = math.inf  # when the reactor last learned which input has come
+        self.polled_at = math.inf  # when the reactor's last poll for input returned
         self._reactor_call: DelayedCall | None = None
         self._reactor_call_at = 0.0
 
@@ -57,19 +57,19 @@
         return len(self._heap) - self._cancelled
 
     def record_poll(self) -> None:
-        """Note that the reactor has learned which input has come, and reads it from now on."""
+        """Record that the reactor's poll returned, after which the reactor reads the arrived input."""
         self.polled_at = self.now()
 
     def arrival_time(self) -> float:
-        """Return when the input of the reactor's present turn had come at the latest.
+        """Return the latest time at which the input of the current reactor turn can have arrived.
 
-        In a long turn the last of it is read well after that, and a client's deadline counts from when it
-        was sent.
+        In a long turn, input may be read well after its arrival, but a client's deadline counts from when the
+        request was sent.
         """
         return min(self.now(), self.polled_at)
 
     def at(self, when: float, callback: Callable[[], None]) -> Deadline:
-        """Run a callback at a time."""
+        """Run a callback at a time on the gateway's clock."""
         self._last_sequence += 1
         deadline = Deadline(callback)
         heapq.heappush(self._heap, (when, self._last_sequence, deadline))
@@ -78,11 +78,11 @@
         return deadline
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> Deadline:
-        """Run a callback after a delay; a negative delay counts as 0."""
+        """Run a callback after a delay in milliseconds; a negative delay counts as 0."""
         return self.at(self.now() + max(delay_ms, 0.0), callback)
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Cancel a deadline; nothing happens if it is None, has run or is cancelled."""
+        """Cancel a deadline; do nothing if it is None, has run or was cancelled."""
         if deadline is None or deadline.callback is None:
             return
         deadline.callback = None
@@ -93,9 +93,9 @@
             self._cancelled = 0
 
     def run_due(self) -> None:
-        """Run what is due now.
+        """Run the callbacks that are due now.
 
-        What a callback schedules for the same moment waits for the reactor's next turn.
+        A deadline that one of them schedules runs in a later turn of the reactor, even if it is due already.
         """
         if self._running or not self._heap:
             return
@@ -122,18 +122,18 @@
             self._arm()
 
     def _run(self, deadline: Deadline) -> None:
-        """Run the callback of a deadline, if it has one left."""
+        """Run the callback of a deadline unless it has run or was cancelled."""
         callback = deadline.callback
         deadline.callback = None
         if callback is None:
             return
         try:
             callback()
-        except Exception:  # noqa: BLE001  # one broken callback must not stop the others, nor the process
+        except Exception:  # noqa: BLE001  # a failing callback must not stop the others or the process
             self._report_failure("deadline")
 
     def _arm(self) -> None:
-        """Have the reactor call when the first deadline is due."""
+        """Schedule the reactor call for when the first deadline is due."""
         if not self._heap:
             return
         when = self._heap[0][0]
@@ -153,20 +153,21 @@
         self._arm_if_unarmed()
 
     def _arm_if_unarmed(self) -> None:
-        """Arm the reactor, unless the deadlines that ran have done so.
+        """Schedule the reactor call unless a callback that ran has scheduled it.
 
-        A function of its own: mypyc takes an attribute that was set to None for None until the function ends,
-        whatever is called meanwhile, and a call that was armed would raise a TypeError.
+        This is a separate function because mypyc assumes that an attribute set to None stays None until the
+        function that set it returns, even if a function called in between changes it. Within `_fire`, a
+        reactor call scheduled in between would raise a TypeError.
         """
         if self._reactor_call is None:
             self._arm()
 
 
 class ConnectionTimeout:
-    """The time-out of one connection, which is set anew with every request.
+    """The time-out of one connection, which is reset with every request.
 
-    Its deadline stays where it is in the heap while the time-out moves later, and is scheduled again when it
-    comes due too soon: to set the time-out anew then costs no more than to note the time.
+    When the time-out moves later, its deadline keeps its place in the heap, and is scheduled again if it
+    comes due before the time-out. Resetting the time-out then only stores the new time.
     """
 
     __slots__ = ("_callback", "_deadline", "_deadline_at", "_deadlines", "at")
@@ -179,7 +180,7 @@
         self._callback: Callable[[], None] | None = None
 
     def set(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Run a callback after a delay, in place of the one set before."""
+        """Run a callback after a delay in milliseconds, replacing the callback set before."""
         self.at = self._deadlines.now() + delay_ms
         self._callback = callback
         if self._deadline is None or self._deadline_at > self.at:
@@ -187,11 +188,11 @@
             self._schedule()
 
     def clear(self) -> None:
-        """Run no callback until the time-out is set anew."""
+        """Disable the time-out until it is set again."""
         self.at = math.inf
 
     def cancel(self) -> None:
-        """Run no callback, and leave nothing in the heap: the connection has ended."""
+        """Disable the time-out and cancel its deadline, because the connection has ended."""
         self.clear()
         self._deadlines.cancel(self._deadline)
         self._deadline = None
--- a/meadowpulley/net/discovery_call.py
+++ b/meadowpulley/net/discovery_call.py
@@ -1,4 +1,4 @@
-"""One call to discovery: from the connection, opened if need be, to decoded JSON, within one time-out."""
+"""A single call to discovery: opens a connection if needed, sends the request and decodes the response."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """What a call asks for. Durations are milliseconds."""
+    """The parameters of a call. Durations are milliseconds."""
 
-    target: str  # path and query
-    wait_ms: float  # how long discovery may wait for changes before it answers
-    timeout_ms: float  # until the call is given up
+    target: str  # path and query of the HTTP request
+    wait_ms: float  # maximum time that discovery waits for changes before it answers
+    timeout_ms: float  # time until the call is abandoned, from its start
 
 
 @dataclass(frozen=True, slots=True)
 class CallReport:
-    """What is known of a call that has ended. Times are milliseconds."""
+    """Facts about a call that has ended. Times are milliseconds."""
 
     request: CallRequest
-    started_at: float  # on the gateway's clock
+    started_at: float  # time on the gateway's clock
     elapsed_ms: float
-    was_sent: bool  # the request was handed to a connection that discovery accepted
-    lists_applied_at_send: int  # how many lists had been applied when the request was written
+    was_sent: bool  # whether the request was passed to an established connection
+    lists_applied_at_send: int  # number of lists that had been applied when the request was sent
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """Why a call brought no list."""
+    """Why a call returned no usable list."""
 
     reason: str
-    kind: EndpointUpdateKind  # FAILED, TIMED_OUT, or BROKEN where discovery may have answered
+    kind: EndpointUpdateKind  # TIMED_OUT, BROKEN if discovery may have answered, else FAILED
     report: CallReport
 
 
 class DiscoveryCallOwner(Protocol):
-    """What a call needs of the client that makes it."""
+    """The part of the discovery client that a call uses."""
 
     @property
     def gateway(self) -> GatewayContext:
@@ -60,28 +60,28 @@
 
     @property
     def idle_connection(self) -> IdleConnectionSlot:
-        """The connection for the next call, if there is one."""
+        """The slot that may hold an idle connection for the next call."""
 
     @property
     def lists_applied(self) -> int:
-        """How many lists have been applied so far."""
+        """The number of lists applied so far."""
 
 
 class CallReceiver(Protocol):
-    """Who learns how a call goes."""
+    """Receives the progress and the result of a call."""
 
     def call_sent(self, request: CallRequest) -> None:
-        """Handle that the request was handed to a connection."""
+        """Handle that the request was passed to a connection."""
 
     def call_succeeded(self, raw: object, report: CallReport) -> None:
         """Handle the decoded JSON of the response."""
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Handle that no JSON was received."""
+        """Handle a call that returned no JSON."""
 
 
 class DiscoveryCall:
-    """Asks discovery once, and reports success or failure exactly once unless it is cancelled."""
+    """Calls discovery once, and reports success or failure exactly once unless it is cancelled."""
 
     def __init__(self, owner: DiscoveryCallOwner, request: CallRequest, receiver: CallReceiver) -> None:
         self._owner = owner
@@ -99,7 +99,7 @@
     def start(self) -> None:
         """Send the request, on a new connection if there is no idle one.
 
-        To be called once the owner has stored the call, which may fail before this returns.
+        Store the call before calling this method, since the call may fail before the method returns.
         """
         idle_connection = self._owner.idle_connection.take()
         if idle_connection is not None:
@@ -148,7 +148,7 @@
         try:
             raw = json.loads(message.body)
         except (ValueError, RecursionError):
-            self._fail("no JSON", connection, EndpointUpdateKind.BROKEN)
+            self._fail("the response is not JSON", connection, EndpointUpdateKind.BROKEN)
             return
         self._complete()
         if connection is not None and connection.is_open:
@@ -158,16 +158,16 @@
     def _connection_failed(self, failure: Failure) -> None:
         self._connecting = None
         if not self._completed:
-            # Once the request was written, discovery may have answered it on the connection that broke.
+            # Once the request was sent, discovery may have answered it on the connection that broke.
             kind = EndpointUpdateKind.BROKEN if self._was_sent else EndpointUpdateKind.FAILED
             self._fail(failure.getErrorMessage(), None, kind)
 
     def _timed_out(self) -> None:
         connection = self._connection
-        if connection is not None and connection.has_unread_input():  # this gateway is late, not the response
+        if connection is not None and connection.has_unread_input():  # the response may be unread
             self._timeout = self._gateway.deadlines.after(PARTIAL_RESPONSE_TIMEOUT_MS, self._timed_out)
             return
-        self._fail("no response in time", connection, EndpointUpdateKind.TIMED_OUT)
+        self._fail("no response within the time-out", connection, EndpointUpdateKind.TIMED_OUT)
 
     def _report(self) -> CallReport:
         elapsed_ms = self._gateway.deadlines.now() - self._started_at
--- a/meadowpulley/net/discovery_client.py
+++ b/meadowpulley/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: keeps the endpoint list up to date for the connection pools and the policy.
+"""The discovery client: keeps the endpoint list up to date for the connection pools and the policy.
 
 `endpoint_watch` and `endpoint_fetch` decide when to call, `discovery_call` makes the calls, `endpoint_list`
 decodes the lists, and `current_endpoint_list` applies them. This module connects them.
@@ -21,7 +21,7 @@
 class DiscoveryClient:
     """Keeps the endpoint list up to date, and dispatches an `EndpointUpdate` for each change or failure.
 
-    `clock_offset_ms` is what Unix time is ahead of the gateway's clock.
+    `clock_offset_ms` is Unix time minus the time on the gateway's clock, in milliseconds.
     """
 
     def __init__(self, gateway: GatewayContext, registry: EndpointRegistry, clock_offset_ms: float) -> None:
@@ -34,11 +34,11 @@
 
     @property
     def lists_applied(self) -> int:
-        """How many lists have been applied so far."""
+        """The number of lists applied so far."""
         return self.current_list.lists_applied
 
     def start(self) -> None:
-        """Apply the list that the configuration holds, and watch unless the policy has to ask for it."""
+        """Apply the configuration's cached list, and open a watch unless the settings require polling."""
         cached_endpoints = self.gateway.config.cached_endpoints
         if cached_endpoints is not None:
             self._apply_cached(cached_endpoints)
@@ -52,22 +52,22 @@
         self.idle_connection.discard()
 
     def address_changed(self) -> None:
-        """Make the calls under way anew, at the address that the configuration names now."""
+        """Restart the calls in progress at the address in the current configuration."""
         self.idle_connection.discard()
         self._watch.reset_backoff()
         self._fetch.restart()
         self._watch.reopen()
 
     def watch(self, enabled: bool) -> None:
-        """Start a watch anew, or end it."""
+        """Restart the watch, or end it."""
         self._watch.set_enabled(enabled)
 
     def fetch(self) -> None:
-        """Request the whole list once, unless it has been requested already."""
+        """Request the whole list once, unless such a request is in progress."""
         self._fetch.start()
 
     def apply_response(self, raw: object, report: CallReport) -> None:
-        """Apply the list of a response.
+        """Apply the endpoint list of a response.
 
         Raises:
             DiscoveryError: the list is malformed; nothing changes.
@@ -79,8 +79,9 @@
         except StaleListError:
             self.gateway.counters.add("discovery.stale_lists")
             raise
-        # A call without a wait is answered as of its arrival at the earliest; one with a wait once it is
-        # over, or once anything changes. How long the response was under way is not known.
+        # The response to a call without a wait includes at least all changes up to the start of the call.
+        # A call with a wait is answered at the end of the wait or at the first change. How long its response
+        # was in transit is unknown; LONG_POLL_GRACE_MS is taken as the maximum.
         waited_until = -math.inf
         if report.request.wait_ms:
             waited_until = self.gateway.deadlines.now() - LONG_POLL_GRACE_MS
@@ -104,12 +105,12 @@
         self.decoder.remove(removed_ids)
 
     def discard_malformed(self) -> None:
-        """Count a list that cannot be read, and close the connection that it came on."""
+        """Count a malformed list, and close the connection on which it was received."""
         self.gateway.counters.add("discovery.malformed")
         self.idle_connection.discard()
 
     def report_failure(self, failure: CallFailure) -> None:
-        """Log a call without a usable list, and notify the policy; the list in use stays as it is."""
+        """Log a call without a usable list, and notify the policy; the list in use does not change."""
         current_list = self.current_list
         self.gateway.counters.add("discovery.failed_calls")
         self.gateway.log.warning(
--- a/meadowpulley/net/discovery_connection.py
+++ b/meadowpulley/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery: a request at a time, and the idle connection kept for the next request."""
+"""Connections to discovery, which carry one request at a time, and the slot for an idle connection."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from meadowpulley.net.endpoint_list import DiscoveryError
 from meadowpulley.net.http1 import BadMessageError, Message, Parser, request_bytes
 
-# For the rest of a response that has begun: discovery writes it in one piece.
+# How long the rest of a partly received response may take. Discovery writes each response in one piece.
 PARTIAL_RESPONSE_TIMEOUT_MS = 500.0
-MAX_LIST_BYTES = 8 * 1024 * 1024  # a list of thousands of instances
+MAX_LIST_BYTES = 8 * 1024 * 1024  # 8 MiB: enough for a list of thousands of instances
 MAX_REQUEST_BYTES = 4096
 
 
 class DiscoveryConnection(Connection):
-    """Sends one request at a time; the Deferred of each fires with its response or a DiscoveryError."""
+    """Sends one request at a time; its Deferred fires with the response or a DiscoveryError."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         super().__init__(deadlines, MAX_LIST_BYTES, MAX_REQUEST_BYTES)
@@ -28,18 +28,18 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the next request may use it: it is open, and nothing has come that was not asked for."""
+        """Whether the next request may use the connection: it is open and holds no unrequested input."""
         return self.is_open and not self.parser.has_partial_message and not self.has_unread_input()
 
     def request(self, target: str) -> Deferred[Message]:
-        """Send a GET request for a target."""
+        """Send a GET request for a target (path and query)."""
         response: Deferred[Message] = Deferred()
         self.response = response
         self.send(request_bytes("GET", target, {"host": protocol.DISCOVERY_HOST}))
         return response
 
     def received(self) -> None:
-        """Deliver a complete response, and time the rest of an incomplete one."""
+        """Deliver a complete response, or start the time-out for the rest of a partial one."""
         try:
             message = self.parser.next_message()
         except BadMessageError as error:
@@ -52,23 +52,23 @@
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_overdue)
 
     def closed(self) -> None:
-        """Deliver a response that the end of the connection completes; fail any other."""
+        """Deliver the response if the end of the connection completes it, otherwise fail the request."""
         message = self.parser.end_of_stream()
         if message is not None:
             self._deliver(message)
         else:
-            self._fail("the connection broke")
+            self._fail("the connection closed before the response was complete")
 
     def overflowed(self) -> None:
-        """Fail a response that is larger than any list."""
-        self._fail("the list is too long")
+        """Fail the request when its response exceeds the input buffer."""
+        self._fail("the response is too long")
         self.abort()
 
     def _response_overdue(self) -> None:
-        if self.has_unread_input():  # this gateway is late, not the rest of the response
+        if self.has_unread_input():  # the rest may have arrived unread: this gateway is late
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_overdue)
             return
-        self._fail("only part of a response")
+        self._fail("only part of the response arrived in time")
         self.abort()
 
     def _deliver(self, message: Message) -> None:
@@ -91,13 +91,13 @@
 
 
 class IdleConnectionSlot:
-    """Holds at most one idle connection, for the next request."""
+    """Holds at most one idle connection for reuse by the next request."""
 
     def __init__(self) -> None:
         self._connection: DiscoveryConnection | None = None
 
     def take(self) -> DiscoveryConnection | None:
-        """Return the connection if it can be reused, and hold none from then on."""
+        """Empty the slot; return its connection if it can be reused, otherwise close it and return None."""
         connection = self._connection
         self._connection = None
         if connection is None or connection.is_reusable:
@@ -106,12 +106,12 @@
         return None
 
     def put(self, connection: DiscoveryConnection) -> None:
-        """Hold a connection in place of the one held before, which is closed."""
+        """Store a connection; close the one that was stored before."""
         self.discard()
         self._connection = connection
 
     def discard(self) -> None:
-        """Close the connection that is held."""
+        """Close the stored connection and empty the slot."""
         connection = self._connection
         self._connection = None
         if connection is not None:
--- a/meadowpulley/net/endpoint_fetch.py
+++ b/meadowpulley/net/endpoint_fetch.py
@@ -1,4 +1,4 @@
-"""The fetch of the whole endpoint list, once, and what the watch and the fetch need of their client."""
+"""The one-time fetch of the whole endpoint list, and the client interface of the watch and the fetch."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 )
 from meadowpulley.net.endpoint_list import DiscoveryError, StaleListError
 
-# How long a call waits for its response. Longer than discovery keeps a call in its queue: one that is given
-# up just before its response costs discovery as much as one that is answered, and is made again.
+# How long a call without a wait may take. This is longer than discovery queues a call: a call abandoned just
+# before its response costs discovery as much as an answered call, and is then repeated.
 RESPONSE_GRACE_MS = 4_000.0
 FETCH_REQUEST = CallRequest(protocol.ENDPOINTS_PATH, wait_ms=0.0, timeout_ms=RESPONSE_GRACE_MS)
 
 
 class EndpointListClient(DiscoveryCallOwner, Protocol):
-    """What a watch or fetch of the endpoint list needs of the client of discovery."""
+    """The part of the discovery client that the watch and the fetch of the endpoint list use."""
 
     @property
     def current_list(self) -> CurrentEndpointList:
         """The endpoint list in use."""
 
     def apply_response(self, raw: object, report: CallReport) -> None:
-        """Apply the list of a response. Raises DiscoveryError or StaleListError, and then changes nothing."""
+        """Apply the list of a response. Changes nothing if it raises DiscoveryError or StaleListError."""
 
     def discard_malformed(self) -> None:
-        """Count a list that cannot be read, and close the connection that it came on."""
+        """Count a malformed list, and close the connection on which it was received."""
 
     def report_failure(self, failure: CallFailure) -> None:
         """Log a call without a usable list, and notify the policy."""
 
 
 class EndpointFetch:
-    """Requests the whole list; one call at a time."""
+    """Requests the whole list on demand, with at most one call in progress."""
 
     def __init__(self, client: EndpointListClient) -> None:
         self._client = client
         self._call: DiscoveryCall | None = None
 
     def start(self) -> None:
-        """Request the whole list once, unless it has been requested already."""
+        """Request the whole list once, unless a call is in progress."""
         if self._call is not None:
             return
         self._client.gateway.counters.add("discovery.fetches")
@@ -55,19 +55,19 @@
         self._call.start()
 
     def restart(self) -> None:
-        """Make the call under way anew, if there is one."""
+        """Restart the call in progress, if there is one."""
         if self._call is not None:
             self.cancel()
             self.start()
 
     def cancel(self) -> None:
-        """End the call under way without an update."""
+        """End the call in progress without an update of the list."""
         if self._call is not None:
             self._call.cancel()
             self._call = None
 
     def call_sent(self, request: CallRequest) -> None:
-        """Do nothing: a fetch does not wait for changes."""
+        """Do nothing: discovery answers a fetch without waiting for changes."""
 
     def call_succeeded(self, raw: object, report: CallReport) -> None:
         """Apply the list, or fetch it again if it may be stale."""
--- a/meadowpulley/net/endpoint_list.py
+++ b/meadowpulley/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Decoding of discovery's endpoint lists into the policy's terms. No I/O here."""
+"""Decoding of discovery's endpoint lists into the policy's types, without I/O."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 
 
 class DiscoveryError(NetError):
-    """Discovery gave no list: it is out of reach or failed, or its answer cannot be read."""
+    """Discovery returned no usable list: it is unreachable or failed, or its response is malformed."""
 
 
 class StaleListError(NetError):
-    """A list may be older than one that was applied before it."""
+    """A list may be older than one that was already applied."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerIncarnation:
-    """What tells a server from one that was at its address before."""
+    """Distinguishes a server from an earlier one at the same address."""
 
     build: int
-    started_ms: float  # on the gateway's clock
+    started_ms: float  # time on the gateway's clock in milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An instance as discovery describes it; a removed one may have no address."""
+    """An instance as described by discovery; a removed instance may have no address."""
 
     entry: ServerEntry
     address: Address | None
 
     @property
     def is_removed(self) -> bool:
-        """Whether discovery says that the instance is gone."""
+        """Whether discovery lists the instance as removed."""
         return self.entry.state is ServerState.REMOVED
 
     @property
     def incarnation(self) -> ServerIncarnation:
-        """Which incarnation of the server is meant."""
+        """The incarnation of the server that this entry describes."""
         return ServerIncarnation(self.entry.build, self.entry.started_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A decoded list: all endpoints of a version if it is a snapshot, else those that changed since another.
+    """A decoded list: a snapshot of all endpoints, or those that changed since an earlier version.
 
-    No two endpoints are of the same instance.
+    It holds at most one endpoint for each instance.
     """
 
     is_snapshot: bool
@@ -61,19 +61,19 @@
 
     @property
     def removed_ids(self) -> set[int]:
-        """The numbers of the instances that the list names as gone."""
+        """The numbers of the instances that the list marks as removed."""
         return {endpoint.entry.server for endpoint in self.endpoints if endpoint.is_removed}
 
     @property
     def present_ids(self) -> set[int]:
-        """The numbers of the instances that the list names as ready or draining."""
+        """The numbers of the instances that the list marks as ready or draining."""
         return {endpoint.entry.server for endpoint in self.endpoints if not endpoint.is_removed}
 
 
 class EndpointListDecoder:
-    """Decodes lists, and keeps which number stands for which instance, zone and kind of machine.
+    """Decodes lists, and keeps the numbers assigned to instances, zones and machine kinds.
 
-    `clock_offset_ms` is what Unix time is ahead of the gateway's clock.
+    `clock_offset_ms` is Unix time minus the time on the gateway's clock, in milliseconds.
     """
 
     def __init__(self, settings: Settings, clock_offset_ms: float) -> None:
@@ -84,7 +84,7 @@
         self._assigned_ids: set[int] = set()
 
     def server_id(self, name: str) -> int:
-        """Return an instance's number: the same at every gateway, since they gossip about servers by it."""
+        """Return an instance's number, equal at all gateways because gossip identifies servers by it."""
         if name not in self.server_ids:
             server_id = zlib.crc32(name.encode())
             while server_id in self._assigned_ids:
@@ -94,30 +94,30 @@
         return self.server_ids[name]
 
     def remove(self, removed_ids: Set[int]) -> None:
-        """Forget instances by their numbers."""
+        """Release the numbers of removed instances."""
         self.server_ids = {
             name: server_id for name, server_id in self.server_ids.items() if server_id not in removed_ids
         }
         self._assigned_ids -= removed_ids
 
     def decode(self, raw: object) -> EndpointList:
-        """Decode a list; of several entries with one name the last counts.
+        """Decode a list; of several entries with the same name, the last one counts.
 
         Raises:
-            DiscoveryError: the list is malformed. No number is kept for a name that only this list holds.
+            DiscoveryError: the list is malformed. Numbers assigned to its new names are released.
         """
         known_count = len(self.server_ids)
         try:
-            return self._decode_list(require_object(raw, "the list"))
+            return self._decode_list(require_object(raw, "the endpoint list"))
         except FIELD_ERRORS as error:
             new_ids = list(self.server_ids.values())[known_count:]
             self.remove(set(new_ids))
-            raise DiscoveryError(f"malformed list: {type(error).__name__}: {error}") from None
+            raise DiscoveryError(f"malformed endpoint list: {type(error).__name__}: {error}") from None
 
     def _decode_list(self, raw: JsonObject) -> EndpointList:
         is_snapshot = raw[protocol.LIST_IS_SNAPSHOT]
         if is_snapshot not in (True, False):
-            raise FieldError(f"'{protocol.LIST_IS_SNAPSHOT}' is {is_snapshot!r}")
+            raise FieldError(f"'{protocol.LIST_IS_SNAPSHOT}' is {is_snapshot!r}: expected true or false")
         version = int(raw[protocol.LIST_VERSION])
         endpoints = [self._decode_endpoint(entry) for entry in raw[protocol.LIST_ENDPOINTS]]
         last_by_server = {endpoint.entry.server: endpoint for endpoint in endpoints}
@@ -134,7 +134,7 @@
         name = raw[protocol.ENDPOINT_NAME]
         state = protocol.ENDPOINT_STATES[raw[protocol.ENDPOINT_STATE]]
         if not isinstance(name, str) or not name:
-            raise FieldError(f"'{protocol.ENDPOINT_NAME}' is {name!r}")
+            raise FieldError(f"'{protocol.ENDPOINT_NAME}' is {name!r}: expected a non-empty string")
         started_unix_ms = _finite_number(raw, protocol.ENDPOINT_STARTED, 0.0)
         weight = _finite_number(raw, protocol.ENDPOINT_WEIGHT, 1.0)
         return ServerEntry(
@@ -153,10 +153,10 @@
 def _finite_number(raw: JsonObject, field: str, default: float) -> float:
     value = float(raw.get(field, default))
     if not math.isfinite(value):
-        raise FieldError(f"'{field}' is {value}")
+        raise FieldError(f"'{field}' is {value}: expected a finite number")
     return value
 
 
 def _index_of(name: object, indexes: dict[str, int]) -> int:
-    """Return a name's index; names that the settings do not list get the ones after theirs."""
+    """Return a name's index; a name that the settings do not list gets the next free index."""
     return indexes.setdefault(str(name), len(indexes))
--- a/meadowpulley/net/endpoint_watch.py
+++ b/meadowpulley/net/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: long polls one after another, and retries after failed ones."""
+"""The watch of the endpoint list: consecutive long polls, with retries after failures."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from meadowpulley.net.endpoint_fetch import RESPONSE_GRACE_MS, EndpointListClient
 from meadowpulley.net.endpoint_list import DiscoveryError, StaleListError
 
-LONG_POLL_MS = 10_000.0  # how long a watch waits for changes, unless the settings ask for shorter polls
+LONG_POLL_MS = 10_000.0  # how long a call waits for changes, unless the settings set another interval
 MAX_LONG_POLL_MS = 60_000.0
-# How long a long poll waits for its response, beyond its wait: 2 s after the wait discovery counts a change
-# as notified, whether or not its response came, and the next call has to be answered by then.
+# How long the response to a long poll may take beyond its wait. From 2 s after the wait on, discovery counts
+# a change as notified even if the response never arrived, and the next call has to be answered by then.
 LONG_POLL_GRACE_MS = 1_500.0
-# After failed watches, where lists are pushed. Discovery counts changes as notified once it is back, and
-# after the drain grace of the settings nothing may be sent to a draining server: the longest backoff is half
-# of that grace at most, so that the other half is left for the call itself.
+# The backoff after a failed watch, where lists are pushed. A recovered discovery counts changes as notified
+# at once, and nothing may be sent to a draining server once the drain grace of the settings has passed. The
+# longest backoff is at most half of that grace, which leaves the other half for the call itself.
 FIRST_BACKOFF_MS = 500.0
 LONGEST_BACKOFF_MS = 4_000.0
-RETRY_JITTER = (0.5, 1.0)  # factors of the backoff, drawn uniformly
-NO_WAIT_MS = 0.0  # of a call that is answered at once
+RETRY_JITTER = (0.5, 1.0)  # the backoff is multiplied by a factor drawn uniformly from this range
+NO_WAIT_MS = 0.0  # discovery answers a call with this wait at once
 
 
 class EndpointWatch:
@@ -35,7 +35,7 @@
         self._call: DiscoveryCall | None = None
         self._enabled = False  # whether the policy wants a watch
         self._consecutive_failures = 0
-        self._retry: Deadline | None = None  # after a failed watch
+        self._retry: Deadline | None = None  # the pending retry after a failed watch
         rules = self._gateway.config.settings.rules
         longest_backoff_ms = min(rules.drain_grace_ms / 2 or LONGEST_BACKOFF_MS, LONGEST_BACKOFF_MS)
         self._backoff = Backoff(FIRST_BACKOFF_MS, longest_backoff_ms)
@@ -43,9 +43,9 @@
         self._random = random.Random(self._gateway.config.seed)
 
     def set_enabled(self, enabled: bool) -> None:
-        """Start a watch anew, or end it. The first call of a watch is answered at once."""
+        """Restart the watch, or end it. Discovery answers the first call of a watch at once."""
         self._enabled = enabled
-        # A retry that was left pending cancelled the newer watch, or opened one that nobody wanted.
+        # A retry left pending would later cancel the newer watch, or open a watch that the policy had ended.
         self._gateway.deadlines.cancel(self._retry)
         if self._call is not None:
             self._call.cancel()
@@ -56,11 +56,11 @@
             self._open(NO_WAIT_MS)
 
     def reset_backoff(self) -> None:
-        """Retry after the next failure as if no call had failed yet."""
+        """Reset the count of consecutive failures, so that the next retry has no backoff."""
         self._consecutive_failures = 0
 
     def reopen(self) -> None:
-        """Open the watch anew, if the policy wants one."""
+        """Restart the watch if the policy wants one."""
         if self._enabled:
             self.set_enabled(True)
 
@@ -81,13 +81,13 @@
         self._call.start()
 
     def call_sent(self, request: CallRequest) -> None:
-        """Notify the policy that discovery has a call which waits for changes."""
+        """Notify the policy that a call which waits for changes was sent."""
         if request.wait_ms > 0:
             confirmed_at = self._client.current_list.confirmed_at
             self._gateway.dispatch(EndpointWatchOpened(request.wait_ms, confirmed_at))
 
     def call_succeeded(self, raw: object, report: CallReport) -> None:
-        """Apply the list and wait for the next changes; ask again at once for one that may be stale."""
+        """Apply the list and wait for further changes; request a list that may be stale again at once."""
         self._call = None
         try:
             self._client.apply_response(raw, report)
@@ -98,20 +98,20 @@
             self._client.discard_malformed()
             self.call_failed(CallFailure(str(error), EndpointUpdateKind.BROKEN, report))
             return
-        except Exception:  # noqa: BLE001  # a fault of ours: the list was not applied, and nobody else would request it again
+        except Exception:  # noqa: BLE001  # a bug here: the list was not applied and must be requested again
             self._gateway.log_fault("discovery")
             if self._call is None:
-                self.call_failed(CallFailure("a fault of this gateway", EndpointUpdateKind.BROKEN, report))
+                self.call_failed(CallFailure("the list was not applied", EndpointUpdateKind.BROKEN, report))
             return
         self._consecutive_failures = 0
         if self._call is None and self._enabled and not self._gateway.stopping:
             self._open(self._long_poll_ms)
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Report the failure, and where lists are pushed open the watch again after a backoff."""
+        """Report the failure; where lists are pushed, schedule a retry of the watch."""
         self._call = None
         self._client.report_failure(failure)
-        if self._call is not None or not self._enabled:  # the policy reacted to the failure
+        if self._call is not None or not self._enabled:  # the policy restarted or ended the watch
             return
         if not self._gateway.config.settings.must_poll and not self._gateway.stopping:
             self._schedule_retry(failure.kind)
@@ -119,7 +119,7 @@
     def _schedule_retry(self, kind: EndpointUpdateKind) -> None:
         backoff_ms = self._backoff.delay_ms(self._consecutive_failures)
         if kind is EndpointUpdateKind.TIMED_OUT:
-            # It took seconds to find, at another time at each gateway: the retry is late already.
+            # The time-out took seconds and ended at a different time at each gateway: retry without delay.
             backoff_ms = 0.0
         else:
             self._consecutive_failures += 1
--- a/meadowpulley/net/errors.py
+++ b/meadowpulley/net/errors.py
@@ -1,4 +1,4 @@
-"""The root of the errors of the gateway on sockets."""
+"""The base class of the errors of the gateway's network layer."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class NetError(MeadowpulleyError):
-    """The base of all errors of the gateway on sockets."""
+    """The base class of all errors of the gateway's network layer."""
--- a/meadowpulley/net/extension.py
+++ b/meadowpulley/net/extension.py
@@ -1,14 +1,15 @@
-"""The extension point beside request admission: an optional object at `Gateway.extension`, None by default.
+"""The extension point for request handling: an optional object at `Gateway.extension`, None by default.
 
-An extension sees each request before the policy and each final response before its client. It may answer a
-request itself, hold a response until that is recorded, and let work continue without its client. It uses
+An extension receives each request before the policy does and each final response before the client does. It
+may answer a request itself, delay a response until it has recorded it, and let a request continue after its
+client has disconnected. It uses
 `RequestTable.complete` to answer a request, `RequestAdmission.adopt` to take over a request without a client
 connection, `Gateway.register_action` to add action types, and `Gateway.dispatch` with events of any type for
-the stages of `Gateway.pipeline`. Without an extension all of this costs the test of one attribute.
+the stages of `Gateway.pipeline`. Without an extension, the only cost is the check of one attribute.
 
-Methods are called in the reactor's thread and must not block. Exceptions are logged and counted as
-`fault.extension` (those of `on_request` as `fault.admission`, which fails the request), and the gateway
-continues as without the extension.
+The methods are called in the reactor's thread and must not block. An exception is logged and counted as
+`fault.extension`, and the gateway continues as it would without an extension. An exception in `on_request`
+counts as `fault.admission` and fails the request.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A final response. `headers` holds end-to-end headers only: none on the connection or the length."""
+    """A final response. `headers` omits headers about the connection and the content length."""
 
     status: int
     headers: dict[str, str]
@@ -32,43 +33,43 @@
 
 @dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """A request as it was accepted. Times are milliseconds on the gateway's clock."""
+    """A newly accepted request. Times are milliseconds on the gateway's clock."""
 
     request_id: str  # chosen by the client
-    event: Request  # as the policy sees it: handle, class, tenant, key and deadline
-    message: Message  # as received: method, path with query, headers, body
+    event: Request  # the policy's view: handle, class, tenant, key and deadline
+    message: Message  # the received HTTP message: method, path with query, headers and body
     arrived_ms: float
-    is_duplicate: bool  # another request with the same id still awaits its response here
+    is_duplicate: bool  # another request with this id is open at this gateway
 
 
 ReleaseResponse: TypeAlias = Callable[[Response], None]
 
 
 class Extension(Protocol):
-    """Callbacks of an extension. Requests are named by their handles in the request table."""
+    """The callbacks of an extension, which identify requests by their handles in the request table."""
 
     def on_request(self, incoming: IncomingRequest) -> bool:
-        """Return whether the policy shall handle a client's request.
+        """Return whether the policy handles a client's request.
 
-        If not, the extension answers it: it has called `RequestTable.complete`, or will. Unanswered by its
-        deadline and slack, the request gets 504; if its client disconnects, the policy receives
-        `ClientDisconnected` as for any other. A duplicate is never started a second time: where the extension
-        returns True it gets 409.
+        If not, the extension answers it: it has called `RequestTable.complete` or will call it later. A
+        request that is unanswered at its deadline plus slack gets 504. If its client disconnects, the policy
+        receives `ClientDisconnected` as for any other request. A duplicate is never started a second time: if
+        the extension returns True for it, it gets 409.
         """
 
     def on_response(self, handle: int, response: Response, release: ReleaseResponse) -> None:
-        """Receive the final response of a request before its client does.
+        """Receive the final response of a request before it is sent to the client.
 
-        It is sent once `release` is called with it or with a replacement, at the latest at the request's
-        deadline and slack. Not called for requests that the extension completed. The handle may be free by
-        now.
+        The response is sent once `release` is called with it or with a replacement, and at the latest at the
+        request's deadline plus slack. This method is not called for requests that the extension completed.
+        The handle may have been freed already.
         """
 
     def on_client_disconnected(self, handle: int) -> bool:
-        """Return whether work on a request continues after its client has disconnected.
+        """Return whether a request continues after its client has disconnected.
 
-        If so, nobody else is notified, and its response goes to `on_response` as any other.
+        If so, the policy is not notified, and the response is passed to `on_response` as usual.
         """
 
     def on_draining(self) -> None:
-        """Note that the gateway begins to drain; called before any connection is closed for that."""
+        """Handle the start of draining, before any connection is closed because of it."""
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: its phases, and the place where events reach the policy and its actions are carried out."""
+"""The gateway: its phases, the dispatch of events to the policy, and the execution of actions."""
 
 from __future__ import annotations
 
@@ -54,20 +54,20 @@
 
     from meadowpulley.net.capture import Capture
 
-RESERVED_SOCKETS = 32  # for the program itself, the platform, discovery and connections that are ending
-# The share of the other sockets that clients may use. Client connections with a request take a third of all
-# sockets, and the rest of this share is for idle ones.
+RESERVED_SOCKETS = 32  # for the process itself, the platform, discovery and closing connections
+# The fraction of the unreserved sockets that client connections may use. Client connections with a request
+# take a third of all sockets, and the rest of this fraction is for idle client connections.
 CLIENT_SOCKET_FRACTION = 0.58
-DRAIN_ACCEPT_MS = 700.0  # after SIGTERM, while connections still arrive
-TIMER_RETRY_MS = 1000.0  # until a timer event on which the policy raised an exception is repeated
+DRAIN_ACCEPT_MS = 700.0  # new connections are accepted for this long after SIGTERM, as they still arrive
+TIMER_RETRY_MS = 1000.0  # delay before a timer event is repeated on which the policy raised
 
-# The table of handlers holds one type of action for each handler, which a dict's type can't say.
+# The argument is Any: each handler takes its own action type, which a dict's type can't express.
 ActionHandler: TypeAlias = Callable[[Any], None]
 ActionT = TypeVar("ActionT")
 
 
 class ActionHandlerExistsError(NetError):
-    """An action type was given a second handler."""
+    """A second handler was registered for an action type."""
 
     def __init__(self, action_type: type) -> None:
         super().__init__(
@@ -77,7 +77,7 @@
 
 
 class GatewayPhase(Enum):
-    """The phases of a gateway, in order. A gateway that is stopped while it starts skips those between."""
+    """The phases of a gateway, in order. A gateway stopped while STARTING goes directly to STOPPED."""
 
     STARTING = "starting"
     READY = "ready"
@@ -88,8 +88,8 @@
 class Gateway:
     """One gateway: its components, its phases and its event loop.
 
-    `pipeline` is the outermost stage round the policy: stages may be wrapped round it before the start.
-    `extension` and `capture` are None unless something sets them.
+    `pipeline` is the outermost stage around the policy; further stages may be wrapped around it before the
+    start. `extension` and `capture` are None unless they are set after construction.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         clock: Callable[[], float] = now_ms,
     ) -> None:
         self.config = config
-        # Only gossip needs datagrams. Where it is off, a reactor without them will do.
+        # Only gossip needs datagrams, so a reactor without datagram support suffices while gossip is off.
         self.reactor = cast(GatewayReactor, reactor)
         self.log = log
         self._load_config = load_config
@@ -113,11 +113,11 @@
         self._dispatching = False
         self._accepting = True
         self._policy = create_policy(config.settings, config.seed)
-        self.pipeline: Any = self._policy  # Any: each stage adds event and action types of its own
+        self.pipeline: Any = self._policy  # Any, since each stage adds its own event and action types
         available = config.max_sockets - RESERVED_SOCKETS
         client_sockets = int(available * CLIENT_SOCKET_FRACTION)
         instance_sockets = available - client_sockets
-        # A request is answered on a client's connection, or outlives it on an instance's.
+        # Each request holds a client connection, or an instance connection after its client has disconnected.
         self.requests = RequestTable(self, client_sockets + instance_sockets)
         self.admission = RequestAdmission(self, self.requests)
         self.clients = ClientListener(self, self.admission, self.requests, client_sockets)
@@ -149,7 +149,7 @@
     def _log_event(self, event: LogEvent) -> None:
         self.log.info(event.event_name, **log_fields(event))
 
-    # Phases
+    # Phases of the gateway
 
     @property
     def ready(self) -> bool:
@@ -171,12 +171,12 @@
         self.gossip.start()
 
     def listen(self) -> None:
-        """Become ready, even while discovery and the platform are unreachable.
+        """Start listening and become ready, even while discovery and the platform are unreachable.
 
-        Call it in a turn of the reactor: connections in the backlog count as accepted and must not wait for
-        the rest of the start.
+        Call it in a turn of the reactor: connections in the backlog count as accepted, and must not wait for
+        the rest of the startup.
         """
-        if self.phase is not GatewayPhase.STARTING:  # stopped before it was ready
+        if self.phase is not GatewayPhase.STARTING:  # the gateway was stopped before it was ready
             return
         self.clients.listen()
         self.phase = GatewayPhase.READY
@@ -185,7 +185,7 @@
 
     def drain(self) -> None:
         """Begin a graceful shutdown: answer all accepted requests, then stop."""
-        if self.phase is GatewayPhase.STARTING:  # nothing was accepted, and nothing will be
+        if self.phase is GatewayPhase.STARTING:  # no connection was accepted, and none will be
             self._stop()
         if self.phase is not GatewayPhase.READY:
             return
@@ -196,7 +196,7 @@
         if self.extension is not None:
             try:
                 self.extension.on_draining()
-            except Exception:  # noqa: BLE001  # a broken extension must not keep the gateway from draining
+            except Exception:  # noqa: BLE001  # a failing extension must not keep the gateway from draining
                 self.log_fault("extension")
         self.clients.drain()
         self.deadlines.after(DRAIN_ACCEPT_MS, self._stop_accepting)
@@ -207,7 +207,7 @@
         self.stop_if_drained()
 
     def stop_if_drained(self) -> None:
-        """Stop a draining gateway once it has no client connection and owes no response."""
+        """Stop a draining gateway once it has no client connections and no unanswered requests."""
         if self.phase is not GatewayPhase.DRAINING or self._accepting:
             return
         if not len(self.clients.connections) and not self.requests.open_ids:
@@ -222,10 +222,10 @@
         self.reactor.callLater(0, self.reactor.stop)
 
     def reload(self) -> None:
-        """Read the configuration again and take over the addresses of discovery and the platform.
+        """Read the configuration again and apply the addresses of discovery and the platform.
 
-        Nothing else changes: known endpoints and requests in flight stay as they are. This also works before
-        the gateway is ready, since discovery may have moved after the file was read.
+        Nothing else changes: known endpoints and requests in flight are kept. This also works before the
+        gateway is ready, since discovery may have moved after the file was read.
         """
         if self.stopping:
             return
@@ -245,7 +245,7 @@
             self.rollout_client.address_changed()
 
     def start_capture(self, capture: Capture, interval_ms: float) -> None:
-        """Record arriving requests from now on; the capture is flushed at the interval."""
+        """Record arriving requests from now on, and flush the capture every `interval_ms` milliseconds."""
         self.capture = capture
 
         def flush() -> None:
@@ -257,7 +257,7 @@
         self.deadlines.after(interval_ms, flush)
 
     def log_counters(self) -> None:
-        """Log all counters, at SIGUSR1 and at the end."""
+        """Log all counters; called on SIGUSR1 and when the program ends."""
         if self.capture is not None:
             self.log.info("load_capture_summary", written=self.capture.written, dropped=self.capture.dropped)
         dropped = self._policy.gossip.rejected_digests
@@ -267,7 +267,7 @@
         self.log.info("counters", phase=self.phase.value, **self.counters.snapshot(), **extra)
 
     def on_signal(self, number: int, _: FrameType | None) -> None:
-        """Handle a signal: what it asks for runs in the reactor's turn."""
+        """Handle a signal by scheduling its action for a turn of the reactor."""
         if number == signal.SIGUSR1:
             self.reactor.callFromThread(self.log_counters)
         elif number == signal.SIGHUP:
@@ -275,15 +275,15 @@
         else:
             self.reactor.callFromThread(self.drain)
 
-    # Events and actions
+    # Dispatch of events and execution of actions
 
     def log_fault(self, where: str) -> None:
-        """Log and count the exception that is being handled. `where` names the component."""
+        """Log and count the exception being handled. `where` names the component."""
         self.counters.add(f"fault.{where}")
         self.log.error(UNEXPECTED_EXCEPTION_EVENT, where=where, exc_info=True)
 
     def register_action(self, action_type: type[ActionT], handler: Callable[[ActionT], None]) -> None:
-        """Carry out actions of a type that stages of the pipeline add.
+        """Register the handler of an action type that a stage of the pipeline adds.
 
         Raises:
             ActionHandlerExistsError: the type has a handler already.
@@ -293,7 +293,7 @@
         self._actions[action_type] = handler
 
     def dispatch(self, event: object) -> None:
-        """Pass an event to the pipeline and carry out the resulting actions; one event at a time, in order.
+        """Pass an event to the pipeline and execute the resulting actions; one event at a time, in order.
 
         The event may be of any type that a stage of the pipeline handles.
         """
@@ -310,18 +310,18 @@
     def _handle(self, event: object) -> None:
         try:
             actions = self.pipeline.handle(self.deadlines.now(), event)
-        except Exception:  # noqa: BLE001  # a fault of a decision costs one request, and neither the others nor the process
+        except Exception:  # noqa: BLE001  # a failing decision may cost one request, but not the others or the process
             self.log_fault("policy")
             self._recover_from_failed_decision(event)
             return
         for action in actions:
             try:
                 self._actions[type(action)](action)
-            except Exception:  # noqa: BLE001  # the actions after this one belong to other requests
+            except Exception:  # noqa: BLE001  # later actions may belong to other requests
                 self.log_fault("action")
 
     def _recover_from_failed_decision(self, event: object) -> None:
-        """Answer the request on which the policy raised an exception, or repeat its timer later."""
+        """Answer the request whose event made the policy raise, or repeat a timer event later."""
         if isinstance(event, Request | Outcome):
             self.requests.decision_failed(event.request)
         elif isinstance(event, Timer):
--- a/meadowpulley/net/gateway_context.py
+++ b/meadowpulley/net/gateway_context.py
@@ -1,8 +1,8 @@
-"""The interface through which the gateway's components use the gateway that connects them.
+"""The interface through which components use the gateway that they are part of.
 
 Each component (`client_listener`, `request_admission`, `request_table`, `instance_pools`, `attempts`,
-`discovery_client`, `rollout_client`, `gossip`) receives a `GatewayContext` and, by name, the lower components
-that it uses. Only `gateway` knows all of them.
+`discovery_client`, `rollout_client`, `gossip`) receives a `GatewayContext` and, as separate arguments, the
+lower components that it uses. Only the module `gateway` references all of them.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class GatewayContext(Protocol):
-    """What a component may use of its gateway."""
+    """The part of the gateway that a component may use."""
 
     @property
     def config(self) -> Config:
-        """The current configuration. Read it anew for each use: a reload replaces it."""
+        """The current configuration. Read the property for each use, because a reload replaces its value."""
 
     @property
     def reactor(self) -> GatewayReactor:
@@ -51,7 +51,7 @@
 
     @property
     def extension(self) -> Extension | None:
-        """The extension that takes part in request handling; None unless one was installed."""
+        """The extension of request handling; None unless one was installed."""
 
     @property
     def ready(self) -> bool:
@@ -62,10 +62,10 @@
         """Whether the gateway has stopped."""
 
     def dispatch(self, event: Event) -> None:
-        """Pass an event to the pipeline and carry out the resulting actions; one at a time, in order."""
+        """Pass an event to the pipeline and execute the resulting actions; one event at a time, in order."""
 
     def log_fault(self, where: str) -> None:
-        """Log and count the exception that is being handled. `where` names the component."""
+        """Log and count the exception being handled. `where` names the component."""
 
     def stop_if_drained(self) -> None:
-        """Stop a draining gateway when nothing is left to answer. Call it whenever a connection has ended."""
+        """Stop a draining gateway that has no work left. Call this whenever a connection has ended."""
--- a/meadowpulley/net/gossip.py
+++ b/meadowpulley/net/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between gateways: one datagram a digest, where the settings allow it."""
+"""Gossip between gateways, if the settings enable it: each digest is sent as one datagram."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class GossipTransport(DatagramProtocol):
-    """Sends digests to other gateways, and dispatches those that come from a gateway of the tier."""
+    """Sends digests to other gateways, and dispatches digests received from configured gateways."""
 
     noisy = False
 
     def __init__(self, gateway: GatewayContext) -> None:
-        """Begin without a socket."""
+        """Create the transport without a socket; `start` opens it."""
         self.gateway = gateway
         self.gateway_ids = {address: index for index, address in enumerate(gateway.config.peers)}
         self.port: DatagramPort | None = None
 
     def start(self) -> None:
-        """Listen for datagrams, if the configuration names an address and the settings allow gossip."""
+        """Listen for datagrams if the configuration has an address and the settings enable gossip."""
         address = self.gateway.config.peer_listen
         if address is not None and self.gateway.config.settings.limits.gossip:
             host, port = address
@@ -34,14 +34,14 @@
             )
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Close the socket, if it is open."""
         port = self.port
         self.port = None
         if port is not None:
             port.stopListening()
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802 (Twisted's name)
-        """Dispatch a datagram; one that is too long or from an unknown sender is rejected."""
+        """Dispatch a datagram; reject it if it is too long or its sender is unknown."""
         self.gateway.deadlines.run_due()
         sender = self.gateway_ids.get((addr[0], addr[1]))
         if sender is None or len(datagram) > MAX_BYTES:
@@ -51,7 +51,7 @@
         self.gateway.dispatch(GossipReceived(sender, datagram))
 
     def send(self, action: SendGossip) -> None:
-        """Send a digest to one gateway or to all; a datagram may get lost, which is counted and no error."""
+        """Send a digest to one gateway or to all; count it if it cannot be sent, without raising."""
         address = self._address_of(action.peer)
         if self.port is None or address is None or len(action.data) > MAX_BYTES:
             self.gateway.counters.add("gossip.not_sent")
--- a/meadowpulley/net/interval_metrics.py
+++ b/meadowpulley/net/interval_metrics.py
@@ -1,7 +1,7 @@
-"""One log event `interval_metrics` a second: changes of counters, state of the policy. Off by default.
+"""Logs one event `interval_metrics` a second: counter changes and policy state. Off by default.
 
-The environment variable `MEADOWPULLEY_SECONDS` turns it on; `meadowpulley fleet-metrics` sums the events of a
-fleet.
+The environment variable `MEADOWPULLEY_SECONDS` turns the logging on; `meadowpulley fleet-metrics` adds up the
+events of a fleet.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 EVENT_NAME = "interval_metrics"
 INTERVAL_MS = 1000.0
-MAX_LOGGED_LIMIT = 1e6  # stands for a concurrency limit that is not reached yet, which JSON can't express
+MAX_LOGGED_LIMIT = 1e6  # logged for the infinite limit before its first decrease, since JSON has no infinity
 PROBABILITY_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutMetrics:
-    """The furthest state of the newest build's rollout."""
+    """The most advanced known state of the newest build's rollout."""
 
     build: int
     stage: int
@@ -36,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyMetrics:
-    """What a gateway's policy knows at one moment."""
+    """The state of a gateway's policy at one moment."""
 
-    endpoint_list_age_ms: int | None  # None while no list is confirmed
-    send_refusals: dict[str, int]  # by reason, since the start
-    sends_by_lease_basis: dict[str, int]  # since the start
-    servers: dict[str, int]  # by build and state
+    endpoint_list_age_ms: int | None  # None until a list is confirmed
+    send_refusals: dict[str, int]  # counts by reason, since the start of the gateway
+    sends_by_lease_basis: dict[str, int]  # counts by lease basis, since the start of the gateway
+    servers: dict[str, int]  # number of servers by build and state
     ejected_servers: int
     outstanding_attempts: int
     waiting_requests: int
@@ -53,7 +53,7 @@
 
 
 def policy_metrics(policy: RolloutPolicy, now: float) -> PolicyMetrics:
-    """Return the metrics of a policy at a time in ms."""
+    """Return the metrics of a policy at the time `now` in milliseconds."""
     servers = list(policy.servers.values())
     ready = [server for server in servers if server.state is ServerState.READY]
     states = Counter(f"{server.build}.{server.state.name.lower()}" for server in servers)
@@ -74,7 +74,7 @@
 
 
 def _finite_ms(duration_ms: float) -> int | None:
-    """Round a duration; None for one without end, which JSON can't express."""
+    """Round a duration; None for an infinite one, which JSON can't express."""
     return round(duration_ms) if math.isfinite(duration_ms) else None
 
 
@@ -85,15 +85,15 @@
 
 
 class BuildCounterStage:
-    """A stage of the pipeline that counts sends and outcomes by build, and changes nothing."""
+    """A pipeline stage that counts sends and outcomes by build, without changing events or actions."""
 
     def __init__(self, inner: RolloutPolicy, counters: Counters) -> None:
-        """Stand before a policy."""
+        """Wrap the policy `inner`."""
         self.inner = inner
         self._counters = counters
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Pass an event to the inner stage; count the outcome that it reports and the sends that result."""
+        """Pass an event to the inner stage; count a reported outcome and the resulting sends."""
         if isinstance(event, Outcome):
             self._count_outcome(event)
         actions = self.inner.handle(now, event)
@@ -114,10 +114,10 @@
 
 
 class IntervalMetrics:
-    """Logs the metrics of one gateway once per interval, from its start to its end."""
+    """Logs the metrics of one gateway every second until the gateway stops."""
 
     def __init__(self, gateway: Gateway) -> None:
-        """Begin with a gateway whose pipeline is the policy alone."""
+        """Add the counting stage to a gateway whose pipeline is still the policy alone."""
         self._gateway = gateway
         self._policy = gateway.pipeline
         gateway.pipeline = BuildCounterStage(gateway.pipeline, gateway.counters)
--- a/meadowpulley/net/json_fields.py
+++ b/meadowpulley/net/json_fields.py
@@ -1,4 +1,4 @@
-"""Decoded JSON of discovery and the platform, whose fields may be of any type until they are checked."""
+"""Types and checks for decoded JSON from discovery and the platform."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from meadowpulley.net.errors import NetError
 
-# Any: the sender chooses the type of each field. Parsers convert what they use, and catch FIELD_ERRORS.
+# The values are Any because the sender chooses the types: parsers convert fields and catch FIELD_ERRORS.
 JsonObject: TypeAlias = dict[str, Any]
 
-# What the conversion of a field raises that is missing, of a wrong type or out of range.
+# Exceptions raised by converting a field that is missing, of a wrong type or out of range.
 FIELD_ERRORS = (KeyError, TypeError, ValueError, OverflowError)
 
 
 class FieldError(NetError, ValueError):
-    """A field of a message holds what it may not; the text says which field and what it holds."""
+    """A field of a message has an invalid value; the message names the field and the value."""
 
 
 def require_object(raw: object, subject: str) -> JsonObject:
-    """Return decoded JSON that has to be an object. `subject` names it in the error.
+    """Return decoded JSON if it is an object. `subject` names it in the error message.
 
     Raises:
-        FieldError: it is not an object.
+        FieldError: the decoded JSON is not an object.
     """
     if not isinstance(raw, dict):
-        raise FieldError(f"{subject} is no JSON object")
+        raise FieldError(f"{subject} is not a JSON object")
     return raw
--- a/meadowpulley/net/log.py
+++ b/meadowpulley/net/log.py
@@ -1,4 +1,4 @@
-"""The gateway's log: a rate-limited line of JSON on standard error for each event."""
+"""The gateway's log: writes events to standard error as rate-limited lines of JSON."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 import structlog
 from structlog.typing import EventDict, FilteringBoundLogger, WrappedLogger
 
-UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # a fault of ours was caught, and the gateway goes on
-MAX_LINES_PER_SECOND = 20  # of each event name; the next line that is written counts the suppressed ones
-UNLIMITED_EVENTS = ("request_trace",)  # requested line by line by an operator: none of them is suppressed
+UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # logged when an exception from a bug was caught
+MAX_LINES_PER_SECOND = 20  # limit for each event name; the next written line has the suppressed count
+UNLIMITED_EVENTS = ("request_trace",)  # never suppressed, since an operator asked for every line
 
 
 class EventRateLimiter:
-    """A structlog processor that drops events which come too often, so that bad input cannot fill the log."""
+    """A structlog processor that drops events above a rate, so that bad input cannot flood the log."""
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Start with all counts at zero."""
         self._second = 0
         self._counts: dict[str, int] = {}
         self._suppressed: dict[str, int] = {}
 
     def __call__(self, _: WrappedLogger, __: str, event: EventDict) -> EventDict:
-        """Return the event, with the number of suppressed ones before it, or drop it."""
+        """Return the event with the number of events suppressed before it, or drop it."""
         name = str(event["event"])
         self._begin_second(int(time.monotonic()))
         self._counts[name] = self._counts.get(name, 0) + 1
@@ -42,10 +42,10 @@
 
 
 class StderrLogger:
-    """Write lines to standard error. Errors are ignored: an unread log must not stop the gateway."""
+    """Writes lines to standard error. Write errors are ignored: an unread log must not stop the gateway."""
 
     def msg(self, line: str) -> None:
-        """Write one line."""
+        """Write one line and flush it."""
         try:
             sys.stderr.write(line + "\n")
             sys.stderr.flush()
@@ -56,7 +56,7 @@
 
 
 def open_log(**fields: object) -> FilteringBoundLogger:
-    """Return a logger that adds `fields` to each of its lines."""
+    """Return a logger that adds `fields` to each of its events."""
     log: FilteringBoundLogger = structlog.wrap_logger(
         StderrLogger(),
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
--- a/meadowpulley/net/platform_connection.py
+++ b/meadowpulley/net/platform_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the platform: lines of JSON-RPC in and out, heartbeats and partial lines watched."""
+"""A connection to the platform: exchanges JSON-RPC lines, with time-outs for heartbeats and partial lines."""
 
 from __future__ import annotations
 
@@ -15,80 +15,80 @@
 
 MAX_LINE_BYTES = 8 * 1024
 MAX_BUFFERED_BYTES = MAX_LINE_BYTES + 64 * 1024
-# A heartbeat comes every second: the connection is dead after three are missed.
+# The platform sends a heartbeat every second: the connection counts as dead after three missed ones.
 HEARTBEAT_TIMEOUT_MS = 3_500.0
-# For the rest of a line that has begun: the platform writes lines in one piece.
+# How long the rest of a partly received line may take. The platform writes each line in one piece.
 PARTIAL_LINE_TIMEOUT_MS = 500.0
 
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A call that awaits its response; `vote` is None for the call that subscribes to notifications."""
+    """A call awaiting its response; `vote` is None for the call that subscribes to notifications."""
 
     number: int
     vote: Vote | None
-    written: bool = False  # the kernel has all of it
-    completed: bool = False  # its result has been dispatched
+    written: bool = False  # whether the kernel has accepted the whole call
+    completed: bool = False  # whether its result has been dispatched
     timeout: Deadline | None = None
 
 
 class PlatformConnectionOwner(Protocol):
-    """What a connection to the platform needs of the client that owns it."""
+    """The part of the owning client that a connection to the platform uses."""
 
     @property
     def gateway(self) -> GatewayContext:
         """The gateway that the client is part of."""
 
     def handle_line(self, connection: PlatformConnection, line: bytes) -> None:
-        """Handle one line, without its end."""
+        """Handle one received line, without its line end."""
 
     def protocol_error(self, connection: PlatformConnection, reason: str) -> None:
-        """Handle input that cannot be read: the connection is of no further use."""
+        """Handle malformed input, after which the connection cannot be used."""
 
     def connection_lost(self, connection: PlatformConnection) -> None:
-        """Handle the end of the connection, whoever ended it."""
+        """Handle the end of the connection, whichever side closed it."""
 
 
 class PlatformConnection(Connection):
-    """Sends calls one behind another and hands over the lines that come back."""
+    """Sends calls without waiting for earlier responses, and passes received lines to its owner."""
 
     def __init__(self, owner: PlatformConnectionOwner) -> None:
         super().__init__(owner.gateway.deadlines, MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES)
         self.owner = owner
-        self.pending_calls: deque[PendingCall] = deque()  # responses come in the order of the calls
-        self.retired = False  # the platform has moved: calls sent here are still answered here
-        self._scanned_bytes = 0  # of the input buffer, known to hold no line end
+        self.pending_calls: deque[PendingCall] = deque()  # in the order of sending and of the responses
+        self.retired = False  # the platform's address changed; earlier calls are still answered here
+        self._scanned_bytes = 0  # leading bytes of the input buffer without a line end
         self._line_started = False
 
     def opened(self) -> None:
-        """Start to watch for heartbeats."""
+        """Start the heartbeat time-out."""
         self._restart_heartbeat_timeout()
 
     def retire(self) -> None:
-        """Keep the connection only for the votes that await their responses on it."""
+        """Keep the connection only until the votes sent on it are answered; close it if there are none."""
         self.retired = True
         if not any(call.vote is not None and not call.completed for call in self.pending_calls):
             self.abort()
 
     def send_call(self, call: PendingCall, method: str, params: JsonObject | None) -> None:
-        """Send a call; its response is expected after those of the calls before it."""
+        """Send a call; its response is expected after those of all earlier calls."""
         self.pending_calls.append(call)
         self.send(encode_call(call.number, method, params))
 
     def flushed(self) -> None:
-        """Note that the kernel has taken all calls: from now on they may have been carried out."""
+        """Record that the kernel has accepted all calls: the platform may have executed them."""
         for call in self.pending_calls:
             call.written = True
 
     def received(self) -> None:
-        """Hand over every complete line, and time the rest of an incomplete one."""
+        """Pass every complete line to the owner, and start the time-out for the rest of a partial line."""
         while self.is_open:
             end = self.input_buffer.find(b"\n", self._scanned_bytes)
             if end < 0 and len(self.input_buffer) < MAX_LINE_BYTES:
                 self._await_line_end()
                 return
             if end < 0 or end >= MAX_LINE_BYTES:
-                self.owner.protocol_error(self, "line too long")
+                self.owner.protocol_error(self, "the line is too long")
                 return
             self._scanned_bytes = 0
             self._line_started = False
@@ -98,11 +98,11 @@
                 self.owner.handle_line(self, line)
 
     def closed(self) -> None:
-        """Notify the owner, once."""
+        """Notify the owner that the connection has ended."""
         self.owner.connection_lost(self)
 
     def abort(self) -> None:
-        """Close the connection at once; the owner is notified as of any other end."""
+        """Close the connection immediately and notify the owner, as after any other end."""
         was_open = self.is_open
         super().abort()
         if was_open:
@@ -115,16 +115,16 @@
             self.timeout.set(PARTIAL_LINE_TIMEOUT_MS, self._line_overdue)
 
     def _line_overdue(self) -> None:
-        if self.has_unread_input():  # this gateway is late, not the rest of the line
+        if self.has_unread_input():  # the rest may have arrived unread: this gateway is late
             self.timeout.set(PARTIAL_LINE_TIMEOUT_MS, self._line_overdue)
         else:
-            self.owner.protocol_error(self, "only part of a line")
+            self.owner.protocol_error(self, "only part of a line arrived in time")
 
     def _restart_heartbeat_timeout(self) -> None:
         self.timeout.set(HEARTBEAT_TIMEOUT_MS, self._heartbeat_overdue)
 
     def _heartbeat_overdue(self) -> None:
-        if self.has_unread_input():  # this gateway is late, not the platform
+        if self.has_unread_input():  # a heartbeat may have arrived unread: this gateway is late
             self._restart_heartbeat_timeout()
             return
         self.owner.gateway.counters.add("platform.heartbeat_timeouts")
--- a/meadowpulley/net/platform_connector.py
+++ b/meadowpulley/net/platform_connector.py
@@ -1,4 +1,4 @@
-"""Opening the connection to the platform, and opening it again after a backoff when it was lost."""
+"""Opens the connection to the platform, and reopens it after a backoff when it was lost."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from meadowpulley.net.platform_connection import PlatformConnection
 
 CONNECT_TIMEOUT_MS = 2_000.0
-STABLE_CONNECTION_MS = 1_000.0  # after a connection that lasted so long the next one is opened at once
+STABLE_CONNECTION_MS = 1_000.0  # a connection that lasted this long is replaced without backoff
 RECONNECT_BACKOFF = Backoff(first_ms=100.0, longest_ms=2_000.0)
-RECONNECT_JITTER = (0.5, 1.5)  # factors of the backoff, drawn uniformly
+RECONNECT_JITTER = (0.5, 1.5)  # the backoff is multiplied by a factor drawn uniformly from this range
 
 
 class PlatformConnector:
-    """Opens one connection at a time, made by `create`, and hands each open one to `on_connected`."""
+    """Opens one connection at a time with `create`, and passes it to `on_connected` once it is open."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         self._connecting: Deferred[PlatformConnection] | None = None
         self._connect_timeout: Deadline | None = None
         self._reconnect: Deadline | None = None
-        self._connect_started_at = -math.inf  # on the gateway's clock, in milliseconds
+        self._connect_started_at = -math.inf  # time on the gateway's clock in milliseconds
         self._consecutive_failures = 0
         self._random = random.Random(gateway.config.seed + 1)
 
     def connect(self) -> None:
-        """Open a connection to the address that the configuration names now, if it names one."""
+        """Open a connection to the platform's address in the current configuration, if there is one."""
         address = self._gateway.config.platform
         if address is None or self._gateway.stopping:
             return
@@ -54,7 +54,7 @@
         connecting.addErrback(lambda _: self._gateway.log_fault("platform"))
 
     def connect_later(self) -> None:
-        """Open a connection again after the backoff; at once if the last one was stable."""
+        """Schedule a new connection after the backoff, or immediately if the last one was stable."""
         if self._gateway.stopping:
             return
         lasted_ms = self._gateway.deadlines.now() - self._connect_started_at
@@ -67,15 +67,15 @@
         self._reconnect = self._gateway.deadlines.after(delay_ms, self.connect)
 
     def restart(self) -> None:
-        """Abandon what is under way and connect at once, as if no connection had failed yet."""
+        """Cancel a pending connection or retry, reset the backoff, and connect at once."""
         if self._connecting is not None:
-            self._connecting.cancel()  # its failure schedules a reconnect, which the next line cancels
+            self._connecting.cancel()  # the cancelled attempt schedules a reconnect, cancelled below
         self._gateway.deadlines.cancel(self._reconnect)
         self._consecutive_failures = 0
         self.connect()
 
     def stop(self) -> None:
-        """Abandon what is under way."""
+        """Cancel a pending connection attempt or retry."""
         self._gateway.deadlines.cancel(self._reconnect)
         if self._connecting is not None:
             self._connecting.cancel()
--- a/meadowpulley/net/platform_messages.py
+++ b/meadowpulley/net/platform_messages.py
@@ -1,6 +1,6 @@
-"""Parsing of the platform's JSON-RPC messages into events of the policy.
+"""Parsing of the platform's JSON-RPC messages into events of the policy, and encoding of calls.
 
-No I/O here. Every function raises `MalformedMessageError` for a message that cannot be read.
+Nothing here does I/O. Every parsing function raises `MalformedMessageError` for a malformed message.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from meadowpulley.net.json_fields import FIELD_ERRORS, FieldError, JsonObject, require_object
 
 JSONRPC_VERSION = "2.0"
-MAX_QUOTED = 40  # characters of a foreign word that an error message quotes
+MAX_QUOTED = 40  # maximum characters of a received value that an error message quotes
 
 Notification: TypeAlias = RolloutUpdate | BuildStatistics | IncorrectResponse
 
 
 class MalformedMessageError(NetError, ValueError):
-    """A message of the platform cannot be read; the text says in one line what is wrong with it."""
+    """A message of the platform is malformed; the error text says why in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class VoteResponse:
-    """The platform's response to a vote: whether it counts, and the rollout state if it does."""
+    """The platform's response to a vote: its result, and the rollout state if the vote was accepted."""
 
     result: Result
     update: RolloutUpdate | None = None
@@ -50,7 +50,7 @@
 
 
 def vote_params(vote: Vote) -> JsonObject:
-    """Return the parameters of the call that casts a vote."""
+    """Return the parameters of the JSON-RPC call that casts a vote."""
     return {
         protocol.MESSAGE_BUILD: vote.build,
         protocol.ROLLOUT_STAGE: vote.stage,
@@ -59,20 +59,20 @@
 
 
 def decode_line(line: bytes) -> JsonObject:
-    """Decode one line; it has to hold a JSON object."""
+    """Decode one line, which must hold a JSON object."""
     try:
         message = json.loads(line)
     except (ValueError, RecursionError):
-        raise MalformedMessageError("a line is no JSON object") from None
+        raise MalformedMessageError("a line is not a JSON object") from None
     if not isinstance(message, dict):
-        raise MalformedMessageError("a line is no JSON object")
+        raise MalformedMessageError("a line is not a JSON object")
     return message
 
 
 def parse_rollout_update(raw: object, is_vote_reply: bool = False) -> RolloutUpdate:
-    """Parse the state of the newest build: of a notification, a vote's result or the configuration."""
+    """Parse a rollout state from a notification, a response to a vote or the configuration."""
     try:
-        return _parse_rollout_fields(require_object(raw, "it"), is_vote_reply)
+        return _parse_rollout_fields(require_object(raw, "the message"), is_vote_reply)
     except FIELD_ERRORS as error:
         raise _malformed("rollout update", error) from None
 
@@ -100,7 +100,7 @@
 
 
 def parse_vote_response(message: JsonObject) -> VoteResponse:
-    """Parse the response to a vote: an error that the protocol names, or the rollout state."""
+    """Parse the response to a vote: a known error of the protocol, or the rollout state."""
     error = message.get("error")
     if isinstance(error, dict) and str(error.get("message")) in protocol.VOTE_ERRORS:
         return VoteResponse(protocol.VOTE_ERRORS[str(error["message"])])
@@ -110,13 +110,13 @@
 def check_follow_response(message: JsonObject) -> None:
     """Check that the platform accepted the call that subscribes to notifications."""
     if message.get("result") is not True:
-        raise MalformedMessageError("the platform did not accept the follow call")
+        raise MalformedMessageError("the platform rejected the call that subscribes to notifications")
 
 
 class NotificationParser:
     """Parses notifications into events of the policy.
 
-    `server_id_of` maps an instance's name to the number that the policy knows it by, or None.
+    `server_id_of` maps an instance's name to its number in the policy, or to None if it is unknown.
     """
 
     def __init__(self, classes: Sequence[RequestClass], server_id_of: Callable[[str], int | None]) -> None:
@@ -124,7 +124,7 @@
         self._server_id_of = server_id_of
 
     def parse(self, message: JsonObject) -> Notification | None:
-        """Parse one notification; None for a heartbeat, or one about an instance that is not known here."""
+        """Parse one notification; None for a heartbeat or a notification about an unknown instance."""
         method = message.get("method")
         params = message.get("params")
         if method == protocol.ROLLOUT_NOTIFICATION:
@@ -138,16 +138,16 @@
         raise MalformedMessageError(f"unknown notification {str(method)[:MAX_QUOTED]!r}")
 
     def _parse_class(self, raw: object) -> int:
-        """Return a class's index; the platform names it by its name or its index."""
+        """Return a request class's index; the platform identifies the class by name or by index."""
         if isinstance(raw, str) and raw in self._class_indexes:
             return self._class_indexes[raw]
         if isinstance(raw, int) and 0 <= raw < len(self._class_indexes):
             return raw
-        raise MalformedMessageError(f"unknown class {str(raw)[:MAX_QUOTED]!r}")
+        raise MalformedMessageError(f"unknown request class {str(raw)[:MAX_QUOTED]!r}")
 
     def _parse_statistics(self, raw: object) -> BuildStatistics:
         try:
-            return self._parse_statistics_fields(require_object(raw, "it"))
+            return self._parse_statistics_fields(require_object(raw, "the message"))
         except FIELD_ERRORS as error:
             raise _malformed("build statistics", error) from None
 
@@ -175,7 +175,7 @@
 
     def _parse_incorrect_response(self, raw: object) -> IncorrectResponse | None:
         try:
-            return self._parse_incorrect_response_fields(require_object(raw, "it"))
+            return self._parse_incorrect_response_fields(require_object(raw, "the message"))
         except FIELD_ERRORS as error:
             raise _malformed("incorrect response", error) from None
 
--- a/meadowpulley/net/protocol.py
+++ b/meadowpulley/net/protocol.py
@@ -1,20 +1,20 @@
-"""Every name of the wire protocol in one place: variables, headers, paths, fields and words.
+"""All names of the wire protocol: environment variables, headers, paths, JSON fields and their values.
 
-A gateway for another protocol needs another module like this one.
+To support another protocol, replace this module.
 """
 
 from __future__ import annotations
 
 from meadowpulley.interface import Phase, Result, ServerState, Verdict
 
-# The gateway's environment.
+# Environment variables of the gateway.
 ENV_NAME = "PROXY_NAME"
 ENV_LISTEN = "PROXY_LISTEN"
 ENV_DISCOVERY = "PROXY_DISCOVERY"
 ENV_CONFIG = "PROXY_CONFIG"
 
-# Headers, in lower case, as the parser keeps them and as they are written. The Host of instances and that of
-# discovery.
+# Header names, in lower case both when parsed and when written, and some of their values. SERVICE_HOST and
+# DISCOVERY_HOST are the Host headers of requests to instances and to discovery.
 REQUEST_ID_HEADER = "x-txn"
 ENTITY_KEY_HEADER = "x-entity"
 TENANT_HEADER = "x-org"
@@ -24,18 +24,18 @@
 LOAD_REPORT_HEADER = "x-pressure"
 REJECTED_HEADER = "x-turned-away"
 REJECTED_VALUE = "1"
-MICROSECONDS_UNIT = "u"  # of a remaining time
+MICROSECONDS_UNIT = "u"  # suffix of a remaining time that is given in microseconds
 SERVICE_HOST = "app.svc"
 DISCOVERY_HOST = "discovery"
 
-# Paths, and the query parameters of the endpoint list.
+# Paths, and the query parameters of calls for the endpoint list.
 READINESS_PATH = "/health/ready"
 LIVENESS_PATH = "/health/live"
 ENDPOINTS_PATH = "/registry/instances"
 AFTER_PARAMETER = "after"
 WAIT_PARAMETER = "wait_ms"
 
-# The endpoint list: its fields, and those of an endpoint.
+# JSON fields of the endpoint list and of its endpoints.
 LIST_VERSION = "index"
 LIST_IS_SNAPSHOT = "snapshot"
 LIST_ENDPOINTS = "endpoints"
@@ -54,7 +54,7 @@
     "terminated": ServerState.REMOVED,
 }
 
-# The platform: methods, notifications and their fields.
+# Methods and notifications of the platform, and their JSON fields.
 FOLLOW_METHOD = "follow"
 VOTE_METHOD = "castBallot"
 ROLLOUT_NOTIFICATION = "ROLLOUT"
--- a/meadowpulley/net/reactor.py
+++ b/meadowpulley/net/reactor.py
@@ -1,4 +1,4 @@
-"""The gateway's reactor: Twisted's on epoll, with a monotonic clock and addresses that can be reserved."""
+"""The gateway's reactor: Twisted's epoll reactor with a monotonic clock and reservable addresses."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.protocol import Factory
 
-# An error or a hang-up. The kernel may report it alone, though a reset is what there is to read: Twisted then
-# takes the end for an orderly one. Reading tells which it is.
+# The epoll events for an error or a hang-up. The kernel may report one of them without input although the
+# connection was reset, and Twisted would then assume an orderly close. Reading the socket reveals a reset.
 ERROR_EVENTS = select.EPOLLERR | select.EPOLLHUP
 
 
-# Methods that Twisted calls have its names.
+# Methods that Twisted calls keep Twisted's naming style.
 # ruff: noqa: N802, N815
 
 
-class MonotonicReactor(EPollReactor):  # type: ignore[misc,unused-ignore]  # untyped where Twisted lacks epoll
-    """A reactor whose timers follow the clock that the gateway follows, which never jumps."""
+class MonotonicReactor(EPollReactor):  # type: ignore[misc,unused-ignore]  # untyped on systems without epoll
+    """A reactor whose timers use the monotonic clock that the gateway also uses, which never jumps."""
 
-    on_poll: Callable[[], None] = staticmethod(lambda: None)  # called once it is known which input has come
+    on_poll: Callable[[], None] = staticmethod(lambda: None)  # called each time a poll for events returns
 
     def __init__(self) -> None:
         self.reserved_sockets: dict[tuple[str, int], socket.socket] = {}
-        super().__init__()  # type: ignore[no-untyped-call]  # Twisted's has no types
+        super().__init__()  # type: ignore[no-untyped-call]  # Twisted has no types here
 
     def seconds(self) -> float:
         """Return the monotonic clock's time in seconds."""
@@ -37,8 +37,8 @@
     def doPoll(self, timeout: float | None) -> None:
         """Wait for events and handle them.
 
-        As in Twisted, without the log context that Twisted sets up around every event: nothing here logs by
-        way of it, and it cost a tenth of a request.
+        This is Twisted's method without the log context that Twisted sets up around every event: nothing here
+        logs through that context, and setting it up took a tenth of the cost of a request.
         """
         timeout_s = -1.0 if timeout is None else timeout
         events = self._poller.poll(timeout_s, len(self._selectables))
@@ -48,15 +48,15 @@
             if selectable is not None:
                 if event & ERROR_EVENTS and fd in self._reads:
                     event |= select.EPOLLIN
-                self._doReadOrWrite(selectable, fd, event)  # type: ignore[no-untyped-call]  # as above
+                self._doReadOrWrite(selectable, fd, event)  # type: ignore[no-untyped-call]  # Twisted has no types here
 
     doIteration = doPoll
 
     def reserve(self, host: str, port: int) -> None:
-        """Bind an address that is listened on later. Raises CannotListenError.
+        """Bind an address for a later `listenTCP`. Raises CannotListenError.
 
-        Until then no outgoing connection, of this process or another, is given that port, and whoever
-        connects to it is refused.
+        Until then the kernel assigns the port to no outgoing connection of this or another process, and
+        refuses connections to it.
         """
         reserved = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         reserved.setblocking(False)
@@ -69,16 +69,17 @@
         self.reserved_sockets[host, port] = reserved
 
     def listenTCP(self, port: int, factory: Factory, backlog: int = 50, interface: str = "") -> Any:
-        """Listen on an address, with the socket that was reserved for it if there is one.
+        """Listen on an address, using the socket reserved for it if there is one.
 
-        Returns Twisted's port, which has more than its interface says. Raises CannotListenError.
+        Returns Twisted's port object, typed as Any because callers use attributes that its interface lacks.
+        Raises CannotListenError.
         """
         reserved = self.reserved_sockets.pop((interface, port), None)
         if reserved is None:
-            return super().listenTCP(port, factory, backlog, interface)  # type: ignore[no-untyped-call]  # as above
+            return super().listenTCP(port, factory, backlog, interface)  # type: ignore[no-untyped-call]  # Twisted has no types here
         try:
             reserved.listen(backlog)
-            return self.adoptStreamPort(reserved.fileno(), reserved.family, factory)  # type: ignore[no-untyped-call]  # as above
+            return self.adoptStreamPort(reserved.fileno(), reserved.family, factory)  # type: ignore[no-untyped-call]  # Twisted has no types here
         except OSError as cause:
             raise _cannot_listen(interface, port, cause) from None
         finally:
@@ -86,4 +87,4 @@
 
 
 def _cannot_listen(host: str, port: int, cause: OSError) -> error.CannotListenError:
-    return error.CannotListenError(host, port, cause)  # type: ignore[no-untyped-call]  # Twisted's has no types
+    return error.CannotListenError(host, port, cause)  # type: ignore[no-untyped-call]  # Twisted has no types here
--- a/meadowpulley/net/reactor_interface.py
+++ b/meadowpulley/net/reactor_interface.py
@@ -1,7 +1,7 @@
-"""What the gateway uses of a Twisted reactor, as narrow protocols.
+"""Protocols for the parts of a Twisted reactor that the gateway uses.
 
-Twisted declares its reactors by zope interfaces, which mypy does not check. Each component names the
-narrowest protocol that it needs, so that a test can stand in for the reactor with a few methods.
+Twisted declares its reactors with zope interfaces, which mypy does not check. Each component is annotated
+with the narrowest protocol that it needs, so that a test can replace the reactor with a few methods.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory
 from twisted.python.failure import Failure
 
-# Methods, fields and parameters have Twisted's names.
+# Methods, attributes and parameters keep Twisted's names.
 # ruff: noqa: N802, N803, N815
 
 
 class DelayedCall(Protocol):
-    """A call that the reactor will make."""
+    """A scheduled call of the reactor."""
 
     def reset(self, delay_s: float, /) -> None:
-        """Make the call in so many seconds from now."""
+        """Reschedule the call to `delay_s` seconds from now."""
 
 
 class TimerReactor(Protocol):
-    """A reactor that makes calls later."""
+    """A reactor that can schedule calls."""
 
     def callLater(self, delay_s: float, function: Callable[..., None], /, *arguments: object) -> DelayedCall:
         """Call a function after a delay in seconds."""
 
 
 class Connector(Protocol):
-    """An outgoing connection, established or not."""
+    """An outgoing connection, established or still connecting."""
 
     def disconnect(self) -> None:
         """Close the connection, or abandon the attempt to establish it."""
@@ -40,7 +40,7 @@
 class ListeningPort(Protocol):
     """A listening TCP socket."""
 
-    numberAccepts: int  # how many connections the next read accepts at most
+    numberAccepts: int  # maximum number of connections that the next read accepts
 
     def doRead(self) -> None:
         """Accept connections that wait in the backlog."""
@@ -73,7 +73,7 @@
         host: str,
         port: int,
         factory: ClientFactory,
-        timeout: Any,  # seconds, or None for no limit, which Twisted's own annotation leaves out
+        timeout: Any,  # seconds, or None for no limit, which Twisted's annotation omits
     ) -> Connector:
         """Open a connection whose protocol the factory builds."""
 
@@ -85,14 +85,14 @@
         """Listen on an address; the factory builds the protocol of each accepted connection."""
 
     def callFromThread(self, function: Callable[..., None], /, *arguments: object) -> None:
-        """Call a function in a turn of the reactor. Threads and signal handlers may use it."""
+        """Call a function in a turn of the reactor; safe to use in threads and signal handlers."""
 
     def stop(self) -> None:
         """End the reactor's loop."""
 
 
 class GatewayReactor(StreamReactor, Protocol):
-    """A reactor with all that a gateway may use."""
+    """A reactor with every method that the gateway uses."""
 
     def listenUDP(
         self, port: int, protocol: DatagramProtocol, /, *, interface: str, maxPacketSize: int
--- a/meadowpulley/net/request_tracing.py
+++ b/meadowpulley/net/request_tracing.py
@@ -1,7 +1,7 @@
-"""Trace of single requests: one log event `request_trace` for each step. Off by default.
+"""Tracing of individual requests: logs an event `request_trace` for each step. Off by default.
 
-The environment variable `MEADOWPULLEY_STORY` turns it on: 1 for every request, or prefixes of request ids,
-separated by commas. `meadowpulley trace-requests` merges the logs of a fleet.
+The environment variable `MEADOWPULLEY_STORY` turns tracing on: set it to 1 to trace every request, or to a
+comma-separated list of request id prefixes. `meadowpulley trace-requests` merges the logs of a fleet.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 class Step(Enum):
-    """A step of a request at a gateway; the value is the field `step` of its event."""
+    """A step of a request at a gateway; the value is logged as the event's field `step`."""
 
     RECEIVED = "received"
     SENT = "sent"
     OUTCOME = "outcome"
     RESPONDED = "responded"
     CLIENT_DISCONNECTED = "client_disconnected"
-    REJECTED = "rejected"  # by the policy, as the next three
+    REJECTED = "rejected"  # rejected by the policy; it also decides FAILED and CANCELLED
     FAILED = "failed"
     CANCELLED = "cancelled"
 
@@ -47,10 +47,10 @@
 
 
 class RequestTracer:
-    """A stage of the pipeline that logs events and actions of requests, and changes nothing."""
+    """A pipeline stage that logs the events and actions of requests, without changing them."""
 
     def __init__(self, gateway: Gateway, selection: str) -> None:
-        """Stand before the pipeline of a gateway; `selection` as in `MEADOWPULLEY_STORY`."""
+        """Wrap the pipeline of a gateway. `selection` is a value of `MEADOWPULLEY_STORY`."""
         self._gateway = gateway
         self.inner = gateway.pipeline
         prefixes = [prefix.strip() for prefix in selection.split(",")]
@@ -58,11 +58,11 @@
         self._id_prefixes = () if selects_all else tuple(prefix for prefix in prefixes if prefix)
         gateway.pipeline = self
         self._respond = gateway.requests.respond
-        # The responses of the safety net pass no stage: the table's method is wrapped to see all.
-        gateway.requests.respond = self.respond  # type: ignore[method-assign]  # see above
+        # Responses that the request table sends itself pass no stage, so its method is wrapped to log all.
+        gateway.requests.respond = self.respond  # type: ignore[method-assign]  # replaces a method on purpose
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Log an event, pass it to the inner stage and log the resulting actions."""
+        """Log an event, pass it to the inner stage, and log the resulting actions."""
         self._log_event(now, event)
         actions: list[Action] = self.inner.handle(now, event)
         for action in actions:
@@ -73,7 +73,7 @@
         return actions
 
     def respond(self, request: AcceptedRequest, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Send a response in place of the request table, then log it."""
+        """Send a response through the request table's own method, then log the response."""
         late_ms = self._gateway.deadlines.now() - request.deadline
         self._respond(request, status, headers, body)
         self._log_step(request, Step.RESPONDED, status=status, late_ms=round(late_ms))
@@ -105,7 +105,7 @@
         )
 
     def _server_state(self, server_id: int) -> dict[str, int]:
-        """Return what the policy knows of a server: enough to see why it was chosen."""
+        """Return the server's state in the policy that helps to see why it was chosen."""
         server = self.inner.servers.get(server_id)
         if server is None:
             return {}
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -1,7 +1,8 @@
-"""The client of the platform: follows the rollout's state on one connection and casts votes on it.
+"""The platform client: receives the rollout state and casts votes over one connection.
 
-`platform_connector` opens the connection, `platform_connection` frames the lines, `platform_messages` parses
-them. This module matches responses to votes, and dispatches to the policy what the platform says.
+`platform_connector` opens the connection, `platform_connection` splits the input into lines, and
+`platform_messages` parses them. This module matches responses to votes, and dispatches the platform's
+notifications and responses to the policy.
 """
 
 from __future__ import annotations
@@ -27,24 +28,24 @@
     vote_params,
 )
 
-DEFAULT_VOTE_TIMEOUT_MS = 5_000.0  # where the settings name none
+DEFAULT_VOTE_TIMEOUT_MS = 5_000.0  # used if the settings set no time-out
 VOTE_RESULT_COUNTERS = {result: f"platform.vote_{result.name.lower()}" for result in Result} | {
-    Result.NOT_SENT: "platform.vote_moot",  # the platform's own word for a vote that no longer counts
+    Result.NOT_SENT: "platform.vote_moot",  # "moot" is the platform's error for a vote that no longer counts
 }
 
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedUpdate:
-    """A rollout update and the time at which it came, in milliseconds on the gateway's clock."""
+    """A rollout update and the time of its receipt, in milliseconds on the gateway's clock."""
 
     received_at: float
     update: RolloutUpdate
 
 
 class RolloutClient:
-    """Keeps one connection to the platform; on it come notifications, and votes are cast.
+    """Keeps one connection to the platform, which carries notifications and votes.
 
-    `server_id_of` maps an instance's name to its number, or None for an instance that is not known here.
+    `server_id_of` maps an instance's name to its number, or to None if the instance is unknown.
     """
 
     def __init__(self, gateway: GatewayContext, server_id_of: Callable[[str], int | None]) -> None:
@@ -52,12 +53,12 @@
         self.connection: PlatformConnection | None = None
         self._connector = PlatformConnector(gateway, partial(PlatformConnection, self), self._follow)
         self._retired_connections: list[PlatformConnection] = []
-        self._last_update: _ReceivedUpdate | None = None  # from the platform's present address
+        self._last_update: _ReceivedUpdate | None = None  # received from the platform's current address
         self._last_call_number = 0
         self._notifications = NotificationParser(gateway.config.settings.classes, server_id_of)
 
     def start(self) -> None:
-        """Dispatch the rollout state that the configuration holds, and connect."""
+        """Dispatch the rollout state from the configuration, and connect to the platform."""
         initial_rollout = self.gateway.config.initial_rollout
         if initial_rollout is not None:
             try:
@@ -67,16 +68,17 @@
         self._connector.connect()
 
     def stop(self) -> None:
-        """Close all connections; votes that await a response are completed as lost."""
+        """Close all connections; complete votes without a response with TIMEOUT or CONNECT_FAILED."""
         self._connector.stop()
         for connection in (self.connection, *self._retired_connections):
             if connection is not None:
                 connection.abort()
 
     def address_changed(self) -> None:
-        """Follow the platform at the address that the configuration names now.
+        """Connect to the platform at the address in the current configuration.
 
-        Votes under way are neither dropped nor sent twice: the old connection stays until they are answered.
+        Votes in flight are neither dropped nor sent twice: the old connection stays open until they are
+        answered.
         """
         connection = self.connection
         self.connection = None
@@ -86,14 +88,14 @@
         self._last_update = None
         self._connector.restart()
 
-    # The connection
+    # Connection handling
 
     def _follow(self, connection: PlatformConnection) -> None:
         self.connection = connection
         connection.send_call(self._new_call(None), protocol.FOLLOW_METHOD, None)
 
     def connection_lost(self, connection: PlatformConnection) -> None:
-        """Complete the calls of a connection that has ended, and replace it if it was the followed one."""
+        """Complete the calls of a connection that has ended, and reconnect if it was the current one."""
         was_followed = self.connection is connection
         if was_followed:
             self.connection = None
@@ -103,15 +105,15 @@
         pending_calls = connection.pending_calls
         connection.pending_calls = deque()
         for call in pending_calls:
-            # A line that was never written whole was not carried out; of any other nobody knows.
+            # The platform can't have executed a call that was not fully written; others it may have executed.
             self._complete(call, Result.TIMEOUT if call.written else Result.CONNECT_FAILED)
         if was_followed:
             self._connector.connect_later()
 
-    # Votes
+    # Casting votes
 
     def cast_vote(self, vote: Vote) -> None:
-        """Send a vote; exactly one `RolloutUpdate` that replies to it is dispatched, whatever happens."""
+        """Send a vote; exactly one `RolloutUpdate` is dispatched as the reply, even after a failure."""
         self.gateway.counters.add("platform.votes")
         call = self._new_call(vote)
         if self.connection is None:
@@ -127,14 +129,14 @@
         return PendingCall(self._last_call_number, vote)
 
     def _vote_timed_out(self, call: PendingCall, connection: PlatformConnection) -> None:
-        if connection.is_open and connection.has_unread_input():  # this gateway is late, not the platform
+        if connection.is_open and connection.has_unread_input():  # the response may have arrived unread
             timed_out = partial(self._vote_timed_out, call, connection)
             call.timeout = self.gateway.deadlines.after(PARTIAL_LINE_TIMEOUT_MS, timed_out)
         else:
             self._complete(call, Result.TIMEOUT)
 
     def _complete(self, call: PendingCall, result: Result, update: RolloutUpdate | None = None) -> None:
-        """Dispatch the one reply to a vote; an update that comes with a later response is still an update."""
+        """Dispatch the reply to a vote, once; dispatch the update of a later response as a notification."""
         self.gateway.deadlines.cancel(call.timeout)
         if call.vote is None or call.completed:
             if update is not None:
@@ -144,17 +146,17 @@
         self.gateway.counters.add(VOTE_RESULT_COUNTERS[result])
         self.gateway.dispatch(update if update is not None else _failed_vote_reply(call.vote, result))
 
-    # Lines
+    # Handling of received lines
 
     def _report_malformed(self, reason: str) -> None:
         self.gateway.counters.add("platform.malformed")
         self.gateway.log.warning("platform_message_malformed", reason=reason)
 
     def protocol_error(self, connection: PlatformConnection, reason: str) -> None:
-        """Report input that cannot be read and close its connection.
+        """Report malformed input and close its connection.
 
-        Nothing of use follows such input: the calls that wait there get no response, and the client connects
-        anew.
+        The input after it cannot be used either: calls pending on the connection get no response, and the
+        client reconnects.
         """
         self._report_malformed(reason)
         connection.abort()
@@ -165,7 +167,7 @@
             message = decode_line(line)
             if "method" not in message:
                 self._handle_response(connection, message)
-            elif not connection.retired:  # the new connection gets the same notifications, and later ones
+            elif not connection.retired:  # the new connection receives these and later notifications
                 self._handle_notification(message)
         except MalformedMessageError as error:
             self.protocol_error(connection, str(error))
@@ -197,9 +199,9 @@
         self._complete(call, response.result, update)
 
     def _responded_call(self, connection: PlatformConnection, number: object) -> PendingCall:
-        """Return the call that a response answers; calls before it that were skipped have timed out."""
+        """Return the call that a response answers; complete skipped earlier calls as timed out."""
         if number not in [call.number for call in connection.pending_calls]:
-            raise MalformedMessageError("a response to no call")
+            raise MalformedMessageError("a response matches no pending call")
         while connection.pending_calls[0].number != number:
             self._complete(connection.pending_calls.popleft(), Result.TIMEOUT)
         return connection.pending_calls[0]
@@ -207,10 +209,10 @@
     def _latest_update(
         self, connection: PlatformConnection, call: PendingCall, update: RolloutUpdate
     ) -> RolloutUpdate | None:
-        """Return the update to dispatch for a vote's response; None where a newer one was dispatched.
+        """Return the update to dispatch for a vote's response; None if a newer one was dispatched.
 
-        A retired connection's response may be older than what the new connection has said: dispatched last,
-        a build's earlier state would raise its cap again.
+        A response on a retired connection may be older than an update from the new connection. If it were
+        dispatched last, the earlier state of a build would raise its cap again.
         """
         now = self.gateway.deadlines.now()
         if not connection.retired:
@@ -226,7 +228,7 @@
 
 
 def _failed_vote_reply(vote: Vote, result: Result) -> RolloutUpdate:
-    """Return the reply to a vote without a rollout state; the policy reads only its result."""
+    """Return a reply to a vote that received no rollout state; the policy reads only its result."""
     return RolloutUpdate(
         build=vote.build,
         stage=vote.stage,
--- a/tests/discovery_harness.py
+++ b/tests/discovery_harness.py
@@ -1,4 +1,4 @@
-"""The real discovery client on a virtual clock, with a discovery that the tests control."""
+"""Test harnesses that run the real discovery client on a virtual clock against a simulated discovery."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.driver import Driver, settings
 from tests.standins import endpoint
 
-# By the platform's page: from when on the changes that a silent watch missed count as notified, and the
-# soonest for a call that does not wait.
+# Times in ms after which, by the platform's specification, changes count as notified even if a call was never
+# answered: after the end of its wait for a call with a wait, and after its start for a call without a wait.
 NOTIFIED_AFTER_WAIT_MS = 2_000.0
 NOTIFIED_AFTER_SILENCE_MS = 6_000.0
-RESPONSE_MS = 100.0  # until a call that reaches discovery is answered
+RESPONSE_MS = 100.0  # time from a call's arrival at discovery to its response
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s"
 
 
@@ -38,7 +38,7 @@
 
 
 class FakeTransport(StringTransport):  # type: ignore[misc,unused-ignore]
-    """A transport whose socket holds no bytes beyond those that were handed to the connection."""
+    """A transport whose socket holds no unread bytes."""
 
     def setTcpNoDelay(self, on: bool) -> None:  # noqa: N802 (Twisted's name)
         pass
@@ -58,18 +58,18 @@
 
 
 class DiscoveryHarness:
-    """The real discovery client and the real policy, with a simulated discovery that answers by itself."""
+    """The real discovery client and policy, with a simulated discovery that answers calls automatically."""
 
     def __init__(self, must_poll: bool, seed: int = 7) -> None:
         self.reactor = MemoryReactorClock()  # type: ignore[no-untyped-call]
         self.driver = Driver(settings(must_poll=must_poll, gateway_count=200), seed, released=False)
         self.answered_calls = 0
-        self.calls_received = list[tuple[float, float]]()  # when, and for how long it may wait
-        self.silent_from = float("inf")  # calls that come after so many answers are never answered
-        self.down_until = 0.0  # each call ends in a reset, open ones too
-        self.queue_ms = 0.0  # how long a call waits for that
+        self.calls_received = list[tuple[float, float]]()  # (time of the call in ms, its maximum wait in ms)
+        self.silent_from = float("inf")  # number of answered calls after which further calls get no answer
+        self.down_until = 0.0  # until this time in ms, every connection breaks
+        self.queue_ms = 0.0  # delay in ms until a connection breaks
         self.version = 1
-        self.updates = list[tuple[float, int]]()  # when, and of which version
+        self.updates = list[tuple[float, int]]()  # (time in ms, version) of each update
         failures: list[str] = []
         self.gateway: Any = SimpleNamespace(
             reactor=self.reactor,
@@ -118,7 +118,7 @@
                 self._serve(connection, transport)
 
     def _serve(self, connection: Any, transport: Any) -> None:
-        """Look for calls on a connection every 10 ms, and answer them."""
+        """Check a connection for calls every 10 ms, and answer them."""
         if self.now < self.down_until:
             self.reactor.callLater(self.queue_ms / 1000.0, connection.connectionLost)
             return
@@ -138,7 +138,7 @@
         if self.now < respond_at or (self.version <= after and self.now < long_poll_until):
             self.reactor.callLater(0.01, self._answer, connection, after, respond_at, long_poll_until)
             return
-        ready = next(word for word, state in protocol.ENDPOINT_STATES.items() if state is ServerState.READY)
+        ready = next(name for name, state in protocol.ENDPOINT_STATES.items() if state is ServerState.READY)
         entry = {
             protocol.ENDPOINT_NAME: "s1",
             protocol.ENDPOINT_ADDRESS: "127.0.0.1:9",
@@ -157,7 +157,7 @@
 
 
 class ReceivedCall:
-    """A call that discovery received: the test answers it, breaks its connection or leaves it open."""
+    """A call that discovery received; the test answers it, breaks its connection or leaves it open."""
 
     def __init__(self, connection: Any, target: str) -> None:
         self.connection = connection
@@ -171,11 +171,11 @@
 
 
 class ManualDiscoveryHarness(DiscoveryHarness):
-    """The real discovery client with pushed lists and no policy: the events dispatched to it are recorded."""
+    """The real discovery client without a policy: records dispatched events. Lists are pushed by default."""
 
     def __init__(self, must_poll: bool = False, grace_ms: float = 0.0) -> None:
         self.calls: list[ReceivedCall] = []
-        self.addresses: dict[int, Any] = {}  # of the instances, by their numbers
+        self.addresses: dict[int, Any] = {}  # addresses of the instances, by instance number
         self.events: list[Any] = []
         self.on_event: Callable[[Any], None] = lambda event: None
         super().__init__(must_poll)
@@ -202,14 +202,14 @@
             self.reactor.callLater(0.01, self._serve, connection, transport)
 
     def next_call(self) -> ReceivedCall:
-        """Return the newest call, which has to be the only one since the last look."""
+        """Run for 20 ms and return the call received, of which there must be exactly one."""
         known_count = len(self.calls)
         self.run(20.0)
         assert len(self.calls) == known_count + 1
         return self.calls[-1]
 
     def take_updates(self) -> list[tuple[int, list[ServerState]]]:
-        """Return the versions and states of the updates since the last look."""
+        """Return the version and server states of each update since the last call of this method."""
         events = self.events
         self.events = []
         updates = [event for event in events if isinstance(event, EndpointUpdate)]
--- a/tests/net_program/test_control_plane.py
+++ b/tests/net_program/test_control_plane.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: discovery, the platform, reloads, peers, figures it is given."""
+"""The gateway process with discovery, the platform, reloads, gossip and inconsistent settings."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     "malformed",
     [
         b"\x00\x01\x02 not http\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",  # only a part, and the connection stays open
+        b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{",  # a partial response on an open connection
         b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{'index': 9",
         b'HTTP/1.1 200 OK\r\nContent-Length: 43\r\n\r\n{"index":9,"snapshot":"no","endpoints":"z?"}',
     ],
@@ -47,17 +47,18 @@
 def test_malformed_endpoint_list_is_fetched_again_on_a_new_connection(
     start: StartGateway, malformed: bytes
 ) -> None:
-    """Part of a list blocked the watch for its whole wait, and a failed call was retried 1.5 s later."""
+    """A partial list blocked the watch for its whole wait, and a failed call was retried 1.5 s later."""
     old, new = FakeInstance(), FakeInstance()
     discovery = FakeDiscovery([endpoint("s-1", old.address)])
     gateway = start([endpoint("s-1", old.address)], discovery=discovery.address)
     while discovery.polled_versions.get(timeout=TIMEOUT_S) < 5:
-        pass  # the watch has its first list
+        pass  # wait until the watch has its first list
     discovery.malformed_response = malformed
     connections_before = discovery.connections
     discovery.update([endpoint("s-2", new.address)])
     gateway.wait_for("discovery_call_failed")
-    assert discovery.polled_versions.get(timeout=TIMEOUT_S) == 5  # what was spoilt is asked for again
+    # The client requests the malformed list again.
+    assert discovery.polled_versions.get(timeout=TIMEOUT_S) == 5
     request_until_served(gateway.client(), new)
     assert discovery.connections == connections_before + 1
 
@@ -69,11 +70,11 @@
         b"[1]\n",
         b'{"method":"ROLLOUT","params":{"release":"x"}}\n',
         b'{"method":"\x7f?","params":{}}\n',
-        b'{"method":"ROLLOUT","par',  # only a part, and the connection stays open
+        b'{"method":"ROLLOUT","par',  # a partial line on an open connection
     ],
 )
 def test_platform_is_followed_again_after_a_malformed_line(start: StartGateway, malformed: bytes) -> None:
-    """The connection was kept after a malformed line, and no updates came until its heartbeat timed out."""
+    """The connection was kept after a malformed line, but without updates until its heartbeat timed out."""
     platform = FakePlatform(TRIAL, malformed, malformed)
     entries = [endpoint("s-1", FakeInstance().address), endpoint("s-2", FakeInstance().address, build=42)]
     start(entries, discovery=FakeDiscovery(entries).address, platform=platform.address, rollout=TRIAL)
@@ -85,7 +86,7 @@
 
 
 def test_reload_moves_only_the_discovery_and_platform_connections(start: StartGateway) -> None:
-    """Nothing handled SIGHUP, which ended the gateway with requests unanswered."""
+    """SIGHUP was not handled, and terminated the gateway with requests unanswered."""
     old, new = FakeInstance(), FakeInstance()
     entries = [endpoint("s-1", old.address)]
     first, second, third = (FakeDiscovery(entries) for _ in range(3))
@@ -99,11 +100,10 @@
             discovery=discovery.address, platform=platform_config, settings={"classes": []} | SETTINGS
         )
         gateway.wait_for("reloaded")
-        assert (
-            discovery.polled_versions.get(timeout=TIMEOUT_S) >= 4
-        )  # what it has stays: only changes are asked for
+        # The client keeps its list, and requests only changes from the new discovery.
+        assert discovery.polled_versions.get(timeout=TIMEOUT_S) >= 4
         platform.followers.get(timeout=TIMEOUT_S)
-        assert client.request("GET", "/look")[0] == 200  # on the connection that it had
+        assert client.request("GET", "/look")[0] == 200  # on the client's existing connection
     third.update([endpoint("s-1", old.address), endpoint("s-2", new.address)])
     request_until_served(client, new)
     gateway.process.send_signal(signal.SIGTERM)
@@ -161,7 +161,7 @@
     assert old.votes.get(timeout=TIMEOUT_S)["ruling"] == "on"
     gateway.reload(platform={"address": new.address, "news": TRIAL})
     connection = new.followers.get(timeout=TIMEOUT_S)
-    old.may_respond.set()  # in time: it counts, and nothing is left to send
+    old.may_respond.set()  # the response arrives in time: the vote counts and is not sent again
     assert connection is not None
     assert old.closed.wait(TIMEOUT_S)
     assert new.votes.empty()
@@ -171,29 +171,28 @@
     assert "platform.vote_timeout" not in counters
 
 
-def test_stray_datagrams_are_dropped_and_counted(start: StartGateway) -> None:
+def test_datagrams_from_unknown_senders_are_dropped_and_counted(start: StartGateway) -> None:
     gateway = start([])
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-        stranger.sendto(b"x" * 300, ("127.0.0.1", gateway.peer_port))
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
+        unknown_sender.sendto(b"x" * 300, ("127.0.0.1", gateway.peer_port))
         gateway.client().request("GET", "/health/ready")
         os.kill(gateway.process.pid, signal.SIGUSR1)
         assert gateway.wait_for("counters")["gossip.rejected"] == 1
 
 
-DOUBTFUL_SETTINGS: list[
-    tuple[dict[str, Any], dict[str, Any], str]
-] = [  # settings, limits allow telling, what is said
-    ({"me": 250, "balancers": 200}, {}, "'me' is 250 with 200 gateways: taken as 50"),
-    ({"me": -1, "balancers": 200}, {}, "'me' is -1 with 200 gateways: taken as 199"),
-    ({"me": 3, "balancers": 0}, {}, "'balancers' is 0: taken as 1"),
+# Each case has changed settings, changed top-level keys, and the expected warning.
+INCONSISTENT_SETTINGS: list[tuple[dict[str, Any], dict[str, Any], str]] = [
+    ({"me": 250, "balancers": 200}, {}, "'me' is 250 with 200 gateways: using 50"),
+    ({"me": -1, "balancers": 200}, {}, "'me' is -1 with 200 gateways: using 199"),
+    ({"me": 3, "balancers": 0}, {}, "'balancers' is 0: using 1"),
     ({"balancers": 200}, {"peers": []}, "without peers, peers_all"),
     ({"balancers": 200}, {"peer_listen": None}, "without peer_listen, peers_all"),
-    ({"balancers": 200}, {"peers_all": "127.0.0.1:9"}, "'peers' are 1 of 200 gateways"),
+    ({"balancers": 200}, {"peers_all": "127.0.0.1:9"}, "'peers' lists 1 of 200 gateways"),
 ]
 
 
-@pytest.mark.parametrize(("settings_change", "overrides", "message"), DOUBTFUL_SETTINGS)
-def test_doubtful_settings_are_logged_and_the_gateway_serves(
+@pytest.mark.parametrize(("settings_change", "overrides", "message"), INCONSISTENT_SETTINGS)
+def test_inconsistent_settings_are_logged_and_the_gateway_serves(
     start: StartGateway, settings_change: dict[str, Any], overrides: dict[str, Any], message: str
 ) -> None:
     instance = FakeInstance()
@@ -221,7 +220,7 @@
 def test_counters_are_logged_with_tracing_stages(
     start: StartGateway, monkeypatch: pytest.MonkeyPatch, stage: str
 ) -> None:
-    """The counter of dropped datagrams was read from the tracing stage: the end logged a traceback."""
+    """The counter of dropped datagrams was read from the tracing stage: the shutdown logged a traceback."""
     monkeypatch.setenv(stage, "1")
     gateway = start([])
     gateway.process.send_signal(signal.SIGTERM)
@@ -248,5 +247,6 @@
         gateway.client().request("GET", "/health/ready")
         os.kill(gateway.process.pid, signal.SIGUSR1)
         counters = gateway.wait_for("counters")
-    # Repeated, truncated, of another version, older, and too long to be a digest.
+    # The first digest is valid. The others are repeated, truncated, of another format version, older, and too
+    # long for a digest; the last one is rejected before it is decoded.
     assert (counters["peers.dropped"], counters["gossip.rejected"]) == (4, 1)
--- a/tests/net_program/test_lifecycle.py
+++ b/tests/net_program/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: its start, its drain, what it refuses to start with."""
+"""The gateway process: its startup, its drain, and errors that prevent a start."""
 
 from __future__ import annotations
 
@@ -28,44 +28,44 @@
 
 listen, collect, poll = ClientListener.listen, program.gc.collect, program.MonotonicReactor.doPoll
 
-def taken():
+def check_reserved():
     address = program.read_config().listen
-    with socket.socket() as client:  # whoever comes is refused, not left waiting
-        print("refused" if client.connect_ex(address) else "let in", flush=True)
-    with socket.socket() as other:  # binds as the kernel does for a connection outwards
+    with socket.socket() as client:  # a connection must be refused, not left waiting
+        print("refused" if client.connect_ex(address) else "accepted", flush=True)
+    with socket.socket() as other:  # binds as the kernel does for an outgoing connection
         try:
             other.bind(address)
             print("free", flush=True)
         except OSError:
             print("held", flush=True)
 
-def said(name, then):
+def print_before(name, original):
     def call(*args):
         print(name, flush=True)
         if name == "listen":
             os._exit(0)
         if name == "collect":
-            taken()
-        return then(*args)
+            check_reserved()
+        return original(*args)
     return call
 
-ClientListener.listen, program.gc.collect = said("listen", listen), said("collect", collect)
-program.MonotonicReactor.doIteration = said("turn", poll)
+ClientListener.listen, program.gc.collect = print_before("listen", listen), print_before("collect", collect)
+program.MonotonicReactor.doIteration = print_before("turn", poll)
 program.run()
 """
 
-MISSING_PARTS_SCRIPT = """
+MISSING_PACKAGES_SCRIPT = """
 import sys
-for part in ("stage_pipeline", "ledger", "takeover", "lending", "placement"):
-    sys.modules["meadowpulley." + part] = None  # as in the layout that `run` starts
+for package in ("stage_pipeline", "ledger", "takeover", "lending", "placement"):
+    sys.modules["meadowpulley." + package] = None  # not importable, as in the layout that `run` starts
 import meadowpulley.__main__ as program
 sys.exit(program.run())
 """
 
 
 def test_listens_after_startup_and_one_reactor_turn(start: StartGateway) -> None:
-    # When 133 gateways restarted at once, requests that came during the start were read 0.3 to 0.4 s later,
-    # and their deadlines counted from then. Where an instance did not respond, the 504 came too late.
+    # When 133 gateways restarted at once, requests that arrived during the startup were read 0.3 to 0.4 s
+    # later, and their deadlines counted from then. If an instance did not respond, the 504 was sent too late.
     gateway = start([])
     environ = {**os.environ, "PROXY_CONFIG": str(gateway.config_path)}
     gateway.stop()
@@ -77,7 +77,7 @@
         timeout=TIMEOUT_S,
         check=True,
     )
-    # Nor may an outgoing connection be given the port meanwhile, not even the gateway's own.
+    # Until then, the port must not be assigned to any outgoing connection, not even to one of the gateway.
     assert completed.stdout.split()[:4] == ["collect", "refused", "held", "turn"]
     assert completed.stdout.split()[-1] == "listen"
 
@@ -104,8 +104,8 @@
     instance.received.get(timeout=TIMEOUT_S)
     gateway.process.send_signal(signal.SIGTERM)
     gateway.wait_for("draining")
-    assert idle.read_response()[0] == 0  # closed between requests
-    late = Client(gateway.port)  # still accepted, for as long as connections may come
+    assert idle.read_response()[0] == 0  # the idle connection is closed between requests
+    late = Client(gateway.port)  # a draining gateway still accepts connections for a while
     assert late.request("GET", "/health/ready")[0] == 503
     may_respond.set()
     status, headers, body = busy.read_response()
@@ -138,14 +138,14 @@
         ("MEADOWPULLEY_LEDGER", "/nowhere", "compile.py --joint"),
     ],
 )
-def test_unavailable_part_exits_with_one_line(
+def test_unavailable_package_exits_with_one_line(
     start: StartGateway, monkeypatch: pytest.MonkeyPatch, name: str, ledger: str, message: str
 ) -> None:
     gateway = start([], wait=False)
     gateway.stop()
     environ = {**os.environ, "PROXY_CONFIG": str(gateway.config_path), "MEADOWPULLEY_LEDGER": ledger}
     completed = subprocess.run(
-        [sys.executable, "-c", MISSING_PARTS_SCRIPT],
+        [sys.executable, "-c", MISSING_PACKAGES_SCRIPT],
         env={**environ, name: ledger or "1"},
         capture_output=True,
         text=True,
@@ -155,5 +155,5 @@
     assert line.startswith(f"meadowpulley: {name}: ")
     assert message in line
     assert completed.returncode == 2
-    monkeypatch.setenv(name, "")  # set and empty is off
+    monkeypatch.setenv(name, "")  # a variable set to an empty string turns the feature off
     start([])
--- a/tests/net_program/test_signals.py
+++ b/tests/net_program/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at each step of a gateway's life, each forced to come there: a driver sends them to itself."""
+"""Signals at each step of a gateway process, which a driver script makes the process send to itself."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.standins import ROOT, TIMEOUT_S, FakeDiscovery
 
 TERM, HUP, USR1 = signal.SIGTERM, signal.SIGHUP, signal.SIGUSR1
-# Sends the signals once the named step is over, the first time, and in the end SIGTERM once it listens.
+# Sends the signals when the named step first ends, and SIGTERM once the gateway listens.
 DRIVER_SCRIPT = """
 import gc, os, runpy, signal, sys
 step, numbers, fresh = sys.argv[1], [int(n) for n in sys.argv[2].split(",")], sys.argv[3]
@@ -26,22 +26,22 @@
         os.kill(os.getpid(), numbers.pop(0))
 
 def after(owner, name, call):
-    then = getattr(owner, name)
-    def both(*args):
-        found = then(*args)
+    original = getattr(owner, name)
+    def wrapper(*args):
+        result = original(*args)
         call(*args)
-        return found
-    setattr(owner, name, both)
+        return result
+    setattr(owner, name, wrapper)
 
 from functools import partial
 from operator import call
 from meadowpulley.net import client_listener, config, deadlines, gateway
 
-class Finder:
+class SignalOnImport:
     def find_spec(name, *_):
         name == "twisted.internet.epollreactor" and send()
 
-class Last:  # goes with the modules, after the interpreter has given up its handlers
+class SignalAtExit:  # destroyed after the interpreter has stopped running signal handlers
     def __del__(self, kill=os.kill, process=os.getpid(), numbers=numbers):
         kill(process, *numbers)
 
@@ -50,21 +50,21 @@
         self.reactor, self.real = reactor, reactor._poller
     def __getattr__(self, name):
         return getattr(self.real, name)
-    def poll(self, *args):  # no bytecode in between, at which the interpreter would look for a signal
+    def poll(self, *args):  # runs no bytecode between kill and poll, so no signal check
         os.replace(fresh, os.environ["PROXY_CONFIG"])
-        both = partial(os.kill, os.getpid(), numbers.pop()), partial(self.real.poll, *args)
-        _, events = map(call, both)
+        kill_then_poll = partial(os.kill, os.getpid(), numbers.pop()), partial(self.real.poll, *args)
+        _, events = map(call, kill_then_poll)
         self.reactor._poller = self.real
         print('{"event": "%s"}' % ("woken" if events else "slept on"), file=sys.stderr, flush=True)
         return events
 
 after(client_listener.ClientListener, "listen", lambda *_: os.kill(os.getpid(), signal.SIGTERM))
 if step == "imports":
-    sys.meta_path.insert(0, Finder)
+    sys.meta_path.insert(0, SignalOnImport)
 elif step == "ended":
-    sys.last = Last()
+    sys.last = SignalAtExit()
 elif step == "about to wait":
-    after(gateway.Gateway, "prepare", lambda made: setattr(made.reactor, "_poller", Poller(made.reactor)))
+    after(gateway.Gateway, "prepare", lambda self: setattr(self.reactor, "_poller", Poller(self.reactor)))
 else:
     owner, name = {
         "read": (config, "read_config"), "made": (gateway.Gateway, "__init__"),
@@ -77,12 +77,12 @@
 """
 FULL_RUN_EVENTS = ["ready", "draining", "stopped", "counters"]
 SIGNAL_CASES: list[tuple[str, list[signal.Signals], list[str], int]] = [
-    ("imports", [HUP], FULL_RUN_EVENTS, 0),  # what it asks for is read anyhow
+    ("imports", [HUP], FULL_RUN_EVENTS, 0),  # no reload needed: the configuration is read afterwards
     ("read", [HUP], ["reloaded", *FULL_RUN_EVENTS], 0),
     ("made", [HUP], ["reloaded", *FULL_RUN_EVENTS], 0),
     ("prepared", [HUP], ["reloaded", *FULL_RUN_EVENTS], 0),
     ("first turn", [HUP, HUP], ["reloaded", "reloaded", *FULL_RUN_EVENTS], 0),
-    ("read", [TERM], [], -TERM),  # nothing was begun: the usual effect
+    ("read", [TERM], [], -TERM),  # nothing was started yet: SIGTERM has its default effect
     ("made", [TERM], [], -TERM),
     ("prepared", [TERM], ["stopped", "counters"], 0),
     ("collected", [TERM, TERM], ["stopped", "counters"], 0),
@@ -102,8 +102,8 @@
 def test_signals_take_effect_at_every_step(
     start: StartGateway, step: str, signals: list[signal.Signals], events: list[str], status: int
 ) -> None:
-    # A SIGTERM before the gateway was ready was forgotten: it then listened and served until it was killed. A
-    # SIGHUP was ignored, though it came after the configuration had been read.
+    # A SIGTERM before the gateway was ready was lost: the gateway then listened and served until it was
+    # killed. A SIGHUP was ignored although it arrived after the configuration had been read.
     gateway, moved = start([], wait=False), FakeDiscovery([])
     gateway.stop()
     new_config = gateway.config_path.with_name("moved.json")
--- a/tests/net_program/test_stale_lists.py
+++ b/tests/net_program/test_stale_lists.py
@@ -1,4 +1,4 @@
-"""A gateway process whose endpoint list has become old, because discovery does not answer it."""
+"""A gateway process whose endpoint list is outdated because discovery does not answer."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 GRACE_MS = 500.0
 REQUEST_SPACING_S = 0.02
-QUIET_REQUESTS = 30  # in a row, far longer than a server that rejected a request is left alone
+QUIET_REQUESTS = 30  # consecutive; far longer than a server is avoided after it rejected a request
 MAX_REQUESTS = 250
 
 
 class DrainingInstance(FakeInstance):
-    """An instance that rejects what comes once it drains, as the platform's page says."""
+    """An instance that rejects requests while it drains, as the platform's specification requires."""
 
     def __init__(self) -> None:
         self.draining = threading.Event()
@@ -31,7 +31,7 @@
 def request_until_unsent(client: Client, instance: FakeInstance) -> int:
     """Send requests until enough in a row were rejected without reaching the instance.
 
-    Returns how many that were in the end: QUIET_REQUESTS, or fewer if the gateway did not cease to send.
+    Returns the length of the last such series: QUIET_REQUESTS, or less if the gateway kept sending.
     """
     unsent = 0
     for _ in range(MAX_REQUESTS):
@@ -45,11 +45,11 @@
     return unsent
 
 
-def test_restarted_gateway_does_not_go_on_with_a_list_it_cannot_confirm(start: StartGateway) -> None:
-    """A restarted gateway sent by its cached list to servers that had drained, until discovery answered.
+def test_restarted_gateway_stops_using_a_cached_list_that_it_cannot_confirm(start: StartGateway) -> None:
+    """A restarted gateway used its cached list to send to drained servers until discovery answered.
 
-    133 of 200 gateways were killed during an outage of discovery, and came back with the list from before
-    it. Some of its servers were draining, others gone and replaced at the same address.
+    133 of 200 gateways were killed during an outage of discovery, and restarted with the list from before the
+    outage. Some of its servers were draining, and others were gone and replaced at the same address.
     """
     old, new = DrainingInstance(), FakeInstance()
     discovery = FakeDiscovery([endpoint("s-1", old.address)])
@@ -65,7 +65,7 @@
     restarted = start(cached, discovery=discovery.address, settings=settings)
     client = restarted.client()
     unsent = request_until_unsent(client, old)
-    assert unsent == QUIET_REQUESTS, "requests went on to a server that had drained"
+    assert unsent == QUIET_REQUESTS, "the gateway kept sending requests to a drained server"
 
     discovery.crowded = False
     for _ in range(MAX_REQUESTS):
@@ -78,10 +78,10 @@
 
 
 def test_responses_of_a_later_incarnation_do_not_keep_a_removed_server_in_use(start: StartGateway) -> None:
-    """Good responses of a later incarnation kept a server in use while discovery did not answer.
+    """Successful responses of a later incarnation kept a server in use while discovery did not answer.
 
-    A gateway was killed. Meanwhile a server drained, ended, and came back at its address; discovery listed
-    it as gone, and was too busy to answer.
+    While a gateway was down, a server drained, terminated, and was restarted at its address. Discovery listed
+    the server as removed, and was too busy to answer the restarted gateway.
     """
     returned, discovery = FakeInstance(), FakeDiscovery([])
     discovery.crowded = True
@@ -89,5 +89,5 @@
     cached = [endpoint("s-1", returned.address)]
     restarted = start(cached, discovery=discovery.address, settings=settings)
     unsent = request_until_unsent(restarted.client(), returned)
-    assert returned.received.qsize() > 0, "the server was in use at first"
-    assert unsent == QUIET_REQUESTS, "requests went on to a server that discovery lists as gone"
+    assert returned.received.qsize() > 0, "the gateway sent no request to the server before the grace ended"
+    assert unsent == QUIET_REQUESTS, "the gateway kept sending to a server that discovery lists as removed"
--- a/tests/net_program/test_timers.py
+++ b/tests/net_program/test_timers.py
@@ -1,7 +1,7 @@
-"""Timers of the gateway as it is laid out, with its compiled modules.
+"""Timers of the gateway process as deployed, with its compiled modules.
 
-Once a timer raised after the deadlines of its moment had run. No deadline was late, so no other test saw it;
-Twisted wrote a traceback in plain text for each, and each request paid for that.
+A timer call used to raise an exception after running the deadlines that were due. No deadline was late, so no
+other test detected it, but Twisted wrote a plain-text traceback for each call, which slowed every request.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from tests.standins import TIMEOUT_S, FakeInstance, GatewayProcess, endpoint
 
 
-def test_no_timer_raises_while_requests_come(tmp_path: Path) -> None:
+def test_no_timer_raises_while_requests_arrive(tmp_path: Path) -> None:
     gateway = GatewayProcess(tmp_path, [endpoint("s-1", FakeInstance().address)])
     try:
         gateway.wait_for("ready")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client when calls end in unexpected orders: the test answers each when it wants to."""
+"""The discovery client when calls end in unexpected orders; each test decides when a call is answered."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def open_watch(harness: ManualDiscoveryHarness, version: int, *entries: dict[str, Any]) -> ReceivedCall:
-    """The watch that follows the first list, still open."""
+    """Apply a first list and return the open watch that follows it."""
     harness.discovery.start()
     harness.next_call().respond(list_body(version, *entries, is_snapshot=True))
     watch = harness.next_call()
@@ -38,7 +38,7 @@
 
 
 def fail_watches(harness: ManualDiscoveryHarness, failure_count: int) -> None:
-    """A watch that failed so often, and whose next try is pending."""
+    """Start a watch and let `failure_count` calls fail, so that a retry is pending."""
     harness.discovery.start()
     for _ in range(failure_count):
         harness.next_call().break_connection()
@@ -52,12 +52,12 @@
         (lambda discovery: discovery.watch(False), 0),
         (DiscoveryClient.stop, 0),
     ],
-    ids=["moved", "newer watch", "no watch", "stopped"],
+    ids=["address changed", "newer watch", "watch ended", "stopped"],
 )
 def test_a_superseded_retry_neither_cancels_nor_opens_a_watch(
     step: Callable[[DiscoveryClient], None], open_calls: int
 ) -> None:
-    """A retry that was left pending cancelled the newer watch, or opened one that nobody wanted."""
+    """A retry that was left pending cancelled the newer watch, or opened a watch that had been ended."""
     harness = ManualDiscoveryHarness()
     fail_watches(harness, 2)
     step(harness.discovery)
@@ -86,14 +86,14 @@
     assert len(harness.calls) == 1
 
 
-def test_an_older_snapshot_that_arrives_last_revives_nothing_and_is_fetched_again() -> None:
-    """The version went back, and the draining instance got requests again until the next change."""
+def test_an_older_snapshot_that_arrives_last_is_not_applied_and_is_fetched_again() -> None:
+    """Applying it lowered the version, and a draining instance got requests until the next change."""
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
     harness.discovery.fetch()
     fetch = harness.next_call()
     watch.respond(list_body(43, DRAINING_ENTRY))
-    fetch.respond(list_body(41, READY_ENTRY, is_snapshot=True))  # written before that
+    fetch.respond(list_body(41, READY_ENTRY, is_snapshot=True))  # discovery wrote this before version 43
     assert harness.take_updates() == [(43, [DRAINING])]
     harness.run(20.0)
     assert [call.target for call in harness.calls[-2:]] == ["after=43&wait_ms=10000", ""]
@@ -102,11 +102,11 @@
     assert not harness.failures
 
 
-def test_older_changes_that_arrive_last_revive_nothing_and_are_watched_again() -> None:
+def test_older_changes_that_arrive_last_are_not_applied_and_are_requested_again() -> None:
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
     harness.discovery.fetch()
-    harness.next_call().respond(list_body(43, is_snapshot=True))  # it is gone
+    harness.next_call().respond(list_body(43, is_snapshot=True))  # without the instance
     watch.respond(list_body(42, READY_ENTRY))
     assert harness.take_updates() == [(43, [])]
     assert harness.next_call().target == "after=43&wait_ms=0"
@@ -121,7 +121,7 @@
     fetch.respond(list_body(43, DRAINING_ENTRY, is_snapshot=True))
     assert harness.take_updates() == [(43, [DRAINING])]
     harness.run(20.0)
-    harness.calls[-1].respond(list_body(43, DRAINING_ENTRY))  # all since 42, of which it knows already
+    harness.calls[-1].respond(list_body(43, DRAINING_ENTRY))  # changes already applied
     assert harness.take_updates() == [(43, [DRAINING])]
 
 
@@ -138,7 +138,8 @@
 @pytest.mark.parametrize("disrupt", [restart_discovery, move_discovery])
 @pytest.mark.parametrize(
     ("is_snapshot", "next_target"),
-    [(True, "after=3&wait_ms=10000"), (False, "after=0&wait_ms=10000")],  # what it never knew may be gone
+    # The client requests the whole list after changes alone, because they may omit removed instances.
+    [(True, "after=3&wait_ms=10000"), (False, "after=0&wait_ms=10000")],
     ids=["snapshot", "changes"],
 )
 def test_lower_versions_after_discovery_restarted_or_moved_are_accepted(
@@ -156,7 +157,7 @@
 
 
 class StalledGateway:
-    """A gateway whose process was stopped: its clock runs on, and what arrived meanwhile is unread."""
+    """A gateway whose process is stopped: the clock advances while arriving input stays unread."""
 
     def __init__(self, harness: ManualDiscoveryHarness, monkeypatch: pytest.MonkeyPatch) -> None:
         self.harness = harness
@@ -164,11 +165,11 @@
         monkeypatch.setattr(
             ManualDiscoveryHarness,
             "now",
-            property(lambda rig: rig.reactor.seconds() * 1000.0 + self.stalled_ms),
+            property(lambda harness: harness.reactor.seconds() * 1000.0 + self.stalled_ms),
         )
 
     def stall(self, duration_ms: float, unread: Any = None) -> None:
-        """With bytes in the kernel, by this connection, if the deadlines run before it is read."""
+        """Advance the clock; if `unread` is given, run deadlines while that connection has unread input."""
         if unread is not None:
             unread.transport.getHandle = lambda: SimpleNamespace(recv=lambda *_: b"H")
         self.stalled_ms += duration_ms
@@ -177,8 +178,8 @@
             del unread.transport.getHandle
 
 
-@pytest.mark.parametrize("in_kernel", [True, False], ids=["deadlines first", "bytes first"])
-@pytest.mark.parametrize("part_bytes", [0, 30], ids=["complete", "rest"])
+@pytest.mark.parametrize("in_kernel", [True, False], ids=["deadlines first", "input first"])
+@pytest.mark.parametrize("part_bytes", [0, 30], ids=["complete response", "rest of a response"])
 def test_a_stalled_gateway_reads_a_response_that_arrived_in_time(
     monkeypatch: pytest.MonkeyPatch, in_kernel: bool, part_bytes: int
 ) -> None:
@@ -196,7 +197,7 @@
 
 
 def call_intervals(harness: ManualDiscoveryHarness, duration_ms: float) -> list[float]:
-    """Between the calls of a time in which each fails as it comes."""
+    """Return the intervals in ms between calls while discovery breaks the connection of each call."""
     harness.discovery.start()
     call_times = [0.0]
     while harness.now < duration_ms:
@@ -212,28 +213,28 @@
 def test_with_pushed_lists_the_retry_backoff_stays_within_half_the_drain_grace(
     grace_ms: float, longest: float
 ) -> None:
-    """Retries came up to 4 s apart, longer than the drain grace allowed.
+    """Retries were up to 4 s apart, which is longer than the drain grace allows.
 
-    Changes count as notified as soon as discovery is back, whether or not the gateway has read them.
+    Once discovery is back, it counts changes as notified, whether or not the gateway has read them.
     """
     intervals = call_intervals(ManualDiscoveryHarness(grace_ms=grace_ms), 40_000.0)
     assert longest / 2 < max(intervals) <= longest + 20.0
 
 
 def test_with_pushed_lists_a_watch_silent_after_an_outage_is_reopened_at_once() -> None:
-    """The retry of a silent watch waited for the backoff of the failures before it.
+    """The retry after a time-out waited for the backoff that earlier failures had built up.
 
-    That was up to 4 s, on top of the 4 s after which the silence was detected.
+    That added up to 4 s to the 4 s after which the time-out was detected.
     """
     harness = ManualDiscoveryHarness()
     assert max(call_intervals(harness, 10_000.0)) > 1_000.0
     known_count = len(harness.calls)
     while len(harness.calls) == known_count:
         harness.run(10.0)
-    timed_out_at = harness.now
+    silent_call_at = harness.now
     while len(harness.calls) == known_count + 1:
         harness.run(10.0)
-    assert harness.now - timed_out_at <= NOTIFIED_AFTER_SILENCE_MS - RESPONSE_MS
+    assert harness.now - silent_call_at <= NOTIFIED_AFTER_SILENCE_MS - RESPONSE_MS
 
 
 GONE_ENTRY = endpoint("s-1", "127.0.0.1:9", status="terminated")
@@ -245,18 +246,18 @@
 @pytest.mark.parametrize(
     ("entries", "states", "ports"),
     [
-        ([GONE_ENTRY, MOVED_ENTRY], [READY], [10]),  # back under another build: a log of what changed
+        ([GONE_ENTRY, MOVED_ENTRY], [READY], [10]),  # the instance returned with another build
         ([MOVED_ENTRY, GONE_ENTRY], [ServerState.REMOVED], []),
         ([DRAINING_ENTRY, GONE_ENTRY, READY_ENTRY, MOVED_ENTRY], [READY], [10]),
-        ([READY_ENTRY, OTHER_ENTRY], [READY, READY], [9, 9]),  # two names at one address are two instances
+        ([READY_ENTRY, OTHER_ENTRY], [READY, READY], [9, 9]),  # two instances at one address
         ([], [], []),
     ],
-    ids=["gone, then back", "back, then gone", "four entries of one name", "two names", "empty"],
+    ids=["removed, then ready", "ready, then removed", "four entries of one name", "two names", "empty"],
 )
 def test_the_last_entry_of_a_duplicate_name_in_a_list_wins(
     entries: list[dict[str, Any]], states: list[ServerState], ports: list[int], is_snapshot: bool
 ) -> None:
-    """An instance that was gone and back in one list was ready for the policy, but had no address."""
+    """An instance both removed and ready in one list was ready for the policy, but had no address."""
     harness = ManualDiscoveryHarness()
     open_watch(harness, 41).respond(list_body(42, *entries, is_snapshot=is_snapshot))
     assert harness.take_updates() == [(42, states)] * (is_snapshot or bool(entries))
@@ -264,13 +265,13 @@
     assert len(harness.discovery.decoder.server_ids) == len(ports)
 
 
-BODY = list_body(42, DRAINING_ENTRY)  # indented
+BODY = list_body(42, DRAINING_ENTRY)  # indented JSON
 
 
 @pytest.mark.parametrize(
     "response",
     [HEAD % (len(BODY), BODY), b"HTTP/1.1 200 OK\r\n\r\n" + BODY],
-    ids=["length", "end of connection"],
+    ids=["content length", "end of connection"],
 )
 def test_an_indented_list_is_read_however_it_is_split(response: bytes) -> None:
     harness = ManualDiscoveryHarness()
@@ -279,7 +280,7 @@
         for part in (response[:split_at], response[split_at:]):
             watch.connection.dataReceived(part)
         if b"content-length" not in response:
-            watch.break_connection()  # the end of the connection is that of the list
+            watch.break_connection()  # the end of the connection ends the response
         assert harness.take_updates() == [(42, [DRAINING])]
         watch = harness.next_call()
     for byte in response:
@@ -290,7 +291,7 @@
 
 
 NAMED_ENTRY = {**OTHER_ENTRY, "status": "in_service"}
-UNREADABLE = [
+MALFORMED_LISTS = [
     b"",
     b" \n",
     b"null",
@@ -310,9 +311,9 @@
 ]
 
 
-@pytest.mark.parametrize("body", UNREADABLE, ids=range(len(UNREADABLE)))
+@pytest.mark.parametrize("body", MALFORMED_LISTS, ids=range(len(MALFORMED_LISTS)))
 def test_a_malformed_list_changes_nothing_and_is_requested_again(body: bytes) -> None:
-    """The decoder kept the names of the entries before the malformed one for good."""
+    """The decoder permanently kept the names of entries that preceded the malformed one."""
     harness = ManualDiscoveryHarness()
     open_watch(harness, 41, READY_ENTRY).respond(body)
     assert harness.take_updates() == [(41, [])]
@@ -322,7 +323,7 @@
 
 
 def test_a_fault_while_a_list_is_applied_is_logged_and_the_list_requested_again() -> None:
-    """No watch was open from then on: where lists are pushed nothing opened another."""
+    """After the fault no watch was open, and with pushed lists nothing opened another one."""
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
     register = harness.registry.register
@@ -344,14 +345,14 @@
     connect = reactor.connectTCP
     pending_failures = [True, True]
 
-    def refuse_at_once(host: str, port: int, factory: Any, **more: Any) -> Any:
+    def refuse_first_connections(host: str, port: int, factory: Any, **more: Any) -> Any:
         connector = connect(host, port, factory, **more)
         if pending_failures and pending_failures.pop():
             reactor.tcpClients.pop()
             factory.clientConnectionFailed(connector, Failure(ConnectionRefusedError()))  # type: ignore[no-untyped-call]
         return connector
 
-    reactor.connectTCP = refuse_at_once
+    reactor.connectTCP = refuse_first_connections
     harness.discovery.start()
     harness.run(1_100.0)
     harness.calls[0].respond(list_body(41, READY_ENTRY, is_snapshot=True))
@@ -360,7 +361,7 @@
 
 
 def test_only_one_idle_connection_is_reused() -> None:
-    """The idle connection that was replaced stayed open until discovery closed it."""
+    """When another connection replaced the idle one, the old one stayed open until discovery closed it."""
     harness = ManualDiscoveryHarness()
     watch = open_watch(harness, 41, READY_ENTRY)
     harness.discovery.fetch()
--- a/tests/test_net_config.py
+++ b/tests/test_net_config.py
@@ -1,4 +1,4 @@
-"""Rejected configurations: each error is one line that names the file and the place in it."""
+"""Rejection of invalid configurations: each error is one line with the file and the invalid value."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 VALID_CONFIG: dict[str, Any] = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:8", "settings": SETTINGS}
 CLASS_PATH = ("settings", "classes", 1)
 INVALID_VALUES: list[tuple[tuple[Any, ...], Any, str]] = [
-    (("seed",), float("inf"), "'seed': inf is no number"),
+    (("seed",), float("inf"), "'seed': inf is not a finite or hexadecimal number"),
     (("limits",), {"sockets": 5}, "'limits': 'sockets' is 5"),
     (("settings", "me"), float("inf"), "'me' is inf"),
     (("settings", "balancers"), float("nan"), "'balancers' is nan"),
@@ -62,8 +62,8 @@
 
 
 def test_unknown_fields_are_ignored(tmp_path: Path) -> None:
-    # The pages name none of the settings as complete, and each day brings others: refusing one would be a
-    # gateway that does not start.
+    # The specification's list of settings is incomplete and keeps growing. A gateway that rejected an unknown
+    # setting would fail to start.
     file = tmp_path / "config.json"
     file.write_text(json.dumps({**VALID_CONFIG, "later": 1, "settings": {**SETTINGS, "later": {"a": 1}}}))
     assert read_config({"PROXY_CONFIG": str(file)}).settings.classes
@@ -86,19 +86,19 @@
         "127.0.0.\N{ARABIC-INDIC DIGIT ONE}:80",
     ],
 )
-def test_what_is_no_address_is_named(value: Any) -> None:
-    with pytest.raises(AddressError, match=re.escape(f"{value!r} is no address with a port")):
+def test_an_invalid_address_is_quoted_in_the_error(value: Any) -> None:
+    with pytest.raises(AddressError, match=re.escape(f"{value!r} is not an IPv4 address with a port")):
         parse_address(value)
 
 
 @pytest.mark.parametrize("max_mb", ["many", "0", "-1", "nan", "1e400"])
-def test_a_capture_of_no_size_is_refused(tmp_path: Path, max_mb: str) -> None:
+def test_a_capture_with_an_invalid_size_limit_is_rejected(tmp_path: Path, max_mb: str) -> None:
     environ = {"MEADOWPULLEY_CAPTURE": str(tmp_path / "captured"), "MEADOWPULLEY_CAPTURE_MB": max_mb}
-    with pytest.raises(CaptureError, match=r"MEADOWPULLEY_CAPTURE_MB: .* is no size; give megabytes above 0"):
+    with pytest.raises(CaptureError, match=r"MEADOWPULLEY_CAPTURE_MB: .* is not a size in megabytes above 0"):
         open_capture(environ, read_settings(SETTINGS, "test"), "n0", lambda: 0.0, lambda work, done: work())
 
 
-def test_a_capture_that_cannot_be_opened_is_refused(tmp_path: Path) -> None:
+def test_a_capture_file_that_cannot_be_opened_is_rejected(tmp_path: Path) -> None:
     environ = {"MEADOWPULLEY_CAPTURE": str(tmp_path / "missing" / "captured")}
     with pytest.raises(CaptureError, match="No such file"):
         open_capture(environ, read_settings(SETTINGS, "test"), "n0", lambda: 0.0, lambda work, done: work())
--- a/tests/test_reactor.py
+++ b/tests/test_reactor.py
@@ -1,4 +1,4 @@
-"""The reactor's own handling of events that epoll reports."""
+"""The reactor's handling of error and hang-up events from epoll."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ResetConnection:
-    """A connection whose next read reports that it was reset."""
+    """A connection whose next read reports a reset."""
 
     def __init__(self) -> None:
         self.socket, self.other_end = socket.socketpair()
@@ -32,9 +32,9 @@
 
 
 @pytest.mark.parametrize("event", [select.EPOLLERR, select.EPOLLHUP, select.EPOLLERR | select.EPOLLHUP])
-def test_an_error_without_input_is_read_and_no_orderly_end(event: int) -> None:
-    # The kernel reports one reset in some hundreds as an error alone, without input. Twisted took it for an
-    # orderly end, and a response framed by the end of its connection for complete though it was cut off.
+def test_an_error_event_without_input_is_read_and_reported_as_a_lost_connection(event: int) -> None:
+    # The kernel reports about one reset in several hundred as an error event without input. Twisted treats it
+    # as an orderly close, so a truncated response that ends with its connection was taken for complete.
     connection = ResetConnection()
     reactor: Any = MonotonicReactor()
     reactor.addReader(connection)
--- a/tests/test_request_tracing.py
+++ b/tests/test_request_tracing.py
@@ -1,4 +1,4 @@
-"""A request's course through a fleet: the lines that a gateway writes, and the reader that merges them."""
+"""Request tracing: the log lines that a gateway writes, and the command that merges them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     try:
         gateway.wait_for("ready")
         client = gateway.client()
-        for _ in range(30):  # more than the log takes of other events in a second
+        for _ in range(30):  # more lines than the rate limit for other log events allows
             assert client.request("GET", "/look")[0] == 200
         lines = [json.dumps(gateway.wait_for("request_trace")) for _ in range(90)]
     finally:
@@ -29,7 +29,7 @@
     first = [s for s in steps if s.request == steps[0].request]
     assert [s.step for s in first] == ["received", "sent", "responded"] and "build=" in first[1].fields
     log = tmp_path / "n0.log"
-    log.write_text("\n".join(lines[:-1]))  # the last answer is missing
+    log.write_text("\n".join(lines[:-1]))  # without the event of the last response
     result = CliRunner().invoke(main, ["trace-requests", "--json", str(log)])
     assert [s["step"] for s in json.loads(result.output)["steps"]] == ["received", "sent"]
     assert CliRunner().invoke(main, ["trace-requests", "--id", "none", str(log)]).exit_code == 2
--- a/tests/test_rollout_client.py
+++ b/tests/test_rollout_client.py
@@ -1,4 +1,4 @@
-"""The platform client when messages come in unexpected orders, on connections that the test writes to."""
+"""The platform client when messages arrive in unexpected orders; the tests write them to its connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RolloutHarness(ManualDiscoveryHarness):
-    """The real platform client; each connection that it opens is established at once."""
+    """The real platform client; `accept_connection` establishes the connections that it opens."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,11 +44,11 @@
         return [(e.stage, e.cap, e.is_vote_reply, e.result) for e in events]
 
 
-@pytest.mark.parametrize("answered_late", [False, True], ids=["in time", "after its time"])
+@pytest.mark.parametrize("answered_late", [False, True], ids=["before the time-out", "after the time-out"])
 def test_a_vote_answered_at_the_old_address_does_not_revert_a_newer_rollout_state(
     answered_late: bool,
 ) -> None:
-    """A state that the old address had written was dispatched after a newer one, and its cap held again."""
+    """An older state from the old address was dispatched after a newer one, and its cap applied again."""
     harness = RolloutHarness()
     old = harness.accept_connection()
     harness.send(old, id=1, result=True)
@@ -70,7 +70,7 @@
     assert new.is_open
 
 
-def test_the_old_address_s_response_is_the_state_until_the_new_address_sends_one() -> None:
+def test_a_response_from_the_old_address_is_used_until_the_new_address_sends_a_state() -> None:
     harness = RolloutHarness()
     old = harness.accept_connection()
     harness.send(old, id=1, result=True)
@@ -83,7 +83,7 @@
 
 
 def test_unread_heartbeats_keep_the_connection_of_a_stalled_gateway() -> None:
-    """A gateway that had been stopped closed the connection as silent, and counted its votes as lost."""
+    """A gateway whose process had been stopped closed the connection as silent, and counted votes as lost."""
     harness = RolloutHarness()
     connection = harness.accept_connection()
     connection.transport.getHandle = lambda: SimpleNamespace(recv=lambda *_: b"{")
@@ -95,7 +95,7 @@
 
 
 def test_a_follow_call_that_the_platform_rejects_is_retried_on_a_new_connection() -> None:
-    """The connection was kept, and no rollout updates came until its heartbeat timed out."""
+    """The connection was kept, but carried no rollout updates until its heartbeat timed out."""
     harness = RolloutHarness()
     connection = harness.accept_connection()
     harness.send(connection, id=1, error={"code": -32602, "message": "error"})
@@ -104,8 +104,8 @@
     assert harness.accept_connection().is_open
 
 
-def test_a_response_that_lies_unread_at_a_vote_s_timeout_still_counts() -> None:
-    """A gateway that had been stopped reported a time-out, and would have voted again."""
+def test_a_response_still_unread_at_the_timeout_of_a_vote_counts() -> None:
+    """A gateway whose process had been stopped reported a time-out, and would have voted again."""
     harness = RolloutHarness()
     connection = harness.accept_connection()
     harness.send(connection, id=1, result=True)
