--- a/meadowpulley/net/capture.py
+++ b/meadowpulley/net/capture.py
@@ -1,9 +1,9 @@
 """Capture of arriving requests into a file that `meadowpulley load` reads. Off by default.
 
 The environment variable `MEADOWPULLEY_CAPTURE` names the file and turns the capture on. Capturing never slows
-or fails a request: the number of pending records is bounded, a thread writes the file, and a record that fits
-neither in memory nor on disk is dropped and counted. Request keys are hashed with a random salt of this
-capture, so that the file holds no customer data.
+or fails a request: the number of pending records is bounded, a thread writes the file, and a record that
+exceeds the limit in memory or on disk is dropped and counted. Request keys are hashed with a random salt of
+this capture, so that the file holds no customer data.
 """
 
 from __future__ import annotations
@@ -203,7 +203,7 @@
     try:
         max_mb = float(text)
     except ValueError:
-        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is not a size in megabytes above 0") from None
+        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is no size in megabytes above 0") from None
     if not 0 < max_mb <= MAX_MB:
-        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is not a size in megabytes above 0")
+        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is no size in megabytes above 0")
     return max_mb
--- a/meadowpulley/net/config.py
+++ b/meadowpulley/net/config.py
@@ -39,7 +39,7 @@
     """A value is not an IPv4 address with a port."""
 
     def __init__(self, value: object) -> None:
-        super().__init__(f"{value!r} is not an IPv4 address with a port")
+        super().__init__(f"{value!r} contains no IPv4 address with a port")
         self.value = value
 
 
@@ -78,9 +78,9 @@
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: not valid JSON: {error}") from None
+        raise ConfigError(f"{path}: contains no valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: not a JSON object")
+        raise ConfigError(f"{path}: contains no JSON object")
     try:
         return _build_config(raw, environ)
     except (ConfigError, SettingsError) as error:
@@ -134,7 +134,7 @@
     discovery = _read_address(raw, "discovery")
     settings = read_settings(raw.get("settings"), "config")
     if not settings.classes:
-        raise ConfigError("'settings' lists no request classes")
+        raise ConfigError("'settings' name no request classes")
     config = Config(
         name=str(raw.get("name", "")),
         listen=listen,
@@ -165,14 +165,14 @@
 def _read_object(raw: JsonObject, key: str) -> JsonObject:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"'{key}' is not a JSON object")
+        raise ConfigError(f"'{key}' contains no JSON object")
     return value
 
 
 def _read_peers(raw: JsonObject) -> list[object]:
     peers = raw.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigError("'peers' is not a list")
+        raise ConfigError("'peers' is no list")
     return peers
 
 
@@ -204,7 +204,7 @@
             return int(seed)
     except (ValueError, OverflowError):  # a string that is not hexadecimal, NaN, or an infinite number
         pass
-    raise ConfigError(f"'seed': {seed!r} is not a finite or hexadecimal number")
+    raise ConfigError(f"'seed': {seed!r} is no finite or hexadecimal number")
 
 
 def _find_inconsistencies(config: Config, raw_settings: JsonObject) -> tuple[str, ...]:
@@ -223,10 +223,10 @@
     raw_index = raw_settings.get(GATEWAY_INDEX_KEY)
     warnings = []
     if (raw_count or 0) != count and GATEWAY_COUNT_KEY in raw_settings:
-        warnings.append(f"'settings': '{GATEWAY_COUNT_KEY}' is {raw_count}: using {count}")
+        warnings.append(f"'settings': '{GATEWAY_COUNT_KEY}' is {raw_count}: taken as {count}")
     if (raw_index or 0) != index:
         warnings.append(
-            f"'settings': '{GATEWAY_INDEX_KEY}' is {raw_index} with {count} gateways: using {index}"
+            f"'settings': '{GATEWAY_INDEX_KEY}' is {raw_index} with {count} gateways: taken as {index}"
         )
     return warnings
 
@@ -238,7 +238,7 @@
     missing = [key for key in GOSSIP_KEYS if not getattr(config, key)]
     if missing:
         return [
-            f"gossip is enabled without {', '.join(missing)}: this gateway uses only its own measurements"
+            f"gossip is enabled without {', '.join(missing)}: this gateway decides by its own measurements"
         ]
     if len(config.peers) != gateway_count:
         return [
@@ -253,4 +253,6 @@
     endpoints = config.cached_endpoints.get(protocol.LIST_ENDPOINTS)
     if not isinstance(endpoints, list) or config.max_sockets >= len(endpoints):
         return []
-    return [f"'limits': {config.max_sockets} 'sockets' for {len(endpoints)} instances: idle ones get closed"]
+    return [
+        f"'limits': {config.max_sockets} 'sockets' for {len(endpoints)} instances: idle connections close"
+    ]
--- a/meadowpulley/net/current_endpoint_list.py
+++ b/meadowpulley/net/current_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in use: tracks its version and age, and passes new lists to the pools and the policy."""
+"""The endpoint list in use: its version and age, and the passing of new lists to pools and policy."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
             StaleListError: the list may be older than the one in use.
         """
         if endpoint_list.version < self.version and report.lists_applied_at_send < self.lists_applied:
-            raise StaleListError(f"version {endpoint_list.version} may be older than {self.version}")
+            raise StaleListError(f"version {endpoint_list.version} came after {self.version}: fetch it again")
 
     def confirm(self, earliest_as_of_ms: float) -> None:
         """Record that the list to be applied next includes all changes up to a time at least."""
--- a/meadowpulley/net/endpoint_watch.py
+++ b/meadowpulley/net/endpoint_watch.py
@@ -101,7 +101,11 @@
         except Exception:  # noqa: BLE001  # a bug here: the list was not applied and must be requested again
             self._gateway.log_fault("discovery")
             if self._call is None:
-                self.call_failed(CallFailure("the list was not applied", EndpointUpdateKind.BROKEN, report))
+                self.call_failed(
+                    CallFailure(
+                        "a fault of this gateway: the list was not applied", EndpointUpdateKind.BROKEN, report
+                    )
+                )
             return
         self._consecutive_failures = 0
         if self._call is None and self._enabled and not self._gateway.stopping:
--- a/meadowpulley/net/extension.py
+++ b/meadowpulley/net/extension.py
@@ -1,4 +1,4 @@
-"""The extension point for request handling: an optional object at `Gateway.extension`, None by default.
+"""The extension point for request handling: an optional object, `Gateway.extension`, None by default.
 
 An extension receives each request before the policy does and each final response before the client does. It
 may answer a request itself, delay a response until it has recorded it, and let a request continue after its
@@ -39,7 +39,7 @@
     event: Request  # the policy's view: handle, class, tenant, key and deadline
     message: Message  # the received HTTP message: method, path with query, headers and body
     arrived_ms: float
-    is_duplicate: bool  # another request with this id is open at this gateway
+    is_duplicate: bool  # another request with this id awaits its response at this gateway
 
 
 ReleaseResponse: TypeAlias = Callable[[Response], None]
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -59,7 +59,7 @@
 # take a third of all sockets, and the rest of this fraction is for idle client connections.
 CLIENT_SOCKET_FRACTION = 0.58
 DRAIN_ACCEPT_MS = 700.0  # new connections are accepted for this long after SIGTERM, as they still arrive
-TIMER_RETRY_MS = 1000.0  # delay before a timer event is repeated on which the policy raised
+TIMER_RETRY_MS = 1000.0  # delay until a timer event is repeated after the policy raised an exception
 
 # The argument is Any: each handler takes its own action type, which a dict's type can't express.
 ActionHandler: TypeAlias = Callable[[Any], None]
--- a/meadowpulley/net/log.py
+++ b/meadowpulley/net/log.py
@@ -9,7 +9,7 @@
 import structlog
 from structlog.typing import EventDict, FilteringBoundLogger, WrappedLogger
 
-UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # logged when an exception from a bug was caught
+UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # a bug raised an exception; the gateway continues
 MAX_LINES_PER_SECOND = 20  # limit for each event name; the next written line has the suppressed count
 UNLIMITED_EVENTS = ("request_trace",)  # never suppressed, since an operator asked for every line
 
--- a/meadowpulley/net/platform_connection.py
+++ b/meadowpulley/net/platform_connection.py
@@ -1,4 +1,4 @@
-"""A connection to the platform: exchanges JSON-RPC lines, with time-outs for heartbeats and partial lines."""
+"""A connection to the platform: JSON-RPC lines, with time-outs for heartbeats and partial lines."""
 
 from __future__ import annotations
 
--- a/meadowpulley/net/protocol.py
+++ b/meadowpulley/net/protocol.py
@@ -1,4 +1,4 @@
-"""All names of the wire protocol: environment variables, headers, paths, JSON fields and their values.
+"""All names of the wire protocol: environment variables, headers, paths, JSON fields and values.
 
 To support another protocol, replace this module.
 """
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -129,7 +129,8 @@
         return PendingCall(self._last_call_number, vote)
 
     def _vote_timed_out(self, call: PendingCall, connection: PlatformConnection) -> None:
-        if connection.is_open and connection.has_unread_input():  # the response may have arrived unread
+        # If there is unread input, this gateway is late, and the response may have arrived in time.
+        if connection.is_open and connection.has_unread_input():
             timed_out = partial(self._vote_timed_out, call, connection)
             call.timeout = self.gateway.deadlines.after(PARTIAL_LINE_TIMEOUT_MS, timed_out)
         else:
