--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -202,7 +202,7 @@
     def _responded_call(self, connection: PlatformConnection, number: object) -> PendingCall:
         """Return the call that a response answers; complete skipped earlier calls as timed out."""
         if number not in [call.number for call in connection.pending_calls]:
-            raise MalformedMessageError("a response matches no pending call")
+            raise MalformedMessageError("a response to no pending call")
         while connection.pending_calls[0].number != number:
             self._complete(connection.pending_calls.popleft(), Result.TIMEOUT)
         return connection.pending_calls[0]
