--- a/meadowpulley/net/__init__.py
+++ b/meadowpulley/net/__init__.py
@@ -7,7 +7,7 @@
 - `errors`, `protocol`, `json_fields`, `config`: the names of the wire protocol, and the configuration.
 - `reactor_interface`, `reactor`: the reactor methods in use, and the gateway's own reactor.
 - `deadlines`, `ring`, `slots`, `http1`, `connection`: building blocks of all connections.
-- `extension`, `gateway_context`: the gateway as extensions and components see it.
+- `extension`, `gateway_context`: the interfaces that extensions and components use.
 - `request_table`, `request_parsing`, `request_admission`: requests from their arrival to their response.
 - `client_connection`, `client_listener`: connections from clients.
 - `instance_connection`, `instance_pools`, `instance_response`, `attempts`: attempts at instances.
--- a/meadowpulley/net/capture.py
+++ b/meadowpulley/net/capture.py
@@ -29,7 +29,7 @@
 MAX_SOURCE_CHARS = 80  # the gateway's name is cut to this length, since the header's length is fixed
 KEY_DIGEST_BYTES = 7  # 7 bytes: a hashed key stays below 2^56
 MS_DECIMALS = 3  # times are written in milliseconds, rounded to the microsecond
-HEADER_BYTES = 256  # fixed, since the header is rewritten at the end with the dropped count
+HEADER_BYTES = 256  # of the first line, which is rewritten at the end with the number of dropped arrivals
 
 
 # `run_in_thread(work, done)` runs `work` in a thread, then calls `done(failed)` in the reactor's thread.
@@ -112,7 +112,10 @@
         self._pending.append(arrival)
 
     def flush(self) -> None:
-        """Pass pending arrivals to the thread, unless it still writes: a slow disk delays nothing else."""
+        """Pass pending arrivals to the thread, unless it is still writing the last batch.
+
+        A slow disk thus delays nothing but the capture itself.
+        """
         if self._writing or not self._pending:
             return
         batch = self._pending
@@ -203,7 +206,7 @@
     try:
         max_mb = float(text)
     except ValueError:
-        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is no size in megabytes above 0") from None
+        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is no size in megabytes above 0 and up to 1e6") from None
     if not 0 < max_mb <= MAX_MB:
-        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is no size in megabytes above 0")
+        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is no size in megabytes above 0 and up to 1e6")
     return max_mb
--- a/meadowpulley/net/config.py
+++ b/meadowpulley/net/config.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration, read from a file and the environment and validated before the start."""
+"""The gateway's configuration: read from a file and the environment, validated before the start."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 def read_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that the environment names; variables override its keys. Raises ConfigError."""
+    """Read the file that the environment names; some variables override its keys. Raises ConfigError."""
     path = environ.get(protocol.ENV_CONFIG)
     if not path:
         raise ConfigError(f"{protocol.ENV_CONFIG} is not set")
@@ -134,7 +134,7 @@
     discovery = _read_address(raw, "discovery")
     settings = read_settings(raw.get("settings"), "config")
     if not settings.classes:
-        raise ConfigError("'settings' name no request classes")
+        raise ConfigError("'settings' contains no request classes")
     config = Config(
         name=str(raw.get("name", "")),
         listen=listen,
@@ -165,14 +165,14 @@
 def _read_object(raw: JsonObject, key: str) -> JsonObject:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"'{key}' contains no JSON object")
+        raise ConfigError(f"'{key}' is not a JSON object")
     return value
 
 
 def _read_peers(raw: JsonObject) -> list[object]:
     peers = raw.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigError("'peers' is no list")
+        raise ConfigError("'peers' is not a list")
     return peers
 
 
--- a/meadowpulley/net/current_endpoint_list.py
+++ b/meadowpulley/net/current_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list in use: its version and age, and the passing of new lists to pools and policy."""
+"""The endpoint list in use: its version and age, and how a new list reaches the pools and the policy."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         return self.version
 
     def as_of_ms(self) -> float | None:
-        """Return the time up to which the list in use includes all changes, while no call is open.
+        """Return the time up to which the list in use includes all changes, once no call is open.
 
         None means the present time: where lists are pushed, a discovery service that fails calls has notified
         no gateway of any change.
@@ -60,7 +60,7 @@
         return self.confirmed_at if self._gateway.config.settings.must_poll else None
 
     def age_ms(self) -> int | None:
-        """Return how long ago the list in use was applied; None if no list was applied yet."""
+        """Return how long ago the list in use was applied, in ms; None if no list was applied yet."""
         if not self.lists_applied:
             return None
         return round(self._gateway.deadlines.now() - self._applied_at)
@@ -78,14 +78,19 @@
             StaleListError: the list may be older than the one in use.
         """
         if endpoint_list.version < self.version and report.lists_applied_at_send < self.lists_applied:
-            raise StaleListError(f"version {endpoint_list.version} came after {self.version}: fetch it again")
+            raise StaleListError(
+                f"version {endpoint_list.version} is lower than {self.version}: fetch the list again"
+            )
 
     def confirm(self, earliest_as_of_ms: float) -> None:
-        """Record that the list to be applied next includes all changes up to a time at least."""
+        """Record that the list applied next includes at least all changes up to `earliest_as_of_ms`."""
         self.confirmed_at = max(self.confirmed_at, earliest_as_of_ms)
 
     def log(self, endpoint_list: EndpointList, report: CallReport | None) -> None:
-        """Log that a list replaces the one in use. `report` is None for the cached list."""
+        """Log that a list replaces the one in use, and how long its call took in milliseconds.
+
+        `report` is None for the cached list, which came without a call.
+        """
         states = [endpoint.entry.state for endpoint in endpoint_list.endpoints]
         self._gateway.log.info(
             "endpoint_list_applied",
--- a/meadowpulley/net/deadlines.py
+++ b/meadowpulley/net/deadlines.py
@@ -21,7 +21,7 @@
 
 
 class Deadline:
-    """A callback that runs once unless it is cancelled; `callback` is None after either."""
+    """A callback that runs once unless it is cancelled; `callback` is None once that happened."""
 
     __slots__ = ("callback",)
 
@@ -48,7 +48,9 @@
         self._cancelled = 0  # number of heap entries whose deadline is cancelled
         self._last_sequence = 0  # orders deadlines with equal times by when they were set
         self._running = False
-        self.polled_at = math.inf  # when the reactor's last poll for input returned
+        self.polled_at = (
+            math.inf
+        )  # when the reactor's last poll for input returned; infinite before the first
         self._reactor_call: DelayedCall | None = None
         self._reactor_call_at = 0.0
 
--- a/meadowpulley/net/discovery_call.py
+++ b/meadowpulley/net/discovery_call.py
@@ -1,4 +1,7 @@
-"""A single call to discovery: opens a connection if needed, sends a request, decodes the response."""
+"""A single call to discovery: opens a connection if needed, sends a request, decodes the response.
+
+One time-out covers all three steps.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +50,7 @@
     """Why a call returned no usable list."""
 
     reason: str
-    kind: EndpointUpdateKind  # TIMED_OUT, BROKEN if discovery may have answered, else FAILED
+    kind: EndpointUpdateKind  # TIMED_OUT; BROKEN if a list may have been lost; otherwise FAILED
     report: CallReport
 
 
@@ -60,7 +63,7 @@
 
     @property
     def idle_connection(self) -> IdleConnectionSlot:
-        """The slot that may hold an idle connection for the next call."""
+        """The store of an idle connection, which the next call reuses if there is one."""
 
     @property
     def lists_applied(self) -> int:
@@ -77,7 +80,7 @@
         """Handle the decoded JSON of the response."""
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Handle a call that returned no JSON."""
+        """Handle a call that failed, or whose response is no valid JSON."""
 
 
 class DiscoveryCall:
@@ -148,7 +151,7 @@
         try:
             raw = json.loads(message.body)
         except (ValueError, RecursionError):
-            self._fail("the response contains no JSON", connection, EndpointUpdateKind.BROKEN)
+            self._fail("the response contains no valid JSON", connection, EndpointUpdateKind.BROKEN)
             return
         self._complete()
         if connection is not None and connection.is_open:
@@ -164,7 +167,7 @@
 
     def _timed_out(self) -> None:
         connection = self._connection
-        # If there is unread input, this gateway is late, and the response may have arrived in time.
+        # If there is unread input, this gateway is late in reading it: the response may have arrived in time.
         if connection is not None and connection.has_unread_input():
             self._timeout = self._gateway.deadlines.after(PARTIAL_RESPONSE_TIMEOUT_MS, self._timed_out)
             return
--- a/meadowpulley/net/discovery_connection.py
+++ b/meadowpulley/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""Connections to discovery, which carry one request at a time, and the slot for an idle connection."""
+"""Connections to discovery, which carry one request at a time, and the store of an idle connection."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DiscoveryConnection(Connection):
-    """Sends one request at a time; its Deferred fires with the response or a DiscoveryError."""
+    """Sends one request at a time, and fires its Deferred with the response or a DiscoveryError."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         super().__init__(deadlines, MAX_LIST_BYTES, MAX_REQUEST_BYTES)
@@ -28,7 +28,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the next request may use the connection: it is open and holds no unrequested input."""
+        """Whether the next request may use the connection: it is open and has no unrequested input."""
         return self.is_open and not self.parser.has_partial_message and not self.has_unread_input()
 
     def request(self, target: str) -> Deferred[Message]:
@@ -65,7 +65,7 @@
         self.abort()
 
     def _response_overdue(self) -> None:
-        if self.has_unread_input():  # the rest may have arrived unread: this gateway is late
+        if self.has_unread_input():  # this gateway reads late; the response may be complete
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_overdue)
             return
         self._fail("only part of the response arrived in time")
@@ -91,13 +91,13 @@
 
 
 class IdleConnectionSlot:
-    """Holds at most one idle connection for reuse by the next request."""
+    """Stores at most one idle connection, which the next request reuses."""
 
     def __init__(self) -> None:
         self._connection: DiscoveryConnection | None = None
 
     def take(self) -> DiscoveryConnection | None:
-        """Empty the slot; return its connection if it can be reused, otherwise close it and return None."""
+        """Remove the stored connection; return it if it is reusable, otherwise close it and return None."""
         connection = self._connection
         self._connection = None
         if connection is None or connection.is_reusable:
@@ -106,12 +106,12 @@
         return None
 
     def put(self, connection: DiscoveryConnection) -> None:
-        """Store a connection; close the one that was stored before."""
+        """Store an idle connection for the next request, and close the one that was stored before."""
         self.discard()
         self._connection = connection
 
     def discard(self) -> None:
-        """Close the stored connection and empty the slot."""
+        """Close the stored idle connection, if there is one, so that the next request opens a new one."""
         connection = self._connection
         self._connection = None
         if connection is not None:
--- a/meadowpulley/net/endpoint_fetch.py
+++ b/meadowpulley/net/endpoint_fetch.py
@@ -1,4 +1,4 @@
-"""The one-time fetch of the whole endpoint list, and the client interface of the watch and the fetch."""
+"""The fetch of the whole endpoint list, and the client interface that the watch and the fetch use."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 from meadowpulley.net.endpoint_list import DiscoveryError, StaleListError
 
-# How long a call without a wait may take. This is longer than discovery queues a call: a call abandoned just
-# before its response costs discovery as much as an answered call, and is then repeated.
+# How long a call without a wait may take. This is longer than discovery keeps a call in its queue: a call
+# abandoned just before its response costs discovery as much as an answered call, and is then repeated.
 RESPONSE_GRACE_MS = 4_000.0
 FETCH_REQUEST = CallRequest(protocol.ENDPOINTS_PATH, wait_ms=0.0, timeout_ms=RESPONSE_GRACE_MS)
 
@@ -61,7 +61,7 @@
             self.start()
 
     def cancel(self) -> None:
-        """End the call in progress without an update of the list."""
+        """End the call in progress, and dispatch no update for it."""
         if self._call is not None:
             self._call.cancel()
             self._call = None
--- a/meadowpulley/net/endpoint_list.py
+++ b/meadowpulley/net/endpoint_list.py
@@ -50,9 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A decoded list: a snapshot of all endpoints, or those that changed since an earlier version.
+    """A decoded list: a snapshot of all endpoints, or those that changed since another version.
 
-    It holds at most one endpoint for each instance.
+    The other version may be higher than `version` after a restart of discovery. The list holds at most one
+    endpoint for each instance.
     """
 
     is_snapshot: bool
--- a/meadowpulley/net/endpoint_watch.py
+++ b/meadowpulley/net/endpoint_watch.py
@@ -14,12 +14,14 @@
 
 LONG_POLL_MS = 10_000.0  # how long a call waits for changes, unless the settings set another interval
 MAX_LONG_POLL_MS = 60_000.0
-# How long the response to a long poll may take beyond its wait. From 2 s after the wait on, discovery counts
-# a change as notified even if the response never arrived, and the next call has to be answered by then.
+# How long the response to a long poll may take after its wait has ended. 2 s after the end of the wait,
+# discovery counts a change as notified even if the response never arrived, and by then the next call has to
+# be answered.
 LONG_POLL_GRACE_MS = 1_500.0
-# The backoff after a failed watch, where lists are pushed. A recovered discovery counts changes as notified
-# at once, and nothing may be sent to a draining server once the drain grace of the settings has passed. The
-# longest backoff is at most half of that grace, which leaves the other half for the call itself.
+# The backoff after a failed watch, where lists are pushed. As soon as discovery has recovered, it counts its
+# changes as notified, even at a gateway that still waits for its backoff to end. After the notification that
+# a server drains, requests may be sent to it only during the drain grace of the settings. The longest backoff
+# is therefore at most half of the drain grace, which leaves the other half for the call itself.
 FIRST_BACKOFF_MS = 500.0
 LONGEST_BACKOFF_MS = 4_000.0
 RETRY_JITTER = (0.5, 1.0)  # the backoff is multiplied by a factor drawn uniformly from this range
@@ -43,7 +45,7 @@
         self._random = random.Random(self._gateway.config.seed)
 
     def set_enabled(self, enabled: bool) -> None:
-        """Restart the watch, or end it. Discovery answers the first call of a watch at once."""
+        """Restart the watch if enabled, otherwise end it. Discovery answers its first call at once."""
         self._enabled = enabled
         # A retry left pending would later cancel the newer watch, or open a watch that the policy had ended.
         self._gateway.deadlines.cancel(self._retry)
@@ -87,7 +89,7 @@
             self._gateway.dispatch(EndpointWatchOpened(request.wait_ms, confirmed_at))
 
     def call_succeeded(self, raw: object, report: CallReport) -> None:
-        """Apply the list and wait for further changes; request a list that may be stale again at once."""
+        """Apply the list and wait for further changes; request it again at once if it may be stale."""
         self._call = None
         try:
             self._client.apply_response(raw, report)
@@ -98,12 +100,14 @@
             self._client.discard_malformed()
             self.call_failed(CallFailure(str(error), EndpointUpdateKind.BROKEN, report))
             return
-        except Exception:  # noqa: BLE001  # a bug here: the list was not applied and must be requested again
+        except Exception:  # noqa: BLE001  # a bug in this gateway: the list was not applied, and no other code would request it again
             self._gateway.log_fault("discovery")
             if self._call is None:
                 self.call_failed(
                     CallFailure(
-                        "a fault of this gateway: the list was not applied", EndpointUpdateKind.BROKEN, report
+                        "a fault of this gateway, not of discovery: the list was not applied",
+                        EndpointUpdateKind.BROKEN,
+                        report,
                     )
                 )
             return
@@ -123,7 +127,8 @@
     def _schedule_retry(self, kind: EndpointUpdateKind) -> None:
         backoff_ms = self._backoff.delay_ms(self._consecutive_failures)
         if kind is EndpointUpdateKind.TIMED_OUT:
-            # The time-out took seconds and ended at a different time at each gateway: retry without delay.
+            # The time-out took seconds and ends at a different time at each gateway: the retry is late and
+            # spread out already, so it gets no backoff.
             backoff_ms = 0.0
         else:
             self._consecutive_failures += 1
--- a/meadowpulley/net/extension.py
+++ b/meadowpulley/net/extension.py
@@ -1,11 +1,11 @@
 """The extension point for request handling: an optional object, `Gateway.extension`, None by default.
 
 An extension receives each request before the policy does and each final response before the client does. It
-may answer a request itself, delay a response until it has recorded it, and let a request continue after its
-client has disconnected. It uses
-`RequestTable.complete` to answer a request, `RequestAdmission.adopt` to take over a request without a client
-connection, `Gateway.register_action` to add action types, and `Gateway.dispatch` with events of any type for
-the stages of `Gateway.pipeline`. Without an extension, the only cost is the check of one attribute.
+may answer a request itself, delay a response until the response is recorded, and let a request continue after
+its client has disconnected. It uses `RequestTable.complete` to answer a request, `RequestAdmission.adopt` to
+take over a request without a client connection, `Gateway.register_action` to add action types, and
+`Gateway.dispatch` with events of any type for the stages of `Gateway.pipeline`. Without an extension, the
+only cost is the check of one attribute.
 
 The methods are called in the reactor's thread and must not block. An exception is logged and counted as
 `fault.extension`, and the gateway continues as it would without an extension. An exception in `on_request`
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A final response. `headers` omits headers about the connection and the content length."""
+    """A final response. `headers` has end-to-end headers only: none on the connection or the length."""
 
     status: int
     headers: dict[str, str]
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -58,7 +58,7 @@
 # The fraction of the unreserved sockets that client connections may use. Client connections with a request
 # take a third of all sockets, and the rest of this fraction is for idle client connections.
 CLIENT_SOCKET_FRACTION = 0.58
-DRAIN_ACCEPT_MS = 700.0  # new connections are accepted for this long after SIGTERM, as they still arrive
+DRAIN_ACCEPT_MS = 700.0  # connections still arrive after SIGTERM, and are accepted for this long
 TIMER_RETRY_MS = 1000.0  # delay until a timer event is repeated after the policy raised an exception
 
 # The argument is Any: each handler takes its own action type, which a dict's type can't express.
@@ -117,7 +117,8 @@
         available = config.max_sockets - RESERVED_SOCKETS
         client_sockets = int(available * CLIENT_SOCKET_FRACTION)
         instance_sockets = available - client_sockets
-        # Each request holds a client connection, or an instance connection after its client has disconnected.
+        # Each request holds a client connection, or an instance connection after its client has disconnected,
+        # which limits the number of requests.
         self.requests = RequestTable(self, client_sockets + instance_sockets)
         self.admission = RequestAdmission(self, self.requests)
         self.clients = ClientListener(self, self.admission, self.requests, client_sockets)
@@ -153,7 +154,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the gateway accepts and serves requests."""
+        """Whether the gateway listens for clients and is not draining."""
         return self.phase is GatewayPhase.READY
 
     @property
@@ -162,7 +163,10 @@
         return self.phase is GatewayPhase.STOPPED
 
     def prepare(self) -> None:
-        """Start all components from the configuration, except for listening."""
+        """Connect to discovery, the instances and the platform, and start gossip, but accept no clients.
+
+        `listen` accepts clients later. The warnings of the configuration are logged first.
+        """
         for warning in self.config.warnings:
             self.log.warning("configuration_warning", what=warning)
         self.discovery.start()
@@ -310,14 +314,14 @@
     def _handle(self, event: object) -> None:
         try:
             actions = self.pipeline.handle(self.deadlines.now(), event)
-        except Exception:  # noqa: BLE001  # a failing decision may cost one request, but not the others or the process
+        except Exception:  # noqa: BLE001  # an exception in a decision may fail one request, but not the others or the process
             self.log_fault("policy")
             self._recover_from_failed_decision(event)
             return
         for action in actions:
             try:
                 self._actions[type(action)](action)
-            except Exception:  # noqa: BLE001  # later actions may belong to other requests
+            except Exception:  # noqa: BLE001  # execute the later actions: they may belong to other requests
                 self.log_fault("action")
 
     def _recover_from_failed_decision(self, event: object) -> None:
--- a/meadowpulley/net/gateway_context.py
+++ b/meadowpulley/net/gateway_context.py
@@ -51,11 +51,11 @@
 
     @property
     def extension(self) -> Extension | None:
-        """The extension of request handling; None unless one was installed."""
+        """The extension that takes part in request handling; None unless one was installed."""
 
     @property
     def ready(self) -> bool:
-        """Whether the gateway accepts and serves requests."""
+        """Whether the gateway listens for clients and is not draining."""
 
     @property
     def stopping(self) -> bool:
@@ -68,4 +68,7 @@
         """Log and count the exception being handled. `where` names the component."""
 
     def stop_if_drained(self) -> None:
-        """Stop a draining gateway that has no work left. Call this whenever a connection has ended."""
+        """Stop a draining gateway once it has no client connections and no unanswered requests.
+
+        Call this whenever a connection has ended.
+        """
--- a/meadowpulley/net/gossip.py
+++ b/meadowpulley/net/gossip.py
@@ -41,7 +41,7 @@
             port.stopListening()
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802 (Twisted's name)
-        """Dispatch a datagram; reject it if it is too long or its sender is unknown."""
+        """Dispatch a digest; count and drop it if it is too long or its sender is not configured."""
         self.gateway.deadlines.run_due()
         sender = self.gateway_ids.get((addr[0], addr[1]))
         if sender is None or len(datagram) > MAX_BYTES:
@@ -51,7 +51,7 @@
         self.gateway.dispatch(GossipReceived(sender, datagram))
 
     def send(self, action: SendGossip) -> None:
-        """Send a digest to one gateway or to all; count it if it cannot be sent, without raising."""
+        """Send a digest to one gateway or to all; one that cannot be sent is only counted."""
         address = self._address_of(action.peer)
         if self.port is None or address is None or len(action.data) > MAX_BYTES:
             self.gateway.counters.add("gossip.not_sent")
--- a/meadowpulley/net/json_fields.py
+++ b/meadowpulley/net/json_fields.py
@@ -14,7 +14,7 @@
 
 
 class FieldError(NetError, ValueError):
-    """A field of a message has an invalid value; the message names the field and the value."""
+    """A field of a message has an invalid value; the error text names the field and the value."""
 
 
 def require_object(raw: object, subject: str) -> JsonObject:
@@ -24,5 +24,5 @@
         FieldError: the decoded JSON is not an object.
     """
     if not isinstance(raw, dict):
-        raise FieldError(f"{subject} is no JSON object")
+        raise FieldError(f"{subject} is not a JSON object")
     return raw
--- a/meadowpulley/net/log.py
+++ b/meadowpulley/net/log.py
@@ -9,13 +9,13 @@
 import structlog
 from structlog.typing import EventDict, FilteringBoundLogger, WrappedLogger
 
-UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # a bug raised an exception; the gateway continues
-MAX_LINES_PER_SECOND = 20  # limit for each event name; the next written line has the suppressed count
+UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # logged for a caught bug; the gateway goes on
+MAX_LINES_PER_SECOND = 20  # per event name; the next line written has the suppressed count
 UNLIMITED_EVENTS = ("request_trace",)  # never suppressed, since an operator asked for every line
 
 
 class EventRateLimiter:
-    """A structlog processor that drops events above a rate, so that bad input cannot flood the log."""
+    """A structlog processor that drops events beyond a rate, so that bad input cannot flood the log."""
 
     def __init__(self) -> None:
         """Start with all counts at zero."""
@@ -42,7 +42,7 @@
 
 
 class StderrLogger:
-    """Writes lines to standard error. Write errors are ignored: an unread log must not stop the gateway."""
+    """Writes lines to standard error, and ignores errors: an unread log must not stop the gateway."""
 
     def msg(self, line: str) -> None:
         """Write one line and flush it."""
--- a/meadowpulley/net/platform_connection.py
+++ b/meadowpulley/net/platform_connection.py
@@ -76,7 +76,7 @@
         self.send(encode_call(call.number, method, params))
 
     def flushed(self) -> None:
-        """Record that the kernel has accepted all calls: the platform may have executed them."""
+        """Record that the kernel has accepted all calls: from now on the platform may execute them."""
         for call in self.pending_calls:
             call.written = True
 
@@ -98,11 +98,11 @@
                 self.owner.handle_line(self, line)
 
     def closed(self) -> None:
-        """Notify the owner that the connection has ended."""
+        """Notify the owner, once, that the connection has ended."""
         self.owner.connection_lost(self)
 
     def abort(self) -> None:
-        """Close the connection immediately and notify the owner, as after any other end."""
+        """Close the connection immediately; notify the owner unless the connection had ended before."""
         was_open = self.is_open
         super().abort()
         if was_open:
@@ -115,7 +115,7 @@
             self.timeout.set(PARTIAL_LINE_TIMEOUT_MS, self._line_overdue)
 
     def _line_overdue(self) -> None:
-        if self.has_unread_input():  # the rest may have arrived unread: this gateway is late
+        if self.has_unread_input():  # this gateway reads late; the line may be complete
             self.timeout.set(PARTIAL_LINE_TIMEOUT_MS, self._line_overdue)
         else:
             self.owner.protocol_error(self, "only part of a line arrived in time")
@@ -124,7 +124,7 @@
         self.timeout.set(HEARTBEAT_TIMEOUT_MS, self._heartbeat_overdue)
 
     def _heartbeat_overdue(self) -> None:
-        if self.has_unread_input():  # a heartbeat may have arrived unread: this gateway is late
+        if self.has_unread_input():  # this gateway reads late; the platform may be alive
             self._restart_heartbeat_timeout()
             return
         self.owner.gateway.counters.add("platform.heartbeat_timeouts")
--- a/meadowpulley/net/platform_connector.py
+++ b/meadowpulley/net/platform_connector.py
@@ -1,4 +1,4 @@
-"""Opens the connection to the platform, and reopens it after a backoff when it was lost."""
+"""Opens the connection to the platform, and reopens it after a backoff if it fails or is lost."""
 
 from __future__ import annotations
 
@@ -67,9 +67,9 @@
         self._reconnect = self._gateway.deadlines.after(delay_ms, self.connect)
 
     def restart(self) -> None:
-        """Cancel a pending connection or retry, reset the backoff, and connect at once."""
+        """Cancel a pending connection attempt or retry, reset the backoff, and connect at once."""
         if self._connecting is not None:
-            self._connecting.cancel()  # the cancelled attempt schedules a reconnect, cancelled below
+            self._connecting.cancel()  # its failure schedules a reconnect, which the next line cancels
         self._gateway.deadlines.cancel(self._reconnect)
         self._consecutive_failures = 0
         self.connect()
--- a/meadowpulley/net/reactor.py
+++ b/meadowpulley/net/reactor.py
@@ -22,7 +22,7 @@
 
 
 class MonotonicReactor(EPollReactor):  # type: ignore[misc,unused-ignore]  # untyped on systems without epoll
-    """A reactor whose timers use the monotonic clock that the gateway also uses, which never jumps."""
+    """A reactor whose timers use the gateway's monotonic clock, which never jumps."""
 
     on_poll: Callable[[], None] = staticmethod(lambda: None)  # called each time a poll for events returns
 
--- a/meadowpulley/net/request_tracing.py
+++ b/meadowpulley/net/request_tracing.py
@@ -38,7 +38,7 @@
     OUTCOME = "outcome"
     RESPONDED = "responded"
     CLIENT_DISCONNECTED = "client_disconnected"
-    REJECTED = "rejected"  # rejected by the policy; it also decides FAILED and CANCELLED
+    REJECTED = "rejected"  # by a decision of the policy, as are FAILED and CANCELLED
     FAILED = "failed"
     CANCELLED = "cancelled"
 
@@ -58,7 +58,7 @@
         self._id_prefixes = () if selects_all else tuple(prefix for prefix in prefixes if prefix)
         gateway.pipeline = self
         self._respond = gateway.requests.respond
-        # Responses that the request table sends itself pass no stage, so its method is wrapped to log all.
+        # Responses that the request table sends itself pass no stage: its method is wrapped to log those too.
         gateway.requests.respond = self.respond  # type: ignore[method-assign]  # replaces a method on purpose
 
     def handle(self, now: float, event: Event) -> list[Action]:
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -30,7 +30,7 @@
 
 DEFAULT_VOTE_TIMEOUT_MS = 5_000.0  # used if the settings set no time-out
 VOTE_RESULT_COUNTERS = {result: f"platform.vote_{result.name.lower()}" for result in Result} | {
-    Result.NOT_SENT: "platform.vote_moot",  # "moot" is the platform's error for a vote that no longer counts
+    Result.NOT_SENT: "platform.vote_moot",  # the platform's error "moot": the vote no longer counts
 }
 
 
@@ -105,7 +105,8 @@
         pending_calls = connection.pending_calls
         connection.pending_calls = deque()
         for call in pending_calls:
-            # The platform can't have executed a call that was not fully written; others it may have executed.
+            # The platform can't have executed a call that was not fully written. It may have executed any
+            # other call.
             self._complete(call, Result.TIMEOUT if call.written else Result.CONNECT_FAILED)
         if was_followed:
             self._connector.connect_later()
@@ -129,7 +130,8 @@
         return PendingCall(self._last_call_number, vote)
 
     def _vote_timed_out(self, call: PendingCall, connection: PlatformConnection) -> None:
-        # If there is unread input, this gateway is late, and the response may have arrived in time.
+        # If there is unread input, this gateway is late in reading it, and the platform may have answered in
+        # time.
         if connection.is_open and connection.has_unread_input():
             timed_out = partial(self._vote_timed_out, call, connection)
             call.timeout = self.gateway.deadlines.after(PARTIAL_LINE_TIMEOUT_MS, timed_out)
@@ -168,7 +170,7 @@
             message = decode_line(line)
             if "method" not in message:
                 self._handle_response(connection, message)
-            elif not connection.retired:  # the new connection receives these and later notifications
+            elif not connection.retired:  # the new connection gets the same notifications
                 self._handle_notification(message)
         except MalformedMessageError as error:
             self.protocol_error(connection, str(error))
@@ -213,7 +215,8 @@
         """Return the update to dispatch for a vote's response; None if a newer one was dispatched.
 
         A response on a retired connection may be older than an update from the new connection. If it were
-        dispatched last, the earlier state of a build would raise its cap again.
+        dispatched last, the earlier state of a build would raise its cap again. The newer update is therefore
+        dispatched as the reply to the vote, unless the vote was completed before.
         """
         now = self.gateway.deadlines.now()
         if not connection.retired:
