--- a/meadowpulley/net/config.py
+++ b/meadowpulley/net/config.py
@@ -134,7 +134,7 @@
     discovery = _read_address(raw, "discovery")
     settings = read_settings(raw.get("settings"), "config")
     if not settings.classes:
-        raise ConfigError("'settings' contains no request classes")
+        raise ConfigError("'settings' name no request classes")
     config = Config(
         name=str(raw.get("name", "")),
         listen=listen,
@@ -165,14 +165,14 @@
 def _read_object(raw: JsonObject, key: str) -> JsonObject:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"'{key}' is not a JSON object")
+        raise ConfigError(f"'{key}' is no JSON object")
     return value
 
 
 def _read_peers(raw: JsonObject) -> list[object]:
     peers = raw.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigError("'peers' is not a list")
+        raise ConfigError("'peers' is no list")
     return peers
 
 
--- a/meadowpulley/net/current_endpoint_list.py
+++ b/meadowpulley/net/current_endpoint_list.py
@@ -79,7 +79,7 @@
         """
         if endpoint_list.version < self.version and report.lists_applied_at_send < self.lists_applied:
             raise StaleListError(
-                f"version {endpoint_list.version} is lower than {self.version}: fetch the list again"
+                f"list version {endpoint_list.version} arrived after {self.version}: fetch it again"
             )
 
     def confirm(self, earliest_as_of_ms: float) -> None:
--- a/meadowpulley/net/platform_messages.py
+++ b/meadowpulley/net/platform_messages.py
@@ -72,7 +72,7 @@
 def parse_rollout_update(raw: object, is_vote_reply: bool = False) -> RolloutUpdate:
     """Parse the newest build's rollout state from a notification, vote response or configuration."""
     try:
-        return _parse_rollout_fields(require_object(raw, "its content"), is_vote_reply)
+        return _parse_rollout_fields(require_object(raw, "it"), is_vote_reply)
     except FIELD_ERRORS as error:
         raise _malformed("rollout update", error) from None
 
@@ -147,7 +147,7 @@
 
     def _parse_statistics(self, raw: object) -> BuildStatistics:
         try:
-            return self._parse_statistics_fields(require_object(raw, "its content"))
+            return self._parse_statistics_fields(require_object(raw, "it"))
         except FIELD_ERRORS as error:
             raise _malformed("build statistics", error) from None
 
@@ -175,7 +175,7 @@
 
     def _parse_incorrect_response(self, raw: object) -> IncorrectResponse | None:
         try:
-            return self._parse_incorrect_response_fields(require_object(raw, "its content"))
+            return self._parse_incorrect_response_fields(require_object(raw, "it"))
         except FIELD_ERRORS as error:
             raise _malformed("incorrect response", error) from None
 
