--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -163,9 +163,9 @@
         return self.phase is GatewayPhase.STOPPED
 
     def prepare(self) -> None:
-        """Connect to discovery, the instances and the platform, and start gossip, but accept no clients.
+        """Start the clients of discovery and the platform, connections to instances, and gossip.
 
-        `listen` accepts clients later. The warnings of the configuration are logged first.
+        The warnings of the configuration are logged first. Clients are accepted only after `listen`.
         """
         for warning in self.config.warnings:
             self.log.warning("configuration_warning", what=warning)
--- a/meadowpulley/net/platform_connection.py
+++ b/meadowpulley/net/platform_connection.py
@@ -46,7 +46,10 @@
         """Handle malformed input, after which the connection cannot be used."""
 
     def connection_lost(self, connection: PlatformConnection) -> None:
-        """Handle the end of the connection, whichever side closed it."""
+        """Handle the end of the connection, whichever side closed it.
+
+        This is called a second time for a connection that was aborted.
+        """
 
 
 class PlatformConnection(Connection):
@@ -98,11 +101,15 @@
                 self.owner.handle_line(self, line)
 
     def closed(self) -> None:
-        """Notify the owner, once, that the connection has ended."""
+        """Notify the owner that the connection has ended.
+
+        `abort` notifies the owner immediately and only once. Twisted then reports the end as well, so the
+        owner may be notified a second time.
+        """
         self.owner.connection_lost(self)
 
     def abort(self) -> None:
-        """Close the connection immediately; notify the owner unless the connection had ended before."""
+        """Close the connection and notify the owner immediately; do nothing if it has ended already."""
         was_open = self.is_open
         super().abort()
         if was_open:
--- a/meadowpulley/net/request_tracing.py
+++ b/meadowpulley/net/request_tracing.py
@@ -58,7 +58,8 @@
         self._id_prefixes = () if selects_all else tuple(prefix for prefix in prefixes if prefix)
         gateway.pipeline = self
         self._respond = gateway.requests.respond
-        # Responses that the request table sends itself pass no stage: its method is wrapped to log those too.
+        # Responses that the request table sends itself pass no stage of the pipeline. Its method is
+        # wrapped so that they are logged too.
         gateway.requests.respond = self.respond  # type: ignore[method-assign]  # replaces a method on purpose
 
     def handle(self, now: float, event: Event) -> list[Action]:
