--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -22,8 +22,8 @@
 from meadowpulley.net.write_permission import WriteConditions, write_refusal
 
 _NOT_EXECUTED = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
-# A health probe times out after the connect timeout, but not before this time. The connect timeout may be 0,
-# which means that connecting has no timeout.
+# Minimum timeout of a health probe. A probe otherwise times out after the connect timeout, which may be 0 to
+# let connecting take any time.
 _MIN_PROBE_TIMEOUT_MS = 1.0
 _MICROSECONDS_PER_MS = 1000
 
@@ -84,13 +84,14 @@
         timeout_ms = runner.limits.connect_timeout_ms
         if timeout_ms > 0:
             self.connect_timeout = runner.gateway.deadlines.after(timeout_ms, self._connect_timed_out)
-        self.connecting = connecting  # set before adding the callbacks: they clear it and may run immediately
+        self.connecting = connecting  # the callbacks added below clear this and may run immediately
         connecting.addCallbacks(self._connected, self._connect_failed).addErrback(self._connect_raised)
 
     def _connection_reusable(self, connection: InstanceConnection) -> None:
         """Write the request to the reserved connection after its reuse delay.
 
-        If the connection ended or received input during the delay, start the attempt again on another one.
+        If the connection ended or received input during the delay, start the attempt again on another
+        connection.
         """
         if self.finished:
             if connection.is_open:
@@ -143,7 +144,7 @@
 
     def _connected(self, connection: InstanceConnection) -> None:
         self.connecting = None
-        self.runner.gateway.deadlines.run_due()  # run due deadlines first, as in `dataReceived`
+        self.runner.gateway.deadlines.run_due()  # a due timeout must end the attempt before the write
         self.runner.gateway.deadlines.cancel(self.connect_timeout)
         if self.finished:
             connection.abort()
@@ -178,9 +179,10 @@
         self.finish(Result.RESET if self.written else Result.CONNECT_FAILED)
 
     def malformed_response(self) -> None:
-        """End the attempt after a malformed, too large or incomplete response, as after a lost connection.
+        """End the attempt after a malformed, too large or incomplete response.
 
-        It is not known whether the instance caused the fault.
+        The result is the same as for a lost connection, since the gateway can't tell whether the instance
+        caused the fault.
         """
         self.runner.gateway.counters.add("up.malformed")
         self.connection_lost()
@@ -189,8 +191,8 @@
         """End the attempt with the instance's response, and send it to the client if the result is OK."""
         result = classify_response(response)
         if not self.written and result is not Result.REJECTED:
-            # An instance starts a request only after its last byte, which was not written yet. The response
-            # therefore belongs to an earlier request.
+            # An instance executes a request only after it has received the last byte, which was not written
+            # yet. The response therefore belongs to an earlier request.
             self.runner.gateway.counters.add("up.unsolicited")
             self.connection_lost()
             return
@@ -280,7 +282,7 @@
             attempt.finish(Result.CONNECT_FAILED)
         else:
             self.gateway.counters.add("up.attempts")
-            # At the deadline of the request, the request table ends all of its attempts.
+            # No timeout is needed at the request's deadline: the request table then ends all attempts.
             if attempt.deadline < request.deadline:
                 attempt.schedule_timeout()
             if attempt.write_by < attempt.deadline:
@@ -310,7 +312,7 @@
         """Start an attempt. If this raises an exception, log it as `fault_name` and end the attempt."""
         try:
             attempt.start(pool)
-        except Exception:  # noqa: BLE001  # for example, no local port is free; the gateway must continue
+        except Exception:  # noqa: BLE001  # the gateway must continue, for example if no local port is free
             self.gateway.log_fault(fault_name)
             attempt.connection_lost()
 
--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -17,18 +17,23 @@
 from meadowpulley.net.request_admission import RequestAdmission
 from meadowpulley.net.request_table import NO_HANDLE, AcceptedRequest, RequestTable
 
-FIRST_REQUEST_TIMEOUT_MS = 2_000.0  # from accepting a connection until its first request is complete
-PARTIAL_REQUEST_TIMEOUT_MS = 2_000.0  # from the first byte of a later request to its last byte
-IDLE_TIMEOUT_MS = 2_100.0  # maximum time between requests; a client has at least as long to read a response
-RECHECK_INTERVAL_MS = 20.0  # delay until a postponed timeout or a shortage of slots is checked again
-SLOW_READER_GRACE_MS = 500.0  # time after the request's deadline for a client to finish reading a response
-LINGER_TIMEOUT_MS = 1_000.0  # time after the last response for the client to read it and close
-# Limit on the input of one connection that is discarded without a response. When a lingering connection
-# exceeds it, the gateway stops reading, so that the kernel blocks the client's sending. When a connection in
-# another state exceeds it, the gateway resets that connection.
+# Maximum time from accepting a connection until the first request on the connection is complete.
+FIRST_REQUEST_TIMEOUT_MS = 2_000.0
+# Time in which the second and each further request on a connection must arrive completely, counted from the
+# first byte of the request, or from the end of the previous response if that is later.
+PARTIAL_REQUEST_TIMEOUT_MS = 2_000.0
+# Maximum time for which a connection may be idle between two requests, and minimum time that a client has to
+# read a response.
+IDLE_TIMEOUT_MS = 2_100.0
+RECHECK_INTERVAL_MS = 20.0  # delay before a postponed timeout or a shortage of slots is checked again
+SLOW_READER_GRACE_MS = 500.0  # a slow client may read a response until this long after the request's deadline
+LINGER_TIMEOUT_MS = 1_000.0  # time that a client has to read the last response and close the connection
+# Maximum number of bytes of input that the gateway discards on one connection without a response. When a
+# lingering connection exceeds this limit, the gateway stops reading, so that the kernel blocks the client's
+# sending. When a connection in another state exceeds the limit, the gateway resets that connection.
 MAX_DISCARDED_BYTES = 256 * 1024
-# Maximum number of requests of one connection that a reactor turn processes. Typical clients send one request
-# at a time, and would otherwise have to wait while a flood of requests on another connection is processed.
+# Maximum number of requests of one connection that a reactor turn processes. Without this limit, clients that
+# send one request at a time would have to wait while a flood of requests on another connection is processed.
 MAX_REQUESTS_PER_TURN = 4
 
 
@@ -65,10 +70,10 @@
     The connection may be lost in any state.
     """
 
-    WAITING = "waiting"  # for a request or the rest of a partial request
-    PROCESSING = "processing"  # for the response to an accepted request
-    RESPONDING = "responding"  # until the kernel has accepted the whole response
-    LINGERING = "lingering"  # for the client to close: the last response is written, input is discarded
+    WAITING = "waiting"  # waits for a request or for the rest of a partial request
+    PROCESSING = "processing"  # waits for the response to an accepted request
+    RESPONDING = "responding"  # waits until the kernel has accepted the whole response
+    LINGERING = "lingering"  # waits, after the last response, for the client to close; discards input
 
 
 class ClientConnection(Connection):
@@ -82,12 +87,12 @@
         self.handle = NO_HANDLE
         self.request: AcceptedRequest | None = None
         self.closing = False  # whether the connection ends after the next response
-        self.unused = True  # whether no input has been received yet
+        self.unused = True  # whether the connection has received no input yet
         self._processing_input = False
         self._reading_paused = False
         self._continuation_scheduled = False
         self._deadline_extended = False
-        self._partial_timeout_set = True  # the first request has a single timeout, set in `opened`
+        self._partial_timeout_set = True  # the timeout set in `opened` covers the first request
         self._discarded_bytes = 0
 
     def opened(self) -> None:
@@ -101,9 +106,9 @@
         if self.state is ClientConnectionState.WAITING:
             self._process_input()
         if self.is_open and self._is_input_nearly_full:
-            # A client that waits for each response before its next request never fills the buffer this far.
-            # End the connection after the next response and discard further input. Keep reading, since only a
-            # read detects that the client has disconnected.
+            # A client that waits for each response before its next request never nearly fills the buffer. End
+            # the connection of any other client after the next response and discard further input. Keep
+            # reading, since only a read detects that the client has disconnected.
             self.closing = True
             if self.state is ClientConnectionState.WAITING:
                 self._process_input(max_requests=1)
@@ -132,7 +137,7 @@
             self._process_input()
 
     def _process_input(self, max_requests: int = MAX_REQUESTS_PER_TURN) -> None:
-        """Admit requests from the input buffer until one of them has to wait for its response."""
+        """Admit up to `max_requests` buffered requests; stop at a request that waits for its response."""
         if self._processing_input:
             return
         self._processing_input = True
@@ -140,7 +145,7 @@
             self._admit_requests(max_requests)
         except BadMessageError as error:
             self.reject_input(error)
-        except Exception:  # noqa: BLE001  # a fault ends only this connection
+        except Exception:  # noqa: BLE001  # an exception ends only this connection
             self._handle_admission_fault()
         finally:
             self._processing_input = False
@@ -197,8 +202,8 @@
         # connection after the response: clients that send one request and stay connected would otherwise
         # occupy all slots.
         self.closing = self.closing or self.owner.draining or self.owner.half_full
-        # Limit the time of a client that doesn't read its response. A slow client may read it until the
-        # request's deadline plus the grace time.
+        # Limit the time that a client has to read its response: the client has at least the idle timeout, and
+        # at least until the request's deadline plus the grace time.
         remaining_ms = 0.0
         if request is not None:
             remaining_ms = request.deadline - self.deadlines.now() + SLOW_READER_GRACE_MS
@@ -215,7 +220,7 @@
         self.state = ClientConnectionState.WAITING
         self.timeout.set(IDLE_TIMEOUT_MS, self._idle_timed_out)
         self._process_input()
-        if self.owner.draining:  # draining started while the response was being written
+        if self.owner.draining:  # the gateway began to drain while it wrote the response
             self.close_if_idle()
 
     def linger(self) -> None:
@@ -228,7 +233,8 @@
     def close_between_requests(self) -> None:
         """Close an idle connection.
 
-        A request that arrives at the same time is not read; the client sends it on another connection.
+        A request that arrives at the same time is not read; the client sends that request again on another
+        connection.
         """
         self.state = ClientConnectionState.LINGERING
         self.close()
@@ -236,7 +242,8 @@
     def release_slot(self) -> None:
         """Free the slot of the connection. The kernel still sends the rest of the last response.
 
-        The descriptor is closed in the next reactor turn, since this turn may still have an event for it.
+        The descriptor is closed in the next reactor turn, since the reactor may still have an event for the
+        descriptor in this turn.
         """
         if self.is_open:
             self.is_open = False
@@ -246,7 +253,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the connection waits for a request and has received no part of it."""
+        """Whether the connection waits for a request and has received no part of that request."""
         return (
             self.is_open
             and self.state is ClientConnectionState.WAITING
@@ -262,8 +269,8 @@
         if self.parser.has_partial_message:
             self._request_timed_out()
             return
-        # The gateway is delayed, not the client: input, or the end of the connection, has arrived but was not
-        # read yet.
+        # Unread input, or an unread end of the connection, shows that the gateway is delayed and not the
+        # client.
         if self.has_unread_input():
             self.timeout.set(RECHECK_INTERVAL_MS, self._idle_timed_out)
             return
--- a/meadowpulley/net/client_listener.py
+++ b/meadowpulley/net/client_listener.py
@@ -19,17 +19,17 @@
 from meadowpulley.net.request_table import NO_HANDLE, RequestTable
 from meadowpulley.net.slots import SlotTable
 
-# A connection that has been idle for this time may be evicted while others wait to be accepted.
+# A connection that has been idle for this time may be evicted while other connections wait to be accepted.
 EVICTABLE_IDLE_MS = 1_000.0
-# Idle time after which a connection that has never received input may be evicted. It is shorter, since
-# clients send their first request as soon as they are connected.
+# Idle time after which a connection that has never received input may be evicted. It is shorter than
+# EVICTABLE_IDLE_MS, since clients send their first request as soon as they are connected.
 EVICTABLE_UNUSED_MS = 20.0
-# Length of the kernel's queue of connections to accept. Clients count a failed connect as a failure, but
-# can't tell that a connection waits in this queue.
+# Maximum length of the kernel's queue of connections that wait to be accepted. Clients count a failed connect
+# as a failure, but see a connection in this queue as established.
 LISTEN_BACKLOG = 256
 ACCEPTS_PER_TURN = 16  # maximum number of connections accepted in one reactor turn
-# Number of slots that eviction keeps free. A reactor turn may accept up to half as many connections before a
-# shortage is noticed.
+# Number of slots that eviction keeps free. One reactor turn may accept connections into up to half of these
+# slots before accepting can be paused.
 SPARE_SLOTS = 24
 SPARE_SLOTS_DIVISOR = 3  # a small table keeps at most 1/3 of its slots free
 
@@ -37,7 +37,7 @@
 class ClientListener:
     """Accepts client connections into a table of `size` slots.
 
-    While fewer than `spare_slots` slots are free, it evicts idle connections and pauses accepting.
+    While fewer than `spare_slots` slots are free, the listener evicts idle connections and pauses accepting.
     """
 
     def __init__(
@@ -68,7 +68,8 @@
     def _accept(self, port: ListeningPort) -> None:
         """Accept a limited number of connections, so that the table has slots for them.
 
-        Twisted raises the limit by 20 connections after each turn that reaches it, so this resets it.
+        Twisted raises `numberAccepts` by 20 after each turn that reaches this limit, so this method resets
+        `numberAccepts`.
         """
         port.numberAccepts = self.accepts_per_turn
         self._accept_pending()
@@ -113,7 +114,7 @@
                 self.port.startReading()
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Free the slot of a connection, and report the client of its request as disconnected."""
+        """Free the slot of a closed connection, and report that the client of an open request has gone."""
         if connection.handle != NO_HANDLE:
             self.connections.free(connection.handle)
             connection.handle = NO_HANDLE
@@ -125,7 +126,7 @@
         self.gateway.stop_if_drained()
 
     def _evict_idle(self) -> None:
-        """Free slots for connections that wait to be accepted and may already have sent a request."""
+        """Free slots, since connections that wait to be accepted may already carry a request."""
         max_used_slots = self.connections.size - self.spare_slots - self.accepts_per_turn
         for connection in self._eviction_candidates():
             if len(self.connections) <= max_used_slots:
@@ -184,14 +185,14 @@
     def stop_listening(self) -> None:
         """Accept the whole backlog, as slots become free, and then close the listening socket.
 
-        Clients see connections in the backlog as established and may have sent requests on them, which
-        closing the socket would reset.
+        Clients see connections in the backlog as established and may have sent requests on them.
+        Closing the socket would reset these connections.
         """
         self._stopping = True
         while self.port is not None and not self._accepting_paused:
             self._accept(self.port)
-            # Twisted has raised `numberAccepts` if the limit was reached. The backlog may then hold more
-            # connections, and the loop continues.
+            # Twisted raises `numberAccepts` when it has accepted that many connections in one call. The
+            # backlog may then hold more connections, and the loop continues.
             if self.port.numberAccepts <= self.accepts_per_turn:
                 self._close_port(self.port)
 
--- a/meadowpulley/net/connection.py
+++ b/meadowpulley/net/connection.py
@@ -20,7 +20,7 @@
 WRITE_CHUNK_BYTES = 64 * 1024  # maximum size of one write to the transport
 CLOSED_CLEANLY = Failure(ConnectionDone())  # type: ignore[no-untyped-call]  # Failure() is not annotated
 
-# Methods that Twisted calls must have the names that it defines, which break rule N802.
+# Twisted defines the names of the methods that it calls. These names break rule N802 of the linter.
 # ruff: noqa: N802
 
 ConnectionT = TypeVar("ConnectionT", bound="Connection")
@@ -42,7 +42,8 @@
 class PendingConnection(ClientFactory, Generic[ConnectionT]):
     """An outgoing connection that is being established.
 
-    `established` fires with the connection or fails. Cancelling it aborts the connection attempt.
+    The deferred `established` fires with the connection or fails. Cancelling the deferred aborts the
+    connection attempt.
     """
 
     noisy = False
@@ -57,7 +58,7 @@
             self.connector.disconnect()
 
     def buildProtocol(self, addr: IAddress | None) -> ConnectionT:
-        """Return the protocol object for the connection, which fires `established` when connected."""
+        """Return the protocol object, which fires `established` once the connection is established."""
         connection = self.create()
         connection.pending = self
         return connection
@@ -71,7 +72,7 @@
 def connect(
     reactor: ClientReactor, address: Address, create: Callable[[], ConnectionT]
 ) -> Deferred[ConnectionT]:
-    """Open a connection with a protocol object from `create`. The caller must set a timeout itself."""
+    """Open a connection with a protocol object from `create`. The caller must set a timeout."""
     pending = PendingConnection(create)
     pending.connector = reactor.connectTCP(*address, pending, timeout=None)
     return pending.established
@@ -109,8 +110,8 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Run all due deadlines, then buffer the input and call `received`."""
-        # The callback of a due deadline may check this connection for unread input, but `data` is no longer
-        # in the kernel. Without this flag, a connection was closed although its request had just been read.
+        # The flag makes `has_unread_input` return True, although `data` is no longer in the kernel. Otherwise
+        # the callback of a due timeout could close the connection, although a request has just been read.
         self._handling_input = True
         self.deadlines.run_due()
         self._handling_input = False
@@ -134,11 +135,11 @@
         self.output_buffer.clear()
 
     def send(self, data: bytes) -> None:
-        """Write data. What the kernel doesn't accept immediately must fit into the output buffer."""
+        """Write data. The part that the kernel doesn't accept immediately must fit into the output buffer."""
         if not self.is_open:
             return
         if not self._producing:
-            # Write to the kernel directly, since each write through the reactor changes its poll set twice.
+            # Write to the kernel directly, since a write through the reactor changes the poll set twice.
             # Only the data that the kernel doesn't accept goes through the reactor.
             sent = self.transport.writeSomeData(data)
             if sent == len(data):
@@ -173,15 +174,15 @@
         except BlockingIOError:
             return False
         except (OSError, AttributeError):  # AttributeError: the transport has no socket any more
-            self.was_reset = True  # a reset is reported only once; the next read sees a clean end
+            self.was_reset = True  # the kernel reports a reset only once, and then a clean end
             return True
         return True
 
     def close(self) -> None:
         """Close the connection in this reactor turn. The kernel still sends the rest of a response.
 
-        The transport's `loseConnection` would close it in the next turn, and input that arrives until then
-        would be read and lost.
+        The transport's `loseConnection` would close the connection only in the next turn, and input that
+        arrives until then would be read and lost.
         """
         self.transport.connectionLost(CLOSED_CLEANLY)
 
@@ -194,13 +195,13 @@
     # Callbacks for subclasses. The defaults do nothing, except that `overflowed` aborts the connection.
 
     def opened(self) -> None:
-        """Handle that the connection was established."""
+        """Initialize the subclass when the connection is established."""
 
     def received(self) -> None:
         """Handle new bytes in the input buffer."""
 
     def flushed(self) -> None:
-        """Handle that the kernel has accepted all output."""
+        """Continue after the kernel has accepted all output."""
 
     def closed(self) -> None:
         """Handle the end of the connection. The input buffer still holds unprocessed input."""
--- a/meadowpulley/net/http1.py
+++ b/meadowpulley/net/http1.py
@@ -128,7 +128,7 @@
         self._body = bytearray()
         self._remaining = 0  # length in bytes of the fixed-length body or the current chunk
         self._scanned = 0  # number of bytes already searched for the end of the head
-        self.expects_continue = False  # the client waits for '100 Continue' before it sends the body
+        self.expects_continue = False  # whether the client sends the body only after '100 Continue'
 
     @property
     def has_partial_message(self) -> bool:
@@ -186,7 +186,7 @@
         if not len(self._buffer):
             return False
         data = self._peek_head()
-        # The end marker may start within the last 3 bytes of the previous search.
+        # The end marker of 4 bytes may start within the last 3 bytes that the previous call has searched.
         end = data.find(_HEAD_END, max(self._scanned - 3, 0))
         if end < 0:
             self._check_partial_head(data)
@@ -220,7 +220,7 @@
         return data
 
     def _check_partial_head(self, data: bytes) -> None:
-        """Reject an incomplete head that can't become valid, since its end may never arrive."""
+        """Reject an incomplete head that can't become valid, since the rest of it may never arrive."""
         buffered_bytes = len(self._buffer)
         if buffered_bytes >= MAX_HEAD_BYTES:
             raise BadMessageError(431, "head too large")
@@ -292,7 +292,10 @@
         self._state = _ParserState.FIXED_LENGTH
 
     def _awaits_continue(self, message: Message) -> bool:
-        """Return whether the client waits for 100 Continue; ignored in HTTP/1.0 (RFC 9110, 10.1.1)."""
+        """Return whether the client waits for '100 Continue' before it sends the body.
+
+        The expectation of an HTTP/1.0 client is ignored (RFC 9110, 10.1.1).
+        """
         body_present = self._state is _ParserState.FIXED_LENGTH and len(self._buffer) >= self._remaining
         expectation = message.headers["expect"].lower()
         return expectation == "100-continue" and not body_present and message.minor_version == 1
@@ -350,7 +353,7 @@
 
 
 def request_bytes(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """Serialize a request, with a content-length unless it is a GET without a body."""
+    """Serialize a request, with a content-length unless the request is a GET without a body."""
     with_length = bool(body) or method != "GET"
     return _serialize(f"{method} {target} HTTP/1.1", headers, body, with_length)
 
--- a/meadowpulley/net/instance_connection.py
+++ b/meadowpulley/net/instance_connection.py
@@ -26,13 +26,13 @@
 # follow in under 10 ms; another 10 ms allow for different network delays of the two responses.
 REUSE_DELAY_MS = 20.0
 FIRST_FINAL_STATUS = 200  # responses with a lower status are interim (RFC 9110, 15.2)
-# An instance may close an idle connection after `idle_timeout_ms`. The gateway closes it earlier, after this
-# fraction of that time.
+# An instance may close an idle connection after `idle_timeout_ms`. The gateway closes the connection
+# earlier, after this fraction of `idle_timeout_ms`.
 IDLE_TIMEOUT_FRACTION = 0.75
 
 
 class Exchange(Protocol):
-    """A request sent on an instance connection; one of the callbacks reports its result."""
+    """A request sent on an instance connection; one of the callbacks reports the result of the request."""
 
     connection: InstanceConnection | None
     written: bool  # whether the kernel has accepted the last byte of the request
@@ -57,7 +57,7 @@
         """Count an established connection."""
 
     def connection_closed(self) -> None:
-        """Release the socket of a connection that has ended."""
+        """Stop counting the socket of a connection that has ended."""
 
 
 class InstanceConnectionState(Enum):
@@ -79,18 +79,19 @@
         self.state = InstanceConnectionState.IDLE
         self.exchange: Exchange | None = None
         self.handle = -1
-        self.reusable_at = -math.inf  # earliest time at which it may carry another request
+        self.reusable_at = -math.inf  # time from which on another request may be sent
         self.aborted = False  # whether this gateway ended the connection
 
     def opened(self) -> None:
-        """Count the connection; reset it if its pool was retired while it was being established."""
+        """Count the established connection, and reset the connection if its pool is already retired."""
         self.pool.owner.connection_opened()
-        # An instance of another build may now run at this address. The request is not meant for that build.
+        # A pool is retired when its instance is removed, replaced or draining. An instance of another build
+        # may then run at the same address, and requests for the old instance must not reach that build.
         if self.pool.retired:
             self.abort()
 
     def send_request(self, exchange: Exchange, data: bytes) -> None:
-        """Write a request; its result is reported to `exchange`."""
+        """Write a request. The result of the request is reported to `exchange`."""
         self.timeout.clear()
         self.state = InstanceConnectionState.BUSY
         self.exchange = exchange
@@ -119,14 +120,14 @@
         if response is not None:
             self._response_received(exchange, response)
         elif not self.parser.has_partial_message:
-            self.timeout.clear()  # the partial input was an interim response; the final one may take longer
+            self.timeout.clear()  # an interim response arrived; the final response may take longer
         elif self.timeout.at == math.inf:
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_incomplete)
 
     def _response_incomplete(self) -> None:
-        """Handle a response that was not completed in time, for example because its length is wrong."""
-        # The gateway is delayed, not the instance: input, or the end of the connection, has arrived but was
-        # not read yet.
+        """Handle a response that was not completed in time, for example because of a wrong length."""
+        # Unread input, or an unread end of the connection, shows that the gateway is delayed and not the
+        # instance.
         if self.has_unread_input():
             self.timeout.set(PARTIAL_RESPONSE_TIMEOUT_MS, self._response_incomplete)
         elif self.exchange is not None:
@@ -189,20 +190,22 @@
         self.server = server
         self.address = address
         self.incarnation = incarnation
-        self.idle: list[InstanceConnection] = []  # oldest first
+        self.idle: list[InstanceConnection] = []  # idle connections, the oldest first
         self.retired = False  # whether the server was removed, is draining, or was replaced
 
     def acquire(self) -> InstanceConnection | None:
         """Remove an idle connection from the pool and return it, or None if there is no usable one.
 
         The newest connection that may be reused now is preferred. If there is none, the connection that may
-        be reused first is returned, and the caller waits until its `reusable_at`. It doesn't open another
-        connection, since an instance accepts only a few.
+        be reused first is returned, and the caller waits until its `reusable_at`. The caller doesn't open
+        another connection, since an instance accepts only a few connections.
         """
         now = self.owner.gateway.deadlines.now()
         while self.idle:
             connection = self.idle.pop(self._preferred_index(now))
-            if connection.timeout.at <= now:  # the gateway stalled; the instance may close it at any time
+            # The gateway is delayed if the idle timeout has passed but has not closed the connection yet. The
+            # instance may close that connection at any time.
+            if connection.timeout.at <= now:
                 connection.abort()
                 continue
             if not connection.has_unread_input():
@@ -213,7 +216,7 @@
         return None
 
     def _preferred_index(self, now: float) -> int:
-        """Return the index of the newest idle connection that may be reused now, or else of the oldest."""
+        """Return the index of the newest idle connection that may be reused now, or 0 if there is none."""
         for index in range(len(self.idle) - 1, -1, -1):
             if self.idle[index].reusable_at <= now:
                 return index
@@ -221,7 +224,7 @@
 
     def release(self, connection: InstanceConnection) -> None:
         """Return a connection to the pool and start its idle timeout."""
-        if self.retired:  # a retired pool would never reuse or close it
+        if self.retired:  # a retired pool would never reuse or close the connection
             connection.abort()
             return
         self.idle.append(connection)
--- a/meadowpulley/net/instance_pools.py
+++ b/meadowpulley/net/instance_pools.py
@@ -15,9 +15,9 @@
 
 PRECONNECT_PER_INSTANCE = 4  # maximum number of connections opened to each instance at start
 # Maximum number of connections that all gateways of the fleet together open to each instance at start. An
-# instance accepts only a few connections, and accepting each of them costs it work.
+# instance accepts only a few connections, and each accepted connection costs the instance work.
 PRECONNECT_FLEET_TOTAL = 12
-PRECONNECT_TIMEOUT_MS = 1000.0  # used if the settings have no connect timeout
+PRECONNECT_TIMEOUT_MS = 1000.0  # timeout of preconnecting if the settings have no connect timeout
 # Fraction of the sockets to instances that preconnecting may use. The other half stays free for requests.
 PRECONNECT_SOCKET_FRACTION = 0.5
 
@@ -36,8 +36,8 @@
     def register(self, server: int, address: Address, incarnation: ServerIncarnation) -> None:
         """Set the address and incarnation of a server.
 
-        If either one has changed, the server gets a new pool without the old connections: those may be dead
-        without ever reporting an error.
+        If either one has changed, the server gets a new pool without the old connections, since old
+        connections may be dead without ever reporting an error.
         """
         pool = self.pools.get(server)
         if pool is None or (pool.address, pool.incarnation) != (address, incarnation):
@@ -67,7 +67,7 @@
         self.gateway.counters.add("up.connections")
 
     def connection_closed(self) -> None:
-        """Release the socket of a connection that has ended."""
+        """Stop counting the socket of a connection that has ended."""
         self.open_sockets -= 1
         self.gateway.stop_if_drained()
 
@@ -75,8 +75,9 @@
         """Open a few connections to each instance at start.
 
         All clients connect at the same time, and a first request that waits for its connection delays the
-        requests queued behind it. A large fleet opens none: 200 gateways with few requests each opened as
-        many connections in advance as they had requests in a day.
+        requests queued behind it. The gateways of a large fleet open none in
+        advance: 200 gateways with few requests each opened as many connections in advance as these gateways
+        had requests in a day.
         """
         fleet_share = PRECONNECT_FLEET_TOTAL // max(self.gateway.config.settings.gateway_count, 1)
         max_preconnected = int(self.max_sockets * PRECONNECT_SOCKET_FRACTION)
--- a/meadowpulley/net/request_admission.py
+++ b/meadowpulley/net/request_admission.py
@@ -14,11 +14,12 @@
 from meadowpulley.net.request_parsing import is_request_id, parse_key, parse_remaining, parse_work_estimate
 from meadowpulley.net.request_table import AcceptedRequest, RequestTable, ResponseSink
 
-# The remaining time in a request may exceed the deadline of its class by this time, since clients round it.
+# The remaining time that a request states may exceed the deadline of its request class by up to this time,
+# since clients round the remaining time.
 DEADLINE_TOLERANCE_MS = 1_000.0
 MAX_QUOTED_TARGET_CHARS = 40  # error texts quote at most this many characters of a request target
-# Body of the 409 response to a request whose id is in use. Forwarding this request could execute its work
-# twice. The earlier request continues.
+# Body of the 409 response to a request whose id is that of an open request. Forwarding the new request could
+# execute its work twice. The earlier request continues.
 _DUPLICATE_ID = f"'{protocol.REQUEST_ID_HEADER}' is that of an open request"
 _ALLOWED_METHODS = {
     Effect.IDEMPOTENT: ("GET",),
@@ -92,7 +93,7 @@
         Raises:
             BadMessageError: the message is not a valid request; no response was sent.
         """
-        # Set before any response is sent, including those to health checks. A response to HEAD ends the
+        # Set `closing` before any response is sent, also to a health check. A response to HEAD ends the
         # connection, since the gateway sends a body that the client doesn't expect.
         sink.closing = sink.closing or not message.keep_alive or message.method == "HEAD"
         path = message.target.partition("?")[0]
@@ -119,7 +120,7 @@
         """Take over a request that a failed gateway had accepted, and return its handle.
 
         The extension sees only the response, which is then passed to `on_response`. If the policy rejects
-        the request immediately, this happens before the method returns.
+        the request immediately, `on_response` is called before this method returns.
 
         Raises:
             AdoptionError: the message has no valid request id, or its path matches no request class.
@@ -133,7 +134,7 @@
         sink = DetachedResponseSink(on_response)
         arrived_at = self.gateway.deadlines.now()
         request = AcceptedRequest(message, class_index, sink, arrived_at, adopted.deadline_ms)
-        request.attempt_count = adopted.attempt_count  # new attempts continue this numbering
+        request.attempt_count = adopted.attempt_count  # the next attempt gets this number
         self.requests.add(request)
         sink.request = request
         self.gateway.counters.add("in.adopted")
@@ -206,9 +207,10 @@
     def _allowed_by_extension(
         self, extension: Extension, sink: ResponseSink, request: AcceptedRequest, event: Request
     ) -> bool:
-        """Return whether the request is to be passed to the policy.
+        """Ask the extension for its decision, and return whether the policy receives the request.
 
-        A duplicate is never passed on. If the extension returns True for it, it gets a 409 response.
+        The policy never receives a duplicate, which has the id of another open request. If the extension
+        returns True for a duplicate, the duplicate gets a 409 response.
         """
         request_id = request.message.headers[protocol.REQUEST_ID_HEADER]
         is_duplicate = self.requests.open_ids[request_id] > 1
--- a/meadowpulley/net/request_parsing.py
+++ b/meadowpulley/net/request_parsing.py
@@ -11,9 +11,9 @@
 
 _REMAINING_TIME = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
 _MS_PER_UNIT = {"m": 1.0, "u": 0.001}
-_REQUEST_ID = re.compile(r"[!-+\--~]{1,128}")  # without space and comma, which separate several ids
+_REQUEST_ID = re.compile(r"[!-+\--~]{1,128}")  # an id has no space or comma: they separate several ids
 _HEX_KEY = re.compile(r"[0-9a-fA-F]{1,16}")
-_KEY_BYTES = 8  # length of the hash of a key that is not a hexadecimal number
+_KEY_BYTES = 8  # length in bytes of the hash of a key that is not a hexadecimal number
 
 
 def is_request_id(text: str) -> bool:
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -55,7 +55,7 @@
     attempt_count: int = 0
     first_execution_at: float = math.inf  # earliest send time of the ended attempts that may have executed
     outstanding: dict[int, OutstandingAttempt] = field(default_factory=dict)  # keyed by attempt number
-    finished: bool = False  # whether it has a response, or its client has disconnected
+    finished: bool = False  # whether the request has a response, or its client has disconnected
     timeout: Deadline | None = None
 
     def may_have_executed(self, attempt_number: int) -> bool:
@@ -155,7 +155,8 @@
         """Send a response, unless the sink is closed or no longer waits for this request's response."""
         if sink is not None and sink.is_open and sink.request is request:
             sink.respond(response.status, response.headers, response.body)
-        # The end of a connection also causes this check, but an adopted request has no connection.
+        # Check whether draining is complete. The end of a client connection also causes this check, but an
+        # adopted request has no client connection.
         self.gateway.stop_if_drained()
 
     def reject(self, action: Reject) -> None:
@@ -169,7 +170,7 @@
         self.respond(request, 503, headers, b"")
 
     def fail(self, action: Fail) -> None:
-        """Respond with 502."""
+        """Respond with 502, since the policy ended the request with `Fail`."""
         request = self.slots.get(action.request)
         if request is None:
             self.gateway.counters.add("out.late_actions")
--- a/meadowpulley/net/ring.py
+++ b/meadowpulley/net/ring.py
@@ -1,10 +1,11 @@
-"""Bounded ring buffer; every connection has one per direction. mypyc compiles this module."""
+"""Bounded ring buffer; every connection has one buffer per direction. mypyc compiles this module."""
 
 from __future__ import annotations
 
 from meadowpulley.net.errors import NetError
 
-# Initial capacity. An emptied buffer returns to it, so that idle connections use little memory.
+# Initial capacity of a buffer in bytes. An emptied buffer shrinks to this capacity, so that idle connections
+# use little memory.
 INITIAL_BYTES = 2048
 
 
@@ -67,8 +68,8 @@
     def find(self, needle: bytes, skip: int = 0) -> int:
         """Return the first position of `needle` at or after `skip`, or -1 if it is not found.
 
-        The search stops at the first match. Otherwise, for many short lines that arrive together, each line
-        would require a search through all remaining bytes.
+        The search stops at the first match. Otherwise, each of many short lines that arrive together would
+        require a search through all remaining bytes.
         """
         capacity = len(self._bytes)
         end = self._start + self._size
--- a/meadowpulley/net/slots.py
+++ b/meadowpulley/net/slots.py
@@ -1,7 +1,7 @@
 """Fixed-size tables whose entries are addressed by handles.
 
 A handle combines the index of a slot with the slot's generation, which counts how often the slot has been
-used. A stale handle therefore finds no item, instead of the item that uses the slot now.
+used. The handle of a removed item is stale: it finds no item, not even one that uses the same slot later.
 """
 
 from __future__ import annotations
--- a/meadowpulley/net/write_permission.py
+++ b/meadowpulley/net/write_permission.py
@@ -14,11 +14,11 @@
 
 
 class WriteRefusal(Enum):
-    """Reason why an attempt may not be written; the value is part of the counter's name."""
+    """Reason why an attempt may not be written; the value is part of a counter's name."""
 
     REQUEST_FINISHED = "request_finished"
     DEADLINE_PASSED = "deadline_passed"
-    ENDPOINT_EXPIRED = "endpoint_expired"  # `write_by` has passed, whatever the policy's reason for it
+    ENDPOINT_EXPIRED = "endpoint_expired"  # `write_by` has passed, whatever reason the policy had to set it
     ENDPOINT_REPLACED = "endpoint_replaced"
     CONNECTION_CLOSED = "connection_closed"
     MAY_HAVE_EXECUTED = "may_have_executed"
@@ -27,16 +27,18 @@
     def is_violation(self) -> bool:
         """Whether the refusal shows an error of the policy.
 
-        The other reasons may arise after the policy decided to send, but MAY_HAVE_EXECUTED can't.
+        Only MAY_HAVE_EXECUTED does, since it can't arise after the policy has decided to send. All other
+        reasons can arise after that.
         """
         return self is WriteRefusal.MAY_HAVE_EXECUTED
 
     @property
     def result(self) -> Result:
-        """Result of the refused attempt: whether the instance, or information about it, was the reason.
+        """Result of the refused attempt, CONNECT_FAILED or NOT_SENT.
 
-        The policy treats CONNECT_FAILED as a failure of the server and selects another one. NOT_SENT doesn't
-        count against the server.
+        CONNECT_FAILED means that the instance, the information about it, or its connection was the reason.
+        The policy treats this as a failure of the server and selects another server. NOT_SENT stands for all
+        other reasons and doesn't count against the server.
         """
         instance_refused = self in (
             WriteRefusal.ENDPOINT_EXPIRED,
