--- a/meadowpulley/net/attempts.py
+++ b/meadowpulley/net/attempts.py
@@ -84,7 +84,7 @@
         timeout_ms = runner.limits.connect_timeout_ms
         if timeout_ms > 0:
             self.connect_timeout = runner.gateway.deadlines.after(timeout_ms, self._connect_timed_out)
-        self.connecting = connecting  # the callbacks added below clear this and may run immediately
+        self.connecting = connecting  # the callbacks added below clear `connecting` and may run immediately
         connecting.addCallbacks(self._connected, self._connect_failed).addErrback(self._connect_raised)
 
     def _connection_reusable(self, connection: InstanceConnection) -> None:
--- a/meadowpulley/net/connection.py
+++ b/meadowpulley/net/connection.py
@@ -110,8 +110,8 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Run all due deadlines, then buffer the input and call `received`."""
-        # The flag makes `has_unread_input` return True, although `data` is no longer in the kernel. Otherwise
-        # the callback of a due timeout could close the connection, although a request has just been read.
+        # `_handling_input` makes `has_unread_input` return True, although `data` is no longer in the kernel.
+        # Otherwise the callback of a due timeout could close a connection whose request has just been read.
         self._handling_input = True
         self.deadlines.run_due()
         self._handling_input = False
--- a/meadowpulley/net/instance_connection.py
+++ b/meadowpulley/net/instance_connection.py
@@ -19,7 +19,8 @@
     Parser,
 )
 
-# Maximum time from the first bytes of a response to its end. Instances write a whole response at once.
+# Maximum time from the first bytes of a response to its end. This time is short, since an instance writes a
+# whole response at once.
 PARTIAL_RESPONSE_TIMEOUT_MS = 500.0
 # Delay before a connection that has carried a response is reused. An instance may send a duplicate response
 # some milliseconds later, and nothing in a response identifies its request. The duplicate is specified to
@@ -79,7 +80,7 @@
         self.state = InstanceConnectionState.IDLE
         self.exchange: Exchange | None = None
         self.handle = -1
-        self.reusable_at = -math.inf  # time from which on another request may be sent
+        self.reusable_at = -math.inf  # earliest time at which another request may be sent
         self.aborted = False  # whether this gateway ended the connection
 
     def opened(self) -> None:
--- a/meadowpulley/net/instance_pools.py
+++ b/meadowpulley/net/instance_pools.py
@@ -31,7 +31,7 @@
         self.limits = gateway.config.settings.limits
         self.idle_timeout_ms = self.limits.idle_timeout_ms
         self.open_sockets = 0  # sockets that are connected or being connected
-        self.pools: dict[int, ConnectionPool] = {}  # keyed by server number
+        self.pools: dict[int, ConnectionPool] = {}  # pools by server number
 
     def register(self, server: int, address: Address, incarnation: ServerIncarnation) -> None:
         """Set the address and incarnation of a server.
@@ -75,9 +75,8 @@
         """Open a few connections to each instance at start.
 
         All clients connect at the same time, and a first request that waits for its connection delays the
-        requests queued behind it. The gateways of a large fleet open none in
-        advance: 200 gateways with few requests each opened as many connections in advance as these gateways
-        had requests in a day.
+        requests queued behind it. The gateways of a large fleet open no connections in advance: 200 gateways
+        with few requests each opened as many connections in advance as these gateways had requests in a day.
         """
         fleet_share = PRECONNECT_FLEET_TOTAL // max(self.gateway.config.settings.gateway_count, 1)
         max_preconnected = int(self.max_sockets * PRECONNECT_SOCKET_FRACTION)
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -54,7 +54,7 @@
     handle: int = NO_HANDLE
     attempt_count: int = 0
     first_execution_at: float = math.inf  # earliest send time of the ended attempts that may have executed
-    outstanding: dict[int, OutstandingAttempt] = field(default_factory=dict)  # keyed by attempt number
+    outstanding: dict[int, OutstandingAttempt] = field(default_factory=dict)  # attempts by number
     finished: bool = False  # whether the request has a response, or its client has disconnected
     timeout: Deadline | None = None
 
