--- a/meadowpulley/ledger/background_jobs.py
+++ b/meadowpulley/ledger/background_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs on the ledger's store, run on a thread of their own: the reactor never waits for a disk."""
+"""Jobs on the ledger's store. They run on a worker thread, so the reactor never waits for a disk."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 from meadowpulley.ledger.transactions import CheckVersion, Create, Transaction, TransactionResult
 
 MS_PER_SECOND = 1000.0
-PROBE_KEY = "probe"  # no record ever has this key
+PROBE_KEY = "probe"  # key of the write probe; no record with this key is ever created
 
 
 @dataclass(slots=True)
 class JobResult:
-    """The result of a job: as much of it as was done before it failed, and the error."""
+    """The result of a job: the results of all parts that were done before any failure, and the error."""
 
     transaction_results: list[TransactionResult] | None = None
     scan_results: list[tuple[Record, ...]] = field(default_factory=list)
     changes: Changes | None = None
     skipped_frames: list[SkippedFrame] = field(default_factory=list)
-    error: str = ""  # empty where the whole job was done
+    error: str = ""  # the error message; empty if the whole job succeeded
 
 
 class BackgroundRunner(Protocol):
-    """Runs jobs one by one, off the reactor, and calls `on_result` in the reactor's turn."""
+    """Runs jobs one at a time outside the reactor thread, and calls `on_result` in the reactor thread."""
 
     def __call__(self, job: Callable[[], JobResult], on_result: Callable[[JobResult], None]) -> None:
-        """Run a job after those that were given before it."""
+        """Queue a job, to run after all jobs that were queued earlier."""
 
     def close(self, timeout_ms: float) -> bool:
-        """Take no more jobs; return whether all were done within that time (ms)."""
+        """Accept no more jobs; return whether all accepted jobs finished within `timeout_ms` milliseconds."""
 
 
 _QueueEntry: TypeAlias = tuple[Callable[[], JobResult], Callable[[JobResult], None]] | None
 
 
 class WorkerThread:
-    """A `BackgroundRunner` of one daemon thread, which ends with the process whatever it waits for."""
+    """A `BackgroundRunner` with one daemon thread, so a job that hangs does not block process exit."""
 
     def __init__(self, reactor: ReactorThreads) -> None:
         self._reactor = reactor
@@ -54,7 +54,7 @@
         self._thread.start()
 
     def __call__(self, job: Callable[[], JobResult], on_result: Callable[[JobResult], None]) -> None:
-        """Run a job after those that were given before it."""
+        """Queue a job, to run after all jobs that were queued earlier."""
         self._jobs.put((job, on_result))
 
     def _run(self) -> None:
@@ -63,7 +63,7 @@
             self._reactor.callFromThread(on_result, job())
 
     def close(self, timeout_ms: float) -> bool:
-        """Take no more jobs; return whether all were done within that time (ms)."""
+        """Accept no more jobs; return whether all accepted jobs finished within `timeout_ms` milliseconds."""
         self._jobs.put(None)
         self._thread.join(timeout_ms / MS_PER_SECOND)
         return not self._thread.is_alive()
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollRequest:
-    """What a poll reads: changes after a version, of these keys and members."""
+    """The parameters of a poll: which keys and members to read, and after which version of the ledger."""
 
     after_version: int
     prefixes: tuple[str, ...]
@@ -80,26 +80,27 @@
 
 @dataclass(slots=True)
 class LedgerJob:
-    """One batch of commits, the scans that were asked for, and a poll; each of them may be missing."""
+    """One batch of commits, the requested scans, and a poll; each of the three is optional."""
 
-    started_at: float  # by the gateway's clock (ms)
+    started_at: float  # milliseconds on the gateway's clock
     batch: CommitBatch | None
     scans: tuple[Scan, ...]
     poll: PollRequest | None = None
-    probe_bytes: int = 0  # to write beside the poll, while the ledger is unavailable
+    probe_bytes: int = 0  # size of the write probe that runs with the poll while the ledger is unavailable
     timed_out: bool = False
 
     def run(self, store: Store, incarnation: Incarnation, folder: str) -> JobResult:
-        """Run the job on a store; any failure is returned in the result.
+        """Run the job on a store, and return any failure in the result instead of raising it.
 
-        `folder` names the ledger in the text of an unexpected error.
+        `folder` is the ledger's path, for the message of an unexpected error.
         """
         result = JobResult()
         try:
             self._run_into(result, store, incarnation)
         except LedgerError as error:
             result.error = str(error)
-        except Exception as error:  # noqa: BLE001  # it would end the worker thread, the gateway would wait in vain
+        except Exception as error:  # noqa: BLE001
+            # An uncaught error would end the worker thread, and the gateway would wait for a result forever.
             result.error = f"ledger: {folder}: {type(error).__name__}: {error}"
         result.skipped_frames = store.take_skipped_frames()
         return result
@@ -116,15 +117,15 @@
             result.changes = store.changes(poll.after_version, poll.prefixes, poll.watched_names)
 
     def _probe(self, store: Store, incarnation: Incarnation) -> None:
-        """Write to the ledger without a change: on a full or a read-only disk all reads succeed.
+        """Test whether the ledger can be written: reads succeed even on a full or read-only disk.
 
-        The transaction always conflicts.
+        The transaction is written to the log, but always conflicts, so it changes no record.
         """
         probe = Transaction((CheckVersion(PROBE_KEY, 1), Create(PROBE_KEY, bytes(self.probe_bytes))))
         store.commit(incarnation, [probe])
 
     def completed_scans(self, result: JobResult) -> list[tuple[Scan, tuple[Record, ...] | None]]:
-        """Return each scan with its records, or with None if the job failed before it."""
+        """Return each scan with its records, or with None if the job failed before that scan."""
         missing_count = len(self.scans) - len(result.scan_results)
         missing = [None] * missing_count
         return list(zip(self.scans, [*result.scan_results, *missing], strict=True))
--- a/meadowpulley/ledger/client.py
+++ b/meadowpulley/ledger/client.py
@@ -1,10 +1,10 @@
-"""The ledger at a gateway: runs the actions of its stages on a thread, and dispatches what changed.
+"""The ledger client of a gateway: runs the stages' ledger actions on a thread and dispatches changes.
 
-The reactor never waits for the disk: one thread owns the store, runs one job at a time and returns the result
-in a turn of the reactor. A job holds the commits of the turns since the last one, the scans that were asked
-for and, at every poll, a read of what changed. A job that takes longer than the time-out makes the ledger
-unavailable: whatever waits is answered as unknown, and the gateway serves on without the ledger until it can
-be read and written again.
+The reactor never waits for the disk: one thread owns the store, runs one job at a time and passes the result
+back to the reactor thread. A job holds the commits of all reactor turns since the previous job, the requested
+scans and, when a poll is due, a read of what changed. If a job exceeds the timeout, the ledger counts as
+unavailable: every waiting commit is answered with the outcome UNKNOWN, and the gateway continues to serve
+requests without the ledger until the ledger can be read and written again.
 """
 
 from __future__ import annotations
@@ -38,15 +38,18 @@
 
 
 class ClientPhase(Enum):
-    """The phase of the own incarnation, as the client sees it: ACTIVE, perhaps RELEASING, perhaps FENCED."""
+    """The phase of this gateway's incarnation: ACTIVE, then optionally RELEASING, then optionally FENCED."""
 
     ACTIVE = "active"
-    RELEASING = "releasing"  # in a graceful shutdown: commits are written, and no more polls made
-    FENCED = "fenced"  # its incarnation has ended: nothing can be committed
+    RELEASING = "releasing"  # graceful shutdown: commits are still written, but polling has stopped
+    FENCED = "fenced"  # the incarnation has ended, so nothing can be committed
 
 
 class LedgerClient:
-    """The client of one gateway: `wrap` its stages, install the result as its outermost stage, `start`."""
+    """The ledger client of one gateway.
+
+    Call `wrap` with the gateway's stages, install the result as its outermost stage, then call `start`.
+    """
 
     def __init__(
         self,
@@ -76,17 +79,20 @@
 
     @property
     def fenced(self) -> bool:
-        """Whether the own incarnation has ended, so that nothing can be committed."""
+        """Whether this gateway's incarnation has ended, so that nothing can be committed."""
         return self.phase is ClientPhase.FENCED
 
     def holds_lease(self, now: float) -> bool:
-        """Return what `LeaseManager.holds_lease` does, for stages that are created before it."""
+        """Return whether the lease is held; False before `wrap`.
+
+        Stages that are created before the `LeaseManager` use this instead of `LeaseManager.holds_lease`.
+        """
         return self.lease_manager is not None and self.lease_manager.holds_lease(now)
 
     def wrap(self, inner: Stage, get_prefixes: Callable[[], tuple[str, ...]]) -> LeaseManager:
-        """Return the outermost stage, round the stages that rest on the ledger.
+        """Return a new outermost stage that wraps `inner`, the stages that use the ledger.
 
-        `get_prefixes` returns the prefixes of the keys whose changes they must be told of now; when they
+        `get_prefixes` returns the key prefixes whose changes the stages need at present. When the prefixes
         change, the next poll reads a snapshot (`Changes.is_snapshot`).
         """
         self._cursor.get_prefixes = get_prefixes
@@ -94,9 +100,9 @@
         return self.lease_manager
 
     def start(self) -> None:
-        """Renew the lease for the first time, and start to poll.
+        """Renew the lease for the first time, and start polling.
 
-        Raises `LedgerError` unless `wrap` was called before.
+        Raises `LedgerError` if `wrap` was not called before.
         """
         for action in self._wrapped().start(self._gateway.deadlines.now()):
             if isinstance(action, SetTimer):
@@ -108,9 +114,9 @@
         self._poll()
 
     def release_lease(self) -> None:
-        """Release the lease at a graceful shutdown, after the stages have committed what they hand over.
+        """Release the lease at a graceful shutdown; the stages must have committed their last changes.
 
-        Raises `LedgerError` unless `wrap` was called before.
+        Raises `LedgerError` if `wrap` was not called before.
         """
         lease_manager = self._wrapped()
         if self.phase is ClientPhase.ACTIVE:
@@ -121,13 +127,14 @@
 
     def _wrapped(self) -> LeaseManager:
         if self.lease_manager is None:
-            raise LedgerError(f"ledger: {self.incarnation} has no stages: call `wrap` first")
+            raise LedgerError(f"ledger: {self.incarnation} has no lease manager: call `wrap` first")
         return self.lease_manager
 
     def close(self) -> None:
-        """Write what is left at the end of the process; take no longer than one time-out for it.
+        """Write the remaining commits when the process ends; wait at most one timeout for them.
 
-        The reactor has stopped, so nobody is told of a job that is running, and the rest is queued behind it.
+        The reactor has stopped, so the result of a running job can no longer be delivered. The remaining
+        commits are queued after that job.
         """
         while True:
             self._current_job = None
@@ -137,10 +144,10 @@
         if self._runner.close(self._settings.timeout_ms):
             self._store.close()
 
-    # Actions of the stages
+    # Handlers of the actions that stages return
 
     def commit(self, action: Commit) -> None:
-        """Commit transactions in the next batch."""
+        """Queue transactions for the next batch; answer at once if the ledger cannot be used."""
         if self.fenced or self.unavailable:
             outcome = TransactionOutcome.FENCED if self.fenced else TransactionOutcome.UNKNOWN
             results = (TransactionResult(outcome),) * len(action.transactions)
@@ -150,7 +157,7 @@
         self._schedule_job()
 
     def scan(self, action: Scan) -> None:
-        """Read records in the next job."""
+        """Queue a scan for the next job; answer it at once, without records, if the ledger cannot be used."""
         if self.fenced or self.unavailable:
             self._gateway.dispatch(ScanCompleted(action.ticket, None, action.owner))
             return
@@ -160,10 +167,10 @@
     def _set_watched_names(self, action: WatchRequest) -> None:
         self._cursor.watched_names = action.names
 
-    # Jobs
+    # Scheduling and running jobs
 
     def _schedule_job(self) -> None:
-        """Start a job after this turn of the reactor, so that all that the turn asks for goes together."""
+        """Start a job after this reactor turn, so that everything requested in the turn goes into one job."""
         if not self._job_scheduled and self._current_job is None:
             self._job_scheduled = True
             self._gateway.deadlines.after(0.0, self._start_job)
@@ -174,14 +181,14 @@
         now = self._gateway.deadlines.now()
         if self._has_job_timed_out(now):
             self._handle_failure(
-                f"ledger: {self._settings.folder}: no answer for {self._settings.timeout_ms:g} ms"
+                f"ledger: {self._settings.folder}: no response within {self._settings.timeout_ms:g} ms"
             )
         self._poll_due = not self.unavailable or self._probe.is_due(now)
         self._start_job()
         self._gateway.deadlines.after(self._settings.poll_interval_ms, self._poll)
 
     def _has_job_timed_out(self, now: float) -> bool:
-        """Return whether the running job has newly exceeded its time-out."""
+        """Return whether the running job exceeded its timeout and is not yet marked as timed out."""
         job = self._current_job
         return job is not None and not job.timed_out and now - job.started_at > self._settings.timeout_ms
 
@@ -248,7 +255,7 @@
                 self._handle_fenced()
             self._gateway.dispatch(completion)
 
-    # The state of the ledger
+    # Changes and availability of the ledger
 
     def _handle_changes(self, job: LedgerJob, changes: Changes) -> None:
         own = [member for member in changes.members if member.incarnation.name == self.incarnation.name]
@@ -256,7 +263,9 @@
             self._handle_fenced()
         elif self.unavailable:
             if not job.probe_bytes:
-                return  # started before the failure: it shows nothing of writes; the next poll reads it too
+                # The poll started before the failure, without a write probe, so it does not show that
+                # writes succeed. The next poll reads the same changes again.
+                return
             self._handle_recovery()
         self._cursor.version = changes.version
         self._gateway.dispatch(LedgerChanged(changes, job.started_at))
@@ -268,7 +277,7 @@
         self._gateway.dispatch(LedgerRecovered())
 
     def _handle_fenced(self) -> None:
-        """Stop using the ledger; an end that the gateway asked for itself is not reported."""
+        """Stop using the ledger; log an error unless this gateway is releasing its lease itself."""
         if self.phase is ClientPhase.ACTIVE:
             self._gateway.log.error(
                 "ledger_fenced", folder=self._settings.folder, incarnation=str(self.incarnation)
@@ -276,7 +285,7 @@
         self.phase = ClientPhase.FENCED
 
     def _handle_failure(self, reason: str) -> None:
-        """Answer whatever waits as unknown; report the failure unless it was reported already."""
+        """Answer waiting commits as UNKNOWN and waiting scans without records; report the first failure."""
         unanswered = self._pending.give_up(self._current_job)
         if not self.unavailable:
             self.unavailable = True
@@ -291,17 +300,18 @@
 def start_ledger(
     gateway: GatewayContext, name: str, environ: Mapping[str, str], reactor: ReactorThreads
 ) -> LedgerClient | None:
-    """Open the ledger with a new incarnation of that name, or return None if no ledger is configured.
+    """Open the ledger and register a new incarnation of `name`; return None if no ledger is configured.
 
-    It blocks: call it before the reactor runs, and `close` the client after.
+    This function blocks: call it before the reactor starts, and call `close` on the client after the
+    reactor has stopped.
 
     Raises:
-        LedgerUnusableError: the gateway can't start with these settings.
+        LedgerUnusableError: a setting is invalid, or the ledger or the name can't be used.
     """
     settings = read_settings(environ)
     if settings is None:
         return None
-    # Imported here, since it needs msgspec, which a gateway without a ledger does not have.
+    # Imported only when a ledger is configured: gateways without one do not have msgspec installed.
     from meadowpulley.ledger.disk import DiskStore
 
     store = DiskStore(
--- a/meadowpulley/ledger/commit_batches.py
+++ b/meadowpulley/ledger/commit_batches.py
@@ -1,4 +1,4 @@
-"""Commit batching: what the stages of a gateway commit in one reactor turn is written together."""
+"""Commit batching: all commits of a gateway's stages in one reactor turn are written together."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 MAX_BATCH_TRANSACTIONS = 512
 MAX_BATCH_BYTES = 1 << 20
-WRITE_OVERHEAD_BYTES = 64  # of a write, beside its key and value
+WRITE_OVERHEAD_BYTES = 64  # estimated size of a write in the log, without its key and value
 
 
 def estimate_bytes(commit: Commit) -> int:
-    """Return about how many bytes a commit takes in the log."""
+    """Return the estimated size of a commit in the log, in bytes."""
     total_bytes = 0
     for transaction in commit.transactions:
         total_bytes += sum(map(_estimate_write_bytes, transaction.writes))
@@ -38,22 +38,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitBatch:
-    """Commits that are written together, in their order."""
+    """Commits that are written to the ledger together, in the order in which they were queued."""
 
     commits: tuple[Commit, ...]
 
     @property
     def size_bytes(self) -> int:
-        """About how many bytes the batch takes in the log."""
+        """The estimated size of the batch in the log, in bytes."""
         return sum(estimate_bytes(commit) for commit in self.commits)
 
     @property
     def transactions(self) -> list[Transaction]:
-        """The transactions of all commits, in their order."""
+        """The transactions of all commits, in the order of the commits."""
         return list(chain.from_iterable(commit.transactions for commit in self.commits))
 
     def completions(self, results: Sequence[TransactionResult]) -> list[CommitCompleted]:
-        """Return the event for each commit; `results` has one result for each of `transactions`."""
+        """Return a completion event for each commit; `results` has one result for each of `transactions`."""
         completed = list[CommitCompleted]()
         start = 0
         for commit in self.commits:
@@ -63,15 +63,16 @@
         return completed
 
     def unknown_completions(self) -> list[CommitCompleted]:
-        """Return the event for each commit of a batch that was not answered."""
+        """Return an UNKNOWN completion event for each commit, since the store did not answer."""
         unknown = TransactionResult(TransactionOutcome.UNKNOWN)
         return self.completions([unknown] * len(self.transactions))
 
 
 class CommitQueue:
-    """Commits that wait to be written, first in, first out.
+    """A first-in, first-out queue of commits that wait to be written.
 
-    A batch holds at least one commit, and no more than the limits allow; a commit is never split.
+    A batch holds at least one commit. It holds further commits only up to the limits on transactions and
+    bytes. A commit is never split between batches.
     """
 
     def __init__(
@@ -79,11 +80,11 @@
     ) -> None:
         self._max_transactions = max_transactions
         self._max_bytes = max_bytes
-        self._queue: deque[tuple[Commit, int]] = deque()  # with the estimated bytes of each
+        self._queue: deque[tuple[Commit, int]] = deque()  # each commit with its estimated size in bytes
         self.queued_bytes = 0
 
     def __len__(self) -> int:
-        """Return how many commits wait."""
+        """Return the number of queued commits."""
         return len(self._queue)
 
     def add(self, commit: Commit) -> None:
--- a/meadowpulley/ledger/config.py
+++ b/meadowpulley/ledger/config.py
@@ -1,6 +1,7 @@
-"""The settings of the ledger at a gateway: environment variables, checked in full at the start.
+"""The ledger settings of a gateway, read from environment variables and validated at startup.
 
-`deploy/ledger.env` documents them. Nothing is read here unless `MEADOWPULLEY_LEDGER` names a folder.
+`deploy/ledger.env` documents the variables. If `MEADOWPULLEY_LEDGER` names no folder, the
+others are not read.
 """
 
 from __future__ import annotations
@@ -24,20 +25,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerSettings:
-    """The checked settings of one gateway."""
+    """The validated ledger settings of one gateway."""
 
     folder: str
     timings: LeaseTimings
     poll_interval_ms: float
-    timeout_ms: float  # of a poll or a batch of commits; after it the ledger counts as unavailable
-    sync: bool  # whether acknowledged transactions outlive a crash of the machine
+    timeout_ms: float  # for a poll or a batch of commits; if it is exceeded, the ledger counts as unavailable
+    sync: bool  # whether acknowledged transactions survive a crash of the machine
     installation: str
     max_log_bytes: int
     failpoint: FailpointHook
 
     @property
     def commit_timeout_ms(self) -> float:
-        """By when every commit is answered: it may wait for another job's time-out and then for its own."""
+        """The longest time until a commit is answered (ms).
+
+        A commit may wait for the timeout of the running job and then for that of its own job. A timeout is
+        noticed only at the next poll.
+        """
         return 2.0 * self.timeout_ms + self.poll_interval_ms
 
 
@@ -45,7 +50,7 @@
     """Return the settings, or None if no ledger is configured.
 
     Raises:
-        LedgerUnusableError: a setting can't be used.
+        LedgerUnusableError: a setting is invalid.
     """
     folder = environ.get(LEDGER_VARIABLE, "")
     if not folder:
@@ -95,7 +100,7 @@
 
 
 def _check_term(settings: LedgerSettings) -> None:
-    """Check that a renewal which takes as long as it may is answered while the lease still holds."""
+    """Check that even the slowest renewal is answered before the lease is no longer held."""
     timings = settings.timings
     slack_fraction = timings.hold_fraction - timings.renewal_fraction
     if settings.commit_timeout_ms > slack_fraction * timings.term_ms:
--- a/meadowpulley/ledger/disk.py
+++ b/meadowpulley/ledger/disk.py
@@ -1,10 +1,11 @@
-"""A ledger on a local disk, for the processes of one machine.
-
-A process that is stopped or killed anywhere holds nothing that another one waits for. Records, registrations
-and fences are entries of a log that all processes append to (`shared_log.py`); renewals, which are many, are
-names of files beside it (`lease_files.py`). An incarnation is fenced in two moves: first its lease can't be
-renewed any more, then the log says so; if a process ends between the two, the next one makes the second. Not
-for use on a network file system.
+"""A ledger on a local disk, shared by the processes of one machine.
+
+No process ever waits for a lock of another one, so a process can be stopped or killed at any point without
+blocking the rest. Records, registrations and fences are entries of a log that all processes append to
+(`shared_log.py`). Lease renewals are frequent, so they are not in the log: the name of a file next to it
+holds the renewal number (`lease_files.py`). Fencing an incarnation takes two steps: first its lease file is
+renamed so that it can't be renewed, then the fence is appended to the log. If a process ends between the two
+steps, another process does the second one. The store does not support network file systems.
 """
 
 from __future__ import annotations
@@ -37,14 +38,15 @@
 
 
 class DiskStore:
-    """`Store` in a folder, used by one thread at a time.
+    """A `Store` in a folder, for use by one thread at a time.
 
-    With `sync`, acknowledged transactions outlive a crash of the machine. Without it they outlive every
-    process, and a crash of the machine resets the ledger to its incarnations. `installation` names the one
-    that the folder must belong to (empty: any), `machine_boot_id` the machine's present run (empty: read it).
+    With `sync`, acknowledged transactions survive a crash of the machine. Without `sync` they survive the end
+    of any process, but a crash of the machine removes all records and fences all incarnations. `installation`
+    is the installation that the folder must belong to (empty: any). `machine_boot_id` identifies the current
+    boot of the machine (empty: read it from the kernel).
 
     Raises:
-        LedgerUnusableError: the folder can't be used.
+        LedgerUnusableError: the folder is missing, or does not hold a usable ledger.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
             self._folder_fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         except OSError as error:
             raise LedgerUnusableError(
-                f"ledger: {path}: {error.strerror}: make that folder, or name another"
+                f"ledger: {path}: {error.strerror}: create that folder, or configure another one"
             ) from None
         try:
             with self._os_errors_translated():
@@ -76,7 +78,7 @@
 
     @property
     def installation(self) -> str:
-        """Name of the installation that the ledger belongs to."""
+        """The name of the installation that the ledger belongs to."""
         return self._log.header.installation
 
     def take_skipped_frames(self) -> list[SkippedFrame]:
@@ -87,15 +89,15 @@
 
     @contextmanager
     def _os_errors_translated(self) -> Iterator[None]:
-        """Raise an error of the operating system as `LedgerError`."""
+        """Convert an `OSError` that the block raises into a `LedgerError`."""
         try:
             yield
         except OSError as error:
-            raise LedgerError(f"ledger: {self._path}: {error.strerror}: see to that disk") from None
+            raise LedgerError(f"ledger: {self._path}: {error.strerror}: check that disk") from None
 
     @contextmanager
     def _caught_up(self) -> Iterator[None]:
-        """Apply what other processes have written, then run the block, with its errors translated."""
+        """Apply new log entries, then run the block; convert an `OSError` into a `LedgerError`."""
         with self._os_errors_translated():
             self._failpoint("call")
             self._check_folder()
@@ -107,13 +109,15 @@
 
     def _check_folder(self) -> None:
         if not os.path.samestat(os.stat(self._path), os.fstat(self._folder_fd)):
-            raise LedgerError(f"ledger: {self._path} is another folder now: put it back, or start again")
+            raise LedgerError(
+                f"ledger: {self._path} is another folder now: restore it, or restart the gateway"
+            )
 
     def register(self, name: str, term_ms: float) -> Incarnation:
         """Register a new incarnation; see `Store.register`."""
         if not VALID_NAME.fullmatch(name):
             raise LedgerUnusableError(
-                f"ledger: the name '{name}' is none of letters, digits, '.', '_' and '-'"
+                f"ledger: the name '{name}' must be 1 to 64 of letters, digits, '_', '-', '.', not '.' first"
             )
         with self._caught_up():
             previous = self._log.state.members_by_name.get(name)
@@ -123,12 +127,14 @@
                     f"ledger: the name '{name}' is taken by a living gateway: choose another"
                 )
             if not self._log.register(incarnation, term_ms):
-                raise LedgerUnusableError(f"ledger: the name '{name}' was taken meanwhile: choose another")
+                raise LedgerUnusableError(
+                    f"ledger: the name '{name}' was registered meanwhile: choose another"
+                )
             self._failpoint("begin.begun")
         return incarnation
 
     def _is_free(self, previous: Member | None) -> bool:
-        """Return whether a name whose last incarnation is `previous` may be registered again."""
+        """Return whether a name may be registered, given its last incarnation (None: the name is new)."""
         return (
             previous is None or previous.fenced or self._lease_files.has_process_ended(previous.incarnation)
         )
@@ -136,7 +142,7 @@
     def commit(
         self, incarnation: Incarnation, transactions: Sequence[Transaction]
     ) -> list[TransactionResult]:
-        """Apply transactions, each by itself; see `Store.commit`."""
+        """Apply each transaction separately; see `Store.commit`."""
         results: list[TransactionResult] = []
         with self._caught_up():
             pending: list[Transaction] = []
@@ -169,17 +175,17 @@
         return self._log.commit(incarnation, prepared)
 
     def _with_renewals_stopped(self, incarnation: Incarnation, transaction: Transaction) -> Transaction:
-        """Make the first move of each fence in a transaction."""
+        """Do the first step of each fence in a transaction: stop the renewals of the fenced incarnation."""
         writes = list[Write]()
         for write in transaction.writes:
             writes.append(self._stop_renewals(incarnation, write) if isinstance(write, Fence) else write)
         return Transaction(tuple(writes))
 
     def _stop_renewals(self, incarnation: Incarnation, fence: Fence) -> Fence:
-        """End the renewals of an incarnation that is to be fenced; return the fence to propose.
+        """Stop the renewals of an incarnation that will be fenced; return the fence to propose.
 
-        If the transaction then fails for another reason, that incarnation finds itself fenced at its next
-        renewal, and another one fences it on missing that renewal.
+        If the transaction then fails for another reason, the incarnation learns at its next renewal that it
+        is fenced, and another gateway fences it in the log once its lease has expired.
         """
         if fence.incarnation == incarnation or self._is_fenced(fence.incarnation):
             return fence
@@ -188,7 +194,7 @@
         return replace(fence, renewal=RENEWED_SINCE)
 
     def read(self, key: str) -> Record | None:
-        """Return the record of that key, or None."""
+        """Return the record with that key, or None if there is none."""
         with self._caught_up():
             return self._log.state.read(key)
 
@@ -203,7 +209,7 @@
             return [self._current_member(name) for name in sorted(self._log.state.members_by_name)]
 
     def _current_member(self, name: str) -> Member:
-        """Return the state of a member with its renewal number, which is not in the log."""
+        """Return a member with its current renewal number, which is in the lease files and not in the log."""
         member = self._log.state.members_by_name[name]
         status = None if member.fenced else self._lease_files.read(member.incarnation)
         return replace(member, renewal=status.renewal) if status is not None else member
@@ -228,7 +234,7 @@
         return not member.fenced and self._lease_files.has_process_ended(member.incarnation)
 
     def close(self) -> None:
-        """Close the log, release the own leases' locks, and close the folder."""
+        """Close the log, release the lease locks of this process, and close the folder."""
         self._log.close()
         self._lease_files.close()
         os.close(self._folder_fd)
--- a/meadowpulley/ledger/failpoints.py
+++ b/meadowpulley/ledger/failpoints.py
@@ -1,9 +1,10 @@
-"""Failpoints: named places at which a test lets a process die, stop or fail.
+"""Failpoints: named places in the code at which a test makes a process kill or stop itself, or fail.
 
-Where none is set, each costs one call of an empty function. For example,
-`MEADOWPULLEY_FAILPOINTS="log.appended=kill@3,renew.renamed=stop"`: the process kills itself at the third
-append to the log, and stops itself at its first renewal. `call=error@50+` makes every call fail from the
-fiftieth on; `call=slow@50` makes the fiftieth take so long that a gateway counts the ledger as unavailable.
+If no failpoint is set, each place costs one call of an empty function. With
+`MEADOWPULLEY_FAILPOINTS="log.appended=kill@3,renew.renamed=stop"`, for example, the process kills itself at
+its third append to the log, and stops itself at its first renewal. `call=error@50+` makes every call to the
+store fail from the fiftieth on. `call=slow@50` delays the fiftieth call long enough that the gateway counts
+the ledger as unavailable.
 """
 
 from __future__ import annotations
@@ -35,22 +36,22 @@
     "roll.linked",
     "roll.opened",
 )
-SLOW_CALL_S = 2.0
+SLOW_CALL_S = 2.0  # seconds by which the action `slow` delays a call
 FailpointHook: TypeAlias = Callable[[str], None]
 
 
 def no_failpoint(name: str) -> None:
-    """Do nothing: the hook of a process without failpoints."""
+    """Do nothing; this is the hook of a process without failpoints."""
 
 
 def _raise_os_error(code: int) -> None:
-    """Fail as the kernel does."""
+    """Raise the `OSError` that a failed system call raises with that error code."""
     raise OSError(code, os.strerror(code))
 
 
 ACTIONS: dict[str, Callable[[], None]] = {
     "kill": lambda: os.kill(os.getpid(), signal.SIGKILL),
-    # Sent to this thread: another thread might take a signal to the process, and this one run on.
+    # Send the signal to this thread: if another thread received it, this one could run past the failpoint.
     "stop": lambda: signal.pthread_kill(threading.get_ident(), signal.SIGSTOP),
     "full": lambda: _raise_os_error(errno.ENOSPC),
     "error": lambda: _raise_os_error(errno.EIO),
@@ -60,22 +61,22 @@
 
 @dataclass(slots=True)
 class _Trigger:
-    """When a failpoint acts, and how often it was hit."""
+    """The action of a failpoint, the hit at which it runs, and the number of hits so far."""
 
     action: Callable[[], None]
     count: int
-    repeats: bool  # from `count` on, not only then
+    repeats: bool  # whether the action runs at every hit from `count` on, or only at hit `count`
     hit_count: int = 0
 
     def hit(self) -> None:
-        """Count one hit, and act if it is due."""
+        """Count one hit, and run the action if it is due at this hit."""
         self.hit_count += 1
         if self.hit_count == self.count or (self.repeats and self.hit_count > self.count):
             self.action()
 
 
 def _parse_trigger(part: str) -> tuple[str, _Trigger]:
-    """Return the name and the trigger of one failpoint, written `NAME=ACTION@COUNT`."""
+    """Parse one failpoint, `NAME=ACTION` or `NAME=ACTION@COUNT`; return its name and its trigger."""
     name, _, definition = part.strip().partition("=")
     action, _, count = definition.partition("@")
     repeats = count.endswith("+")
@@ -83,23 +84,23 @@
     if name not in FAILPOINT_NAMES or action not in ACTIONS or not count.isdecimal():
         known = ", ".join(FAILPOINT_NAMES)
         raise FailpointSyntaxError(
-            f"{FAILPOINTS_VARIABLE}: '{part}': write STEP=ACTION@COUNT with one of {known}"
+            f"{FAILPOINTS_VARIABLE}: '{part}': expected NAME=ACTION@COUNT, where NAME is one of {known}"
         )
     return name, _Trigger(ACTIONS[action], int(count), repeats)
 
 
 def parse_failpoints(text: str) -> FailpointHook:
-    """Return the hook for a list of failpoints.
+    """Return the hook for a comma-separated list of failpoints.
 
     Raises:
-        FailpointSyntaxError: the text names an unknown place or action.
+        FailpointSyntaxError: the text has invalid syntax, or names an unknown failpoint or action.
     """
     if not text:
         return no_failpoint
     triggers = dict(_parse_trigger(part) for part in text.split(","))
 
     def hit(name: str) -> None:
-        """Act as the failpoint of that name says."""
+        """Count a hit of the failpoint `name`, if it is set."""
         if name in triggers:
             triggers[name].hit()
 
--- a/meadowpulley/ledger/fencing_schedule.py
+++ b/meadowpulley/ledger/fencing_schedule.py
@@ -1,7 +1,8 @@
-"""Which expired members an incarnation fences, and when.
+"""The schedule by which an incarnation fences members whose lease has expired.
 
-All live members may find the same lease expired. They try one after the other, in the order of the ring from
-the position of the expired member on, so that usually only the first one writes to the ledger.
+All live members may see the same lease expire. They try to fence that member one after the other, in ring
+order, starting from the position of the expired member, so that usually only the first one writes to the
+ledger.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 
 
 class FencingSchedule:
-    """The times at which the incarnation `own` fences the expired of `members`."""
+    """The times at which the incarnation `own` tries to fence expired members."""
 
     def __init__(self, own: Incarnation, members: MemberTable, timings: LeaseTimings) -> None:
         self._own = own
         self._members = members
         self._timings = timings
-        self._fence_at: dict[str, float] = {}  # by name
+        self._fence_at: dict[str, float] = {}  # time of the next attempt (ms), by member name
 
     def add(self, now: float, expired: Iterable[Member]) -> None:
-        """Schedule the fencing of members that have newly expired."""
+        """Schedule the fencing of members whose lease was just found expired."""
         live = self._members.live_incarnations()
         backoff_ms = self._timings.term_ms * self._timings.fencing_backoff_fraction
         for member in expired:
@@ -31,7 +32,7 @@
             self._fence_at[member.incarnation.name] = now + rank * backoff_ms
 
     def _rank(self, expired: Incarnation, live: list[Incarnation]) -> int:
-        """Return how many live incarnations try to fence that one before this one does."""
+        """Return how many live incarnations try to fence `expired` before `own` does."""
         observed = self._members.observed
         position = observed[expired.name].ring_position
         earlier = [each for each in live if observed[each.name].ring_position < position]
@@ -39,12 +40,15 @@
         return order.index(self._own) if self._own in order else len(order)
 
     def cancel(self, names: Iterable[str]) -> None:
-        """Fence none of these members, unless they expire again."""
+        """Remove members from the schedule; they are added again if they expire again."""
         for name in names:
             self._fence_at.pop(name, None)
 
     def take_due(self, now: float) -> list[Member]:
-        """Return the members to fence now; each is due again a term later, should the outcome be UNKNOWN."""
+        """Return the members to fence now.
+
+        Each of them is due again one term later, in case the outcome of its fence is UNKNOWN.
+        """
         due_names = [name for name, fence_at in self._fence_at.items() if fence_at <= now]
         for name in due_names:
             self._fence_at[name] = now + self._timings.term_ms
--- a/meadowpulley/ledger/gateway_context.py
+++ b/meadowpulley/ledger/gateway_context.py
@@ -1,4 +1,4 @@
-"""What the ledger's client needs of the gateway that it serves, as protocols."""
+"""Protocols for what the ledger client uses of its gateway."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from meadowpulley.ledger.messages import LedgerEvent
 
 ActionT = TypeVar("ActionT")
-ClientEvent: TypeAlias = LedgerEvent | Timer  # what the ledger's client dispatches
+ClientEvent: TypeAlias = LedgerEvent | Timer  # the events that the ledger client dispatches
 
 
 class DeadlineQueue(Protocol):
-    """The gateway's clock and its delayed calls."""
+    """The gateway's clock, which also runs delayed calls."""
 
     def now(self) -> float:
         """Return the time in milliseconds."""
 
     def after(self, delay_ms: float, callback: Callable[[], None], /) -> object:
-        """Call `callback` from the reactor after a delay."""
+        """Call `callback` in the reactor thread after a delay in milliseconds."""
 
 
 class EventLogger(Protocol):
@@ -36,38 +36,38 @@
 
 
 class CounterSet(Protocol):
-    """The gateway's counters."""
+    """Named counters of the gateway."""
 
     def add(self, name: str, /) -> None:
         """Add one to a counter."""
 
 
 class GatewayContext(Protocol):
-    """The gateway of a ledger client."""
+    """The interface of a gateway, as the ledger client uses it."""
 
     @property
     def deadlines(self) -> DeadlineQueue:
-        """The clock and the delayed calls."""
+        """The gateway's clock, which also schedules delayed calls."""
 
     @property
     def log(self) -> EventLogger:
-        """The structured log."""
+        """The gateway's structured event log."""
 
     @property
     def counters(self) -> CounterSet:
-        """The counters."""
+        """The gateway's named event counters."""
 
     def dispatch(self, event: ClientEvent, /) -> None:
-        """Give an event to the outermost stage, and run the actions that it returns."""
+        """Pass an event to the outermost stage, and run the actions that it returns."""
 
     def register_action(self, action_type: type[ActionT], handler: Callable[[ActionT], None], /) -> None:
-        """Run every action of that type by `handler` from now on."""
+        """Call `handler` for every action of `action_type` from now on."""
 
 
 class ReactorThreads(Protocol):
-    """What a worker thread needs of Twisted's reactor."""
+    """The part of Twisted's reactor that the worker thread uses."""
 
-    def callFromThread(  # noqa: N802  # Twisted's name
+    def callFromThread(  # noqa: N802  # the method name is defined by Twisted
         self, function: Callable[..., object], /, *arguments: object
     ) -> object:
-        """Call a function from the reactor's thread."""
+        """Call a function in the reactor thread."""
--- a/meadowpulley/ledger/lease_manager.py
+++ b/meadowpulley/ledger/lease_manager.py
@@ -1,8 +1,9 @@
-"""The lease manager: keeps the own lease, watches the leases of the others, and fences those that expired.
+"""The lease manager: renews this gateway's lease, watches other leases, and fences expired members.
 
-It is the outermost stage of a gateway and does no I/O. It keeps what is the ledger's own from the stages
-inside, and tells them what follows from it (`LeaseExpired`, `Fenced`). `member_table` holds the members as
-they were read, `renewal_watch` chooses whose renewals are read, `fencing_schedule` who fences whom when.
+It is the outermost stage of a gateway and does no I/O. It handles leases and renewals itself, and reports the
+consequences to the inner stages (`LeaseExpired`, `Fenced`). `member_table` holds the members as they were
+last read, `renewal_watch` chooses which members' renewals are read, and `fencing_schedule` decides when this
+incarnation tries to fence an expired member.
 """
 
 from __future__ import annotations
@@ -45,28 +46,29 @@
     "Stage",
 ]
 
-LEASE_TIMER = 5  # token of the timer of renewals
-LEASE_OWNER = "keeper"  # owner of the lease manager's own commits
-MAX_POLL_GAP_FRACTION = 0.5  # of a term without a poll, after which all leases are counted anew
+LEASE_TIMER = 5  # token of the renewal timer
+LEASE_OWNER = "keeper"  # the `owner` field of commits by the lease manager
+# The fraction of a term between two polls above which every member is given a new term.
+MAX_POLL_GAP_FRACTION = 0.5
 
-# The events of every request pass through `handle`: one look-up finds that they need nothing from it.
+# `handle` receives the events of every request: one set lookup decides whether to pass an event straight on.
 HANDLED_EVENTS = frozenset({Timer, CommitCompleted, LedgerChanged, LedgerRecovered})
 
 LeaseAction: TypeAlias = Commit | SetTimer | WatchRequest
 
 
 class LeasePhase(Enum):
-    """The phase of the own incarnation. It leaves ACTIVE once: by a fence, or by its own release."""
+    """The phase of this gateway's incarnation. It leaves ACTIVE once: when it is fenced, or on release."""
 
     ACTIVE = "active"  # registered, and neither fenced nor released
     FENCED = "fenced"  # ended by another incarnation
-    RELEASED = "released"  # ended by its own graceful shutdown
+    RELEASED = "released"  # ended by a graceful shutdown of this gateway
 
 
 class LeaseManager:
-    """The stage round all others: call `start` first, then `handle` with every event.
+    """The outermost stage: call `start` first, then `handle` with every event.
 
-    Events that it does not know go to the stage inside.
+    Events that it does not handle are passed to the inner stage.
     """
 
     def __init__(self, incarnation: Incarnation, timings: LeaseTimings, inner: Stage) -> None:
@@ -76,7 +78,7 @@
         self.phase = LeasePhase.ACTIVE
         self._lease_held_until = -math.inf
         self._last_ticket = 0
-        self._renewals_in_flight: dict[int, float] = {}  # by ticket: when the renewal was started
+        self._renewals_in_flight: dict[int, float] = {}  # start time of the renewal (ms), by ticket
         self._last_poll_started = -math.inf
         self._members = MemberTable(incarnation, timings)
         self._watch = RenewalWatch(self._members, timings)
@@ -93,11 +95,14 @@
         return self._members.observed
 
     def start(self, now: float) -> list[LeaseAction]:
-        """Return the first actions: renew the lease, since a new incarnation does not hold it yet."""
+        """Return the initial actions: renew the lease, since a new incarnation does not hold it yet."""
         return [*self._renew(now), WatchRequest(())]
 
     def release_lease(self) -> list[LeaseAction]:
-        """Return the last action of a graceful shutdown, after the stages' own last commits."""
+        """Return the action that releases the lease, the last one of a graceful shutdown.
+
+        The stages must have made their last commits before.
+        """
         if self.phase is LeasePhase.ACTIVE:
             self.phase = LeasePhase.RELEASED
         return [self._commit(Transaction((ReleaseLease(),)))]
@@ -105,7 +110,8 @@
     def holds_lease(self, now: float) -> bool:
         """Return whether this incarnation may act on its lease now.
 
-        False after a process slept through its lease, until a renewal that it started since was committed.
+        If the process was suspended for longer than its lease, return False until a renewal that was started
+        after the suspension is committed.
         """
         return self.phase is not LeasePhase.FENCED and now < self._lease_held_until
 
@@ -114,7 +120,7 @@
         return self._members.live_incarnations()
 
     def handle(self, now: float, event: object) -> list[StageAction]:
-        """Return the actions that follow from an event; `now` is in milliseconds."""
+        """Return the actions in response to an event; `now` is in milliseconds."""
         if type(event) not in HANDLED_EVENTS:
             return self.inner.handle(now, event)
         match event:
@@ -129,7 +135,7 @@
             case _:
                 return self.inner.handle(now, event)
 
-    # The own lease
+    # Renewing this gateway's lease
 
     def _commit(self, *transactions: Transaction) -> Commit:
         self._last_ticket += 1
@@ -140,7 +146,8 @@
             return []
         interval_ms = self.timings.term_ms * self.timings.renewal_fraction
         actions: list[LeaseAction] = [SetTimer(interval_ms, LEASE_TIMER)]
-        if not self._renewals_in_flight:  # one at a time: each is answered, UNKNOWN at worst
+        # One renewal at a time is enough: every commit is answered, if only as UNKNOWN.
+        if not self._renewals_in_flight:
             renewal = self._commit(Transaction((RenewLease(),)))
             self._renewals_in_flight[renewal.ticket] = now
             actions.append(renewal)
@@ -157,7 +164,7 @@
         return actions
 
     def _extend_lease(self, renewed_at: float) -> None:
-        """Hold the lease for some time longer, counted from when its renewal was started."""
+        """Hold the lease for the hold time, which is counted from the start of the renewal (`renewed_at`)."""
         valid_until = renewed_at + self.timings.term_ms * self.timings.hold_fraction
         self._lease_held_until = max(self._lease_held_until, valid_until)
 
@@ -168,11 +175,11 @@
         return self.inner.handle(now, Fenced())
 
     def _handle_ledger_recovered(self, now: float, event: LedgerRecovered) -> list[StageAction]:
-        """Count all leases anew at the next poll, since no member could renew its lease."""
+        """Give all members a new term at the next poll, since none could renew its lease meanwhile."""
         self._last_poll_started = -math.inf
         return self.inner.handle(now, event)
 
-    # The leases of the others
+    # Watching and fencing other members
 
     def _handle_changes(self, now: float, event: LedgerChanged) -> list[StageAction]:
         actions = self.inner.handle(now, event)
@@ -195,10 +202,10 @@
         return [*actions, *self._fence_due_members(now)]
 
     def _restart_leases_after_a_pause(self, now: float, poll_started: float) -> None:
-        """Give all members a new term if this gateway has not polled for long.
+        """Give all members a new term if this gateway has not polled for a long time.
 
-        A gateway that was stopped, or cut off from the ledger, does not know which renewals it missed: when
-        a whole machine wakes from sleep, it must not find all others expired.
+        A gateway that was stopped, or could not reach the ledger, does not know which renewals it missed.
+        When a whole machine resumes from sleep, for example, no gateway may treat all others as expired.
         """
         max_gap_ms = self.timings.term_ms * MAX_POLL_GAP_FRACTION
         if poll_started - self._last_poll_started > max_gap_ms:
--- a/meadowpulley/ledger/lease_timings.py
+++ b/meadowpulley/ledger/lease_timings.py
@@ -1,4 +1,4 @@
-"""The term of a lease, and the times that follow from it."""
+"""The term of a lease, and the durations that are derived from it."""
 
 from __future__ import annotations
 
@@ -7,20 +7,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimings:
-    """The term of a lease, and what follows from it; fractions are of the term."""
+    """The term of a lease and related parameters; each fraction is a fraction of the term."""
 
     term_ms: float = 2000.0
-    renewal_fraction: float = 0.2  # between two renewals
-    hold_fraction: float = 0.7  # for which the holder acts on a renewal, from when it started that renewal
-    max_clock_drift: float = 0.02  # by which the lengths of two clocks' seconds differ at most
-    watched_neighbours: int = 3  # how many predecessors on the ring each member watches
-    fencing_backoff_fraction: float = 0.1  # by which each next member waits longer before it fences another
+    renewal_fraction: float = 0.2  # the interval between two renewals, as a fraction of the term
+    # How long the holder acts on its lease after a successful renewal, from the start of that
+    # renewal, as a fraction of the term.
+    hold_fraction: float = 0.7
+    max_clock_drift: float = 0.02  # the largest relative difference between the rates of two clocks
+    watched_neighbours: int = 3  # the number of predecessors on the ring whose renewals each member watches
+    # The extra delay, for each earlier member in the fencing order, before a member fences an expired one,
+    # as a fraction of the term.
+    fencing_backoff_fraction: float = 0.1
 
     @property
     def expiry_ms(self) -> float:
-        """How long after a renewal was seen a lease with this term is expired."""
+        """The time after an observed renewal at which a lease with this term has expired (ms)."""
         return self.expiry_of(self.term_ms)
 
     def expiry_of(self, term_ms: float) -> float:
-        """Return how long after a renewal was seen a lease with that term is expired (ms)."""
+        """Return the time after an observed renewal at which a lease of `term_ms` has expired (ms)."""
         return term_ms * (1.0 + self.max_clock_drift)
--- a/meadowpulley/ledger/log_entries.py
+++ b/meadowpulley/ledger/log_entries.py
@@ -1,10 +1,11 @@
 """The entries of the log: how they are encoded, and how each reader applies them.
 
-An entry is a proposal of an incarnation. Its position in the log decides what becomes of it, and every
-reader finds that out by itself. Nothing after an `EndEntry` counts: the log continues in the next generation.
+Most entries are proposals of an incarnation. The position of a proposal in the log decides its result, and
+every reader computes that result independently. Entries after an `EndEntry` are ignored: the log continues in
+the next generation.
 
-The encoding is a stored format: a msgpack array that starts with the tag of the entry. Its tags stay as they
-are whatever the classes here are called.
+The encoding is a stored format: each entry is a msgpack array that starts with the tag of its type. The tags
+must not change, even if the classes in this module are renamed.
 """
 
 from __future__ import annotations
@@ -46,26 +47,29 @@
 FENCE_TAG = "s"
 RELEASE_LEASE_TAG = "l"
 
-# `Fence.renewal` of a fence that fails, since the incarnation has renewed its lease in the meantime.
+# The `renewal` of a `Fence` that must fail because the incarnation has renewed its lease in the meantime.
 RENEWED_SINCE = -1
 
 
 @dataclass(frozen=True, slots=True)
 class GenerationHeader:
-    """The first entry of every generation."""
+    """The first entry of every generation of the log."""
 
     installation: str
     generation: int
-    sync: bool  # whether acknowledged transactions outlive a crash of the machine
-    boot_id: str  # of the machine, when the log of the installation was created or reset
+    sync: bool  # whether acknowledged transactions survive a crash of the machine
+    boot_id: str  # identifies the boot of the machine in which the generation was created
 
 
 @dataclass(frozen=True, slots=True)
 class CommitEntry:
-    """Proposes transactions. A fence of an incarnation that has renewed since has `RENEWED_SINCE`."""
+    """Proposes transactions.
+
+    A fence whose `renewal` is `RENEWED_SINCE` fails, since its incarnation has renewed its lease meanwhile.
+    """
 
     incarnation: Incarnation
-    proposal_id: str  # tells the proposals of one process apart
+    proposal_id: str  # unique among the proposals of all processes
     transactions: tuple[Transaction, ...]
 
 
@@ -75,21 +79,22 @@
 
     incarnation: Incarnation
     proposal_id: str
-    term_ms: float  # of its lease
+    term_ms: float  # the term of the lease
 
 
 @dataclass(frozen=True, slots=True)
 class EndEntry:
-    """Ends a generation of the log."""
+    """Ends a generation of the log; later entries of the generation are ignored."""
 
 
 Proposal: TypeAlias = CommitEntry | RegisterEntry
 LogEntry: TypeAlias = Proposal | EndEntry | GenerationHeader | MemoryStore
 
-# The arrays that are stored, as msgpack gives them back.
-RawWrite: TypeAlias = Sequence[str | bytes | int]  # tag, fields
-RawRecord: TypeAlias = tuple[str, bytes, int, str, int]  # key, value, version, writer's name and epoch
-# Name, epoch, renewal, fenced, term, version of the member, version of its registration or fence.
+# The types of the stored arrays, as msgpack decodes them.
+RawWrite: TypeAlias = Sequence[str | bytes | int]  # the tag of the write, then its fields
+RawRecord: TypeAlias = tuple[str, bytes, int, str, int]  # key, value, version, name and epoch of the writer
+# Name, epoch, renewal number, whether fenced, term (ms), version of the last change, and version of the
+# registration or fence.
 RawMember: TypeAlias = tuple[str, int, int, bool, float, int, int]
 RawState: TypeAlias = tuple[int, list[RawRecord], list[RawMember], dict[str, int], int]
 
@@ -124,7 +129,7 @@
 
 
 def encode(entry: LogEntry) -> bytes:
-    """Return the payload of an entry; a `MemoryStore` is the state at the start of a generation."""
+    """Return the payload of an entry; a `MemoryStore` is encoded as the initial state of a generation."""
     raw: tuple[object, ...]
     match entry:
         case CommitEntry(writer, proposal_id, transactions):
@@ -142,17 +147,17 @@
 
 
 def decode(payload: bytes) -> LogEntry:
-    """Return the entry of a payload.
+    """Return the log entry that a payload encodes.
 
     Raises:
-        ValueError: it is no entry of a ledger of this format (`LogEntryError`, where that is known).
+        ValueError: the payload is not a valid entry of this format (usually its subclass `LogEntryError`).
     """
     try:
         tag, *fields = msgspec.msgpack.decode(payload)
         decoder = _ENTRY_DECODERS[tag]
         return decoder(*fields)
     except (msgspec.DecodeError, TypeError, KeyError, IndexError) as error:
-        raise LogEntryError(f"no entry of a ledger: {error}") from None
+        raise LogEntryError(f"this is not a valid ledger entry: {error}") from None
 
 
 def _decode_commit(
@@ -173,10 +178,10 @@
 
 
 def _decode_header(format_name: str, format_version: int, *fields: object) -> GenerationHeader:
-    """Return the header; the fields of another format may be others, so they are read after the check."""
+    """Return the header; check the format first, since the other fields of another format may differ."""
     if format_name != FORMAT_NAME or format_version != FORMAT_VERSION:
         raise LogEntryError(
-            f"it is of format {format_name} {format_version}, not {FORMAT_NAME} {FORMAT_VERSION}"
+            f"the log is of format {format_name} {format_version}, not {FORMAT_NAME} {FORMAT_VERSION}"
         )
     return _make_header(*fields)
 
@@ -237,7 +242,7 @@
 
 
 def _decode_member(raw_member: RawMember) -> tuple[Member, int]:
-    """Return a member, and the version of its registration or fence."""
+    """Return a member, and the ledger's version at its registration or fence."""
     name, epoch, renewal, fenced, term_ms, version, membership_version = raw_member
     return Member(Incarnation(name, epoch), renewal, fenced, term_ms, version), membership_version
 
@@ -252,20 +257,20 @@
 
 
 def apply_registration(state: MemoryStore, entry: RegisterEntry) -> bool:
-    """Apply a registration to the state of the ledger; return whether the incarnation was registered."""
+    """Apply a registration to `state`; return whether the incarnation was registered."""
     previous = state.members_by_name.get(entry.incarnation.name)
     next_epoch = previous.incarnation.epoch + 1 if previous is not None else 1
     if entry.incarnation.epoch != next_epoch:
         return False
     if previous is not None:
-        # Whoever proposed this had seen that process ended, or its incarnation fenced.
+        # The proposer had found that the previous process had ended or that its incarnation was fenced.
         state.dead_incarnations.add(previous.incarnation)
     state.register(entry.incarnation.name, entry.term_ms)
     return True
 
 
 def apply_commit(state: MemoryStore, entry: CommitEntry) -> list[TransactionResult]:
-    """Apply proposed transactions to the state of the ledger; return their results."""
+    """Apply proposed transactions to `state`; return one result for each."""
     results = list[TransactionResult]()
     for transaction in entry.transactions:
         for write in transaction.writes:
@@ -276,9 +281,10 @@
 
 
 def _set_last_renewal(state: MemoryStore, fence: Fence) -> None:
-    """Record the renewal number of an incarnation that is being fenced.
+    """Set the renewal number of an incarnation that is being fenced.
 
-    Renewals are not in the log: the fence names the last one, which that incarnation can't exceed any more.
+    Renewals are not in the log. The fence holds the last renewal number, and its proposer has already stopped
+    further renewals.
     """
     member = state.members_by_name.get(fence.incarnation.name)
     if member is not None and member.incarnation == fence.incarnation and not member.fenced:
@@ -286,7 +292,7 @@
 
 
 def state_after_machine_crash(state: MemoryStore) -> MemoryStore:
-    """Return what remains of a state that was not made durable: its incarnations, fenced, and no record."""
+    """Return the state after a machine crash without `sync`: all incarnations fenced, and no records."""
     remaining = MemoryStore()
     remaining.version = state.version + 1
     remaining.compacted_version = remaining.version
--- a/meadowpulley/ledger/log_generations.py
+++ b/meadowpulley/ledger/log_generations.py
@@ -1,6 +1,8 @@
-"""The generations of the log: numbered files in the ledger's folder, each begun with a header and a state.
+"""The generations of the log: numbered files in the ledger's folder.
 
-A generation is written to a draft and linked into place by whichever process is first; the others find it.
+Each file starts with a header and the state at that point. A process writes a new generation to a draft file
+and then hard-links the draft to the final name. Only the first process to link it succeeds, and all others
+use its file.
 """
 
 from __future__ import annotations
@@ -24,22 +26,22 @@
 
 
 def write_all(fd: int, data: bytes) -> None:
-    """Write `data` by one system call. Raises OSError if the disk has no room for all of it."""
+    """Write `data` with one system call; raise `OSError` if not all of it was written."""
     written = os.write(fd, data)
     if written < len(data):
-        # The kernel reports a full disk as a short write, and as an error only at the next one.
+        # On a full disk the kernel performs a short write, and reports an error only for the next write.
         raise OSError(errno.ENOSPC, f"{written} of {len(data)} bytes written")
 
 
 def generation_file_name(generation: int) -> str:
-    """Return the name of the file of a generation."""
+    """Return the file name of a generation."""
     return f"{GENERATION_PREFIX}{generation:08d}"
 
 
 class GenerationFolder:
     """The files of the log in the ledger's folder.
 
-    `folder_fd` is the descriptor of that folder, `path` its name for messages.
+    `folder_fd` is the file descriptor of that folder; `path` is its path, for messages.
     """
 
     def __init__(self, folder_fd: int, path: str, failpoint: FailpointHook) -> None:
@@ -48,9 +50,9 @@
         self._failpoint = failpoint
 
     def list_generations(self) -> list[int]:
-        """Return the numbers of the generations, rising.
+        """Return the numbers of the generations, in ascending order.
 
-        Raises `LedgerUnusableError` if there is none and the folder holds something else.
+        Raises `LedgerUnusableError` if there is no generation but the folder holds other files.
         """
         names = os.listdir(self._folder_fd)
         generations = sorted(
@@ -58,22 +60,24 @@
         )
         foreign = [name for name in names if not name.startswith(DRAFT_PREFIX) and name != LEASES_FOLDER]
         if foreign and not generations:
-            raise LedgerUnusableError(f"ledger: {self._path} holds '{min(foreign)}': name an empty folder")
+            raise LedgerUnusableError(
+                f"ledger: {self._path} holds '{min(foreign)}' but no ledger: choose an empty folder"
+            )
         return generations
 
     def open(self, generation: int) -> int | None:
-        """Return a descriptor of the file of a generation; None if it is not the newest one any more."""
+        """Open the file of a generation and return its descriptor; None if it is no longer the newest one."""
         try:
             fd = os.open(generation_file_name(generation), os.O_RDWR | os.O_APPEND, dir_fd=self._folder_fd)
         except FileNotFoundError:
             return None
         if self.list_generations()[-1:] != [generation]:
-            os.close(fd)  # a late process has linked it again, or it has just ended
+            os.close(fd)  # it has just ended, or a delayed process has linked it again
             return None
         return fd
 
     def create(self, header: GenerationHeader, state: MemoryStore) -> None:
-        """Put the file of a generation into place, unless another process has."""
+        """Create the file of a generation, unless another process has already created it."""
         draft = f"{DRAFT_PREFIX}{uuid.uuid4().hex}"
         fd = os.open(draft, os.O_CREAT | os.O_EXCL | os.O_WRONLY, 0o600, dir_fd=self._folder_fd)
         try:
@@ -87,14 +91,15 @@
                 os.unlink(draft, dir_fd=self._folder_fd)
 
     def _link(self, draft: str, file_name: str) -> None:
-        # Another process may have linked its own, or removed the draft after the log went on without us.
+        # Another process may have linked its own draft first, or removed this draft after the log had
+        # continued in a later generation.
         with contextlib.suppress(FileExistsError, FileNotFoundError):
             os.link(draft, file_name, src_dir_fd=self._folder_fd, dst_dir_fd=self._folder_fd)
             os.fsync(self._folder_fd)
             self._failpoint("roll.linked")
 
     def remove_before(self, file_name: str) -> None:
-        """Remove the drafts, and the generations before that file."""
+        """Remove all drafts, and the generations that are older than `file_name`."""
         for name in os.listdir(self._folder_fd):
             is_old = name.startswith(GENERATION_PREFIX) and name < file_name
             if is_old or name.startswith(DRAFT_PREFIX):
--- a/meadowpulley/ledger/member_table.py
+++ b/meadowpulley/ledger/member_table.py
@@ -1,4 +1,4 @@
-"""The members of the ledger as one incarnation has read them: their leases, and the ring that they form."""
+"""The members of the ledger as one incarnation last read them: their leases and their ring order."""
 
 from __future__ import annotations
 
@@ -12,34 +12,35 @@
 
 @dataclass(slots=True)
 class ObservedMember:
-    """A member as it was last read."""
+    """A member as it was last read, with the time from which its lease is counted."""
 
     member: Member
     ring_position: int
-    observed_at: float  # when its last renewal was first seen, or when all leases were counted anew
+    observed_at: float  # when its last renewal was first seen, or when it was last given a new term (ms)
     expired: bool = False
 
     def has_state_of(self, member: Member) -> bool:
-        """Return whether `member` is the same incarnation, and fenced or not alike."""
+        """Return whether `member` is the same incarnation with the same `fenced` flag."""
         return self.member.incarnation == member.incarnation and self.member.fenced == member.fenced
 
 
 @dataclass(slots=True)
 class MembershipUpdate:
-    """What a poll has shown of the members."""
+    """The changes of members that a poll found."""
 
-    fenced: list[Member] = field(default_factory=list)  # newly found fenced
+    # Members that this poll found to be fenced and earlier polls did not.
+    fenced: list[Member] = field(default_factory=list)
     membership_changed: bool = False  # whether any member was registered or fenced
-    # Members that have renewed their lease, were registered or were fenced: none of them is to be fenced now.
+    # Names of members that renewed, were registered or were fenced; their scheduled fences are dropped.
     settled_names: list[str] = field(default_factory=list)
 
 
 class MemberTable:
-    """The last incarnation of every name, as the incarnation `own` has read it."""
+    """The last incarnation of every name, as the incarnation `own` last read it."""
 
     def __init__(self, own: Incarnation, timings: LeaseTimings) -> None:
         self.observed: dict[str, ObservedMember] = {}
-        self.ring_names: list[str] = []  # names of members that are not fenced, by their position
+        self.ring_names: list[str] = []  # names of members that are not fenced, in ring order
         self._own = own
         self._timings = timings
 
@@ -49,12 +50,12 @@
         return [observed.member.incarnation for observed in observed_members if not observed.expired]
 
     def own_has_ended(self) -> bool:
-        """Return whether the own incarnation was fenced, or its name registered again."""
+        """Return whether this table's own incarnation was fenced, or its name was registered again."""
         own = self.observed.get(self._own.name)
         return own is not None and (own.member.incarnation != self._own or own.member.fenced)
 
     def predecessors(self, count: int) -> tuple[str, ...]:
-        """Return the names of the last members before the own one on the ring, of all if it is not on it."""
+        """Return the names of the `count` members before `own` on the ring; of all if `own` is not on it."""
         names = tuple(self.ring_names)
         if self._own.name not in names:
             return names
@@ -63,12 +64,12 @@
         return others[-count:]
 
     def restart_leases(self, now: float) -> None:
-        """Give all members a new term from now on."""
+        """Count the leases of all members from `now` on, as if each had just been renewed."""
         for observed in self.observed.values():
             observed.observed_at = now
 
     def update(self, now: float, members: Iterable[Member]) -> MembershipUpdate:
-        """Record members as they were read, and return what that shows."""
+        """Record members as they were read, and return what changed."""
         update = MembershipUpdate()
         for member in members:
             observed = self.observed.get(member.incarnation.name)
@@ -100,7 +101,7 @@
         update.settled_names.append(name)
         previous = observed.member if observed is not None else None
         if previous is not None and not previous.fenced and previous.incarnation != member.incarnation:
-            # Its name was registered again, so the previous incarnation has ended.
+            # The name was registered again, so its previous incarnation has ended.
             update.fenced.append(
                 Member(previous.incarnation, previous.renewal, True, previous.term_ms, member.version)
             )
@@ -119,8 +120,8 @@
     ) -> list[Member]:
         """Return the members whose lease has newly expired, or whose process has ended.
 
-        A lease has expired by a poll that started late enough to have seen a renewal; only the watched
-        members' renewals are read at every poll.
+        A lease has expired if a poll that started after the end of the term saw no renewal. This is checked
+        only for the watched members, since only their renewals are read at every poll.
         """
         expired = list[Member]()
         dead_names = {incarnation.name for incarnation in dead_incarnations}
--- a/meadowpulley/ledger/memory.py
+++ b/meadowpulley/ledger/memory.py
@@ -1,7 +1,7 @@
-"""The ledger in memory, which defines what each transaction does.
+"""The in-memory ledger, which defines what each transaction does.
 
-Scenarios, the emulator and the model checker use it as their store, and the store on a disk applies every
-entry of its log to one of these, so that a transaction means the same in both.
+Scenarios, the emulator and the model checker use it as their store. The on-disk store applies every entry of
+its log to an instance of it, so that a transaction has the same effect in both stores.
 """
 
 from __future__ import annotations
@@ -28,18 +28,21 @@
 )
 
 NO_MEMBER = Member(Incarnation("", 0), renewal=0, fenced=True, term_ms=0.0, version=0)
-MAX_TOMBSTONES = 4096  # removed keys that a reader of an old version is still told one by one
+MAX_TOMBSTONES = 4096  # removed keys to remember; a reader that needs older removals is given a snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class _Conflict:
-    """Why a write failed: the record that it found, if any."""
+    """The conflict that made a write fail, with the record that the write found, if any."""
 
     existing: Record | None = None
 
 
 class _PendingTransaction:
-    """The changes of a transaction, visible to its own later writes, and kept apart until all succeeded."""
+    """The changes of one transaction, which are buffered until all its writes have succeeded.
+
+    Later writes of the transaction see the changes of earlier ones.
+    """
 
     __slots__ = ("changed_members", "members", "records", "store", "version", "writer")
 
@@ -52,7 +55,7 @@
         self.changed_members: list[str] = []
 
     def apply(self, write: Write) -> _Conflict | None:
-        """Apply one write, or return what it conflicts with."""
+        """Apply one write; return the conflict if it fails."""
         if isinstance(write, Create | Replace | Remove | CheckVersion):
             return self._apply_to_record(write)
         if isinstance(write, Fence):
@@ -104,23 +107,24 @@
 
 
 class MemoryStore:
-    """`Store` over plain dictionaries.
+    """A `Store` that keeps everything in dictionaries.
 
-    No clock decides here whether an incarnation is alive: `register` takes a name over at once if its last
-    incarnation was fenced or is one of `dead_incarnations`, and rejects it otherwise.
+    It uses no clock to decide whether an incarnation is alive: `register` accepts a name at once if its last
+    incarnation is fenced or is one of `dead_incarnations`, and rejects the name otherwise.
     """
 
     def __init__(self) -> None:
         self.version = 0
         self.records: dict[str, Record] = {}  # ordered by version
         self.members_by_name: dict[str, Member] = {}
-        # The version at which the last incarnation of a name was registered or fenced, ordered by version.
+        # The version at which the last incarnation of each name was registered or fenced, in this order.
         self.membership_versions: dict[str, int] = {}
-        self.tombstones: dict[str, int] = {}  # removed keys, and the version of their removal
-        self.compacted_version = 0  # removals up to this version are forgotten
-        # Whose process is known to have ended: a backend on one machine knows it, a test sets it.
+        # Removed keys with the version of their removal, ordered by version.
+        self.tombstones: dict[str, int] = {}
+        self.compacted_version = 0  # tombstones of removals up to this version have been dropped
+        # Incarnations whose process is known to have ended: the on-disk backend detects it, a test sets it.
         self.dead_incarnations: set[Incarnation] = set()
-        self.fault = ""  # set by tests: while it is, every call fails with this text
+        self.fault = ""  # set by tests: while it is not empty, every call fails with this message
 
     def _check_fault(self) -> None:
         if self.fault:
@@ -151,7 +155,7 @@
     def commit(
         self, incarnation: Incarnation, transactions: Sequence[Transaction]
     ) -> list[TransactionResult]:
-        """Apply transactions, each by itself; see `Store.commit`."""
+        """Apply each transaction separately; see `Store.commit`."""
         self._check_fault()
         return [self._commit_transaction(incarnation, transaction) for transaction in transactions]
 
@@ -186,7 +190,7 @@
             self.compacted_version = self.tombstones.pop(next(iter(self.tombstones)))
 
     def read(self, key: str) -> Record | None:
-        """Return the record of that key, or None."""
+        """Return the record with that key, or None if there is none."""
         self._check_fault()
         return self.records.get(key)
 
@@ -220,7 +224,8 @@
 
     def _changed_records(self, since_version: int, key_prefixes: tuple[str, ...]) -> tuple[Record, ...]:
         records = list[Record]()
-        for record in reversed(self.records.values()):  # the newest first, so that no old record is read
+        # Iterate from the newest record, so that the loop can stop at the first unchanged one.
+        for record in reversed(self.records.values()):
             if record.version <= since_version:
                 break
             if record.key.startswith(key_prefixes):
@@ -249,16 +254,16 @@
         return tuple(self.members_by_name[name] for name in sorted(names))
 
     def take_skipped_frames(self) -> list[SkippedFrame]:
-        """Return no frames: there is no log in memory."""
+        """Return an empty list: the in-memory store has no log."""
         return []
 
     def close(self) -> None:
-        """Do nothing: there is nothing to release in memory."""
+        """Do nothing: the in-memory store holds no resources."""
 
     def copy(self) -> MemoryStore:
         """Return an independent store with the same content.
 
-        Records and members are immutable, so only the tables are copied.
+        Records and members are immutable, so only the dictionaries and the set are copied.
         """
         duplicate = copy.copy(self)
         duplicate.records = dict(self.records)
--- a/meadowpulley/ledger/messages.py
+++ b/meadowpulley/ledger/messages.py
@@ -1,6 +1,6 @@
-"""The messages between a stage and its gateway: a stage does no I/O, and asks the ledger by actions.
+"""The messages between stages and the ledger.
 
-Its answers and what changed in it come back as events.
+A stage does no I/O. It sends requests to the ledger as actions, and receives answers and changes as events.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 class Commit:
     """Action: commit these transactions, in order, in the next batch; answered by one `CommitCompleted`."""
 
-    ticket: int  # a number of the stage's own, which the answer repeats
+    ticket: int  # a number that the stage chooses; the `CommitCompleted` repeats it
     transactions: tuple[Transaction, ...]
-    owner: str = ""  # tells the stages apart
+    owner: str = ""  # identifies the stage, since stages choose their tickets independently
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScanCompleted:
-    """Event: the records of one `Scan`, sorted by key; None if the ledger did not answer."""
+    """Event: the records of one `Scan`, sorted by key, or None if the ledger could not answer."""
 
     ticket: int
     records: tuple[Record, ...] | None
@@ -50,30 +50,31 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """Action: report the renewals of these members from the next poll on; None: of all members."""
+    """Action: from the next poll on, read the renewals of the named members (None: of all members)."""
 
     names: tuple[str, ...] | None
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerChanged:
-    """Event: what changed in the ledger, in the order of versions.
+    """Event: the changes in the ledger since the last poll, in order of version.
 
-    Sent after each poll, also when nothing changed: a missing renewal means something only if the poll
-    started late enough.
+    It is sent after each poll, even if nothing changed: a poll that started after the end of a lease and
+    found no renewal shows that the lease has expired.
     """
 
     changes: Changes
-    poll_started_ms: float | None = None  # by this gateway's clock; None: just now
+    poll_started_ms: float | None = None  # time on this gateway's clock; None: the present time
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseExpired:
-    """Event: the leases of these members expired by this gateway's clock, or they were fenced (`fenced`).
+    """Event: these members' leases expired by this gateway's clock, or the members were fenced.
 
-    A member that is not fenced yet may still renew its lease: what it owned is free once it is fenced. Each
-    is reported once as fenced; the first poll reports those that were fenced before, too, but no earlier
-    incarnations of a name that was registered again since: a stage scans its records once at the start.
+    A member whose `fenced` is False may still renew its lease, so others may take over what it owned only
+    once it is fenced. Each member is reported once as fenced. The first poll also reports members that were
+    fenced earlier, but not older incarnations of a name that was registered again since; to find the records
+    of those, a stage scans all its records once at startup.
     """
 
     members: tuple[Member, ...]
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerUnavailable:
-    """Event: the ledger does not answer. What rests on the own lease ends when that lease does."""
+    """Event: the ledger does not answer. The gateway may act on its lease only until the lease ends."""
 
     reason: str
 
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Event: this incarnation was fenced by another. Nothing that rests on the ledger may be started."""
+    """Event: another incarnation fenced this one. Nothing that depends on the ledger may be started."""
 
 
 LedgerAction: TypeAlias = Commit | Scan | WatchRequest
@@ -106,7 +107,7 @@
     | LedgerRecovered
     | Fenced
 )
-# For `isinstance`: the policy handles none of these.
+# All ledger events, for `isinstance` checks; the policy handles none of them.
 LEDGER_EVENTS = (
     LedgerChanged,
     CommitCompleted,
--- a/meadowpulley/ledger/model.py
+++ b/meadowpulley/ledger/model.py
@@ -1,6 +1,6 @@
-"""The model of the ledger in one place: its records, transactions, messages, errors and backend interface.
+"""Re-exports of the ledger's records, transactions, messages, errors and backend interface.
 
-Each name is defined in the module that it is imported from here.
+Nothing is defined in this module.
 """
 
 from meadowpulley.ledger.errors import (
--- a/meadowpulley/ledger/pending_work.py
+++ b/meadowpulley/ledger/pending_work.py
@@ -1,4 +1,4 @@
-"""What the stages of a gateway have asked of the ledger, and no job has taken yet."""
+"""Commits and scans that the stages of a gateway requested and that no job has started yet."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 
 @dataclass(slots=True)
 class UnansweredWork:
-    """Work that is given up: its commits are answered as unknown, its scans without records."""
+    """Abandoned work: its commits are answered with the outcome UNKNOWN, its scans without records."""
 
     completions: list[CommitCompleted] = field(default_factory=list)
     scans: list[Scan] = field(default_factory=list)
 
 
 class PendingWork:
-    """Commits and scans that wait for the next job."""
+    """The queue of commits and scans that wait for the next job."""
 
     def __init__(self) -> None:
         self.commits = CommitQueue()
         self.scans = list[Scan]()
 
     def take_scans(self) -> tuple[Scan, ...]:
-        """Remove and return all scans, in the order in which they were asked for."""
+        """Remove and return all scans, in the order in which they were requested."""
         scans = tuple(self.scans)
         self.scans = []
         return scans
 
     def give_up(self, running_job: LedgerJob | None) -> UnansweredWork:
-        """Remove everything that waits for an answer, in the order in which it was asked for.
+        """Remove and return all work that waits for an answer, in the order in which it was requested.
 
-        The running job, unless it was given up before, comes first, and its result will be ignored.
+        The work of the running job comes first, unless the job has already been abandoned. The job is marked
+        as timed out, so that its result is ignored.
         """
         unanswered = UnansweredWork()
         if running_job is not None and not running_job.timed_out:
--- a/meadowpulley/ledger/poll_cursor.py
+++ b/meadowpulley/ledger/poll_cursor.py
@@ -1,4 +1,4 @@
-"""What the next poll of the ledger reads: from which version, which keys, and which members."""
+"""The parameters of the next poll of the ledger: the version to read from, the keys and the members."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class PollCursor:
-    """The state between two polls.
+    """The state that is kept between two polls.
 
-    `get_prefixes` returns the prefixes of the keys that the stages watch now; when they change, the next poll
+    `get_prefixes` returns the key prefixes that the stages watch at present. When they change, the next poll
     reads a snapshot.
     """
 
     def __init__(self) -> None:
         self.get_prefixes: Callable[[], tuple[str, ...]] = tuple
-        self.version = 0  # of the ledger, up to which its changes were dispatched
+        self.version = 0  # the version of the ledger up to which changes were dispatched; 0: read a snapshot
         self.watched_names: tuple[str, ...] | None = ()
         self._prefixes: tuple[str, ...] = ()
 
     def refresh_prefixes(self) -> None:
-        """Ask for the prefixes anew."""
+        """Update the prefixes; if they changed, make the next poll read a snapshot."""
         prefixes = self.get_prefixes()
         if prefixes != self._prefixes:
             self._prefixes = prefixes
             self.version = 0
 
     def request(self) -> PollRequest:
-        """Return what a poll reads now."""
+        """Return the parameters for a poll that starts now."""
         return PollRequest(self.version, self._prefixes, self.watched_names)
--- a/meadowpulley/ledger/records.py
+++ b/meadowpulley/ledger/records.py
@@ -1,12 +1,12 @@
-"""What the ledger holds: incarnations with their leases, and records.
+"""The contents of the ledger: incarnations with their leases, and records.
 
-The ledger maps keys to records. Every write gives its record the ledger's next version, counted over all
-keys. Keys are paths without a leading slash.
+The ledger maps keys to records. Every write gives its record the next version of the ledger; one version
+counter covers all keys. Keys are paths without a leading slash.
 
-Clocks are never compared between processes. The holder of a lease renews it, and stops acting on it a
-fraction of the term after it *started* its last successful renewal; the others count the lease as expired a
-whole term and a margin after they first *saw* that renewal, each by its own clock (Gray and Cheriton 1989).
-Times are milliseconds.
+Clocks are never compared between processes. The holder of a lease renews it, and stops acting on it once a
+fraction of the term has passed since it *started* its last successful renewal. Other processes count the
+lease as expired once a whole term and a margin have passed since they first *saw* that renewal. Each process
+uses its own clock (Gray and Cheriton 1989). Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 class Incarnation:
     """One run of one gateway, from its start to its end.
 
-    `epoch` starts at 1, rises with every start under that name, and is never given twice.
+    `epoch` is 1 for the first run under a name, increases with every further run, and is never reused.
     """
 
     name: str
     epoch: int
 
     def __str__(self) -> str:
-        """Return name and epoch, as the log and counters have them."""
+        """Return the name and the epoch in the form used in logs and counters."""
         return f"{self.name}.{self.epoch}"
 
 
@@ -44,21 +44,22 @@
     """The state of an incarnation in the ledger."""
 
     incarnation: Incarnation
-    renewal: int  # how often its lease was renewed; 0 after its registration
+    renewal: int  # the number of renewals of its lease; 0 after registration
     fenced: bool
-    term_ms: float  # of its lease
-    version: int  # of the ledger at its last change
+    term_ms: float  # the term of its lease
+    version: int  # the ledger's version at the last change of this member
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed since a version: records written, keys removed, members that changed."""
+    """The changes since a version: written records, removed keys and changed members."""
 
-    version: int  # to ask from the next time
-    # Everything there is now, since removals after that version are forgotten: what is not in it was removed.
+    version: int  # the version to pass to the next call
+    # Whether this is the complete present content: a key that is missing from it was removed. Snapshots are
+    # used when the requested version is 0, or removals after it are no longer remembered.
     is_snapshot: bool = False
     records: tuple[Record, ...] = ()
     removed_keys: tuple[str, ...] = ()
     members: tuple[Member, ...] = ()
-    # Incarnations that are not fenced yet and whose process is known to have ended.
+    # Incarnations that are not fenced yet although their process is known to have ended.
     dead_incarnations: tuple[Incarnation, ...] = ()
--- a/meadowpulley/ledger/recovery_probe.py
+++ b/meadowpulley/ledger/recovery_probe.py
@@ -1,8 +1,9 @@
-"""How a gateway finds that an unavailable ledger can be written again.
+"""The write probe, by which a gateway detects that an unavailable ledger can be written again.
 
-On a full or read-only disk all reads succeed, so a poll proves nothing by itself. While the ledger is
-unavailable a poll goes together with a write of a frame as long as the one that failed: a frame shorter than
-a block of the file system may still fit the log's last block, and a longer one find no room.
+On a full or read-only disk reads still succeed, so a successful poll does not show that the ledger has
+recovered. While the ledger is unavailable, each poll therefore also writes a frame as long as the one that
+failed. A shorter frame would not do: one that is shorter than a block of the file system may still fit into
+the last block of the log while a longer one finds no space.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class RecoveryProbe:
-    """The length of the frame to write, and when to write it next (ms)."""
+    """The size of the next probe frame in bytes, and the earliest time of the next probe (ms)."""
 
     def __init__(self, interval_ms: float) -> None:
         self.size_bytes = MIN_PROBE_BYTES
@@ -20,21 +21,22 @@
         self._next_at = 0.0
 
     def reset(self) -> None:
-        """Forget the failures, since the ledger has recovered."""
+        """Reset the size and the time of the next probe, since the ledger has recovered."""
         self.size_bytes = MIN_PROBE_BYTES
         self._next_at = 0.0
 
     def record_failed_write(self, size_bytes: int) -> None:
-        """Make the frame as long as a batch that could not be written, within limits."""
+        """Make the probe frame at least as long as a batch that could not be written, up to the maximum."""
         self.size_bytes = max(self.size_bytes, min(size_bytes, MAX_PROBE_BYTES))
 
     def is_due(self, now: float) -> bool:
-        """Return whether it is time to write a frame.
+        """Return whether it is time for the next probe.
 
-        It is not at every poll: a disk that takes a frame and can't make it durable grows the log by it.
+        Probes are less frequent than ordinary polls: if a disk accepts a frame but can't sync it, every probe
+        makes the log longer.
         """
         return now >= self._next_at
 
     def record_start(self, started_at: float) -> None:
-        """Record that a frame is being written."""
+        """Record that a probe was started; the next one is due one interval later."""
         self._next_at = started_at + self._interval_ms
--- a/meadowpulley/ledger/rendezvous.py
+++ b/meadowpulley/ledger/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which incarnation is responsible for a key, found by each process alone."""
+"""Rendezvous hashing, by which each process computes alone which incarnation a key belongs to."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def rendezvous_order(key: str, incarnations: Iterable[Incarnation]) -> list[Incarnation]:
-    """Return the incarnations in the order in which they are responsible for a key.
+    """Return the incarnations in order of their responsibility for a key, the responsible one first.
 
-    Without one of them the order of the others stays the same (Thaler and Ravishankar 1998), so the keys of
-    a lost gateway are spread over all that remain, and no other key moves.
+    If one incarnation is removed, the order of the others stays the same (Thaler and Ravishankar 1998). The
+    keys of a lost gateway are therefore spread over all remaining ones, and no other key moves.
     """
     return sorted(incarnations, key=lambda incarnation: (-weight(key, incarnation), incarnation))
 
 
 def ring_position(incarnation: Incarnation) -> int:
-    """Return the position of an incarnation on the ring on which each watches its predecessors."""
+    """Return the position of an incarnation on the ring, where each incarnation watches its predecessors."""
     return weight(RING_KEY, incarnation)
--- a/meadowpulley/ledger/renewal_watch.py
+++ b/meadowpulley/ledger/renewal_watch.py
@@ -1,9 +1,9 @@
-"""Which members' renewals an incarnation reads.
+"""The choice of the members whose renewals an incarnation reads at every poll.
 
-Each incarnation watches its few predecessors on a ring, so that the renewals which are read grow linearly
-with the fleet. While one of them is expired it watches all members: of any run of lost members on the ring
-the last one stands right before a live one, so that no loss is missed, and the rest of the run is found
-within another term.
+Each incarnation watches a few predecessors on a ring, so the number of renewals that all gateways read grows
+only linearly with the fleet. For some time after a lease expires, the incarnation watches all members. This
+finds every loss: in any run of consecutive lost members on the ring, the last one directly precedes a live
+member, which watches it and then finds the rest of the run within another term.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from meadowpulley.ledger.lease_timings import LeaseTimings
 from meadowpulley.ledger.member_table import MemberTable
 
-WATCH_ALL_EXPIRIES = 2.0  # times the expiry of a lease for which all members are watched after a loss
+WATCH_ALL_EXPIRIES = 2.0  # how long all members are watched after a loss, as a multiple of the lease expiry
 
 
 class RenewalWatch:
@@ -31,7 +31,7 @@
         self._watch_all_until = now + WATCH_ALL_EXPIRIES * self._timings.expiry_ms
 
     def update(self, now: float, membership_changed: bool) -> bool:
-        """Choose the members to watch anew where something changed; return whether they are others now."""
+        """Choose the members to watch again if necessary; return whether the choice changed."""
         watch_all = now < self._watch_all_until
         if not membership_changed and watch_all == self._watches_all:
             return False
--- a/meadowpulley/ledger/shared_log.py
+++ b/meadowpulley/ledger/shared_log.py
@@ -1,9 +1,10 @@
-"""The log of a ledger on a disk: one file that all processes append to and read, in generations.
+"""The log of an on-disk ledger, which all processes append to and read.
 
-No process locks anything. An append is one write at the end of the file, and the kernel puts the writes in
-an order. What becomes of a proposal follows from what stands before it, so every reader applies it alike. A
-log that has grown ends with an `EndEntry`: proposals appended after it are void and are made again in the
-next generation, which begins with the state at the `EndEntry`.
+The log needs no locks. An append is one write at the end of the file, and the kernel puts the writes of all
+processes in order. The result of a proposal depends only on the entries before it, so every reader computes
+the same result. The log is split into generations, one file each. When a generation has grown too large, a
+process appends an `EndEntry`. Proposals after the `EndEntry` have no effect and are appended again to the
+next generation, which starts with the state at the `EndEntry`.
 """
 
 from __future__ import annotations
@@ -37,15 +38,16 @@
 from meadowpulley.ledger.transactions import Transaction, TransactionResult
 
 READ_CHUNK_BYTES = 1 << 20
-MAX_GROWTH_FACTOR = 4  # a generation ends at this many times the size it began with, or at `max_bytes`
-MAX_OPEN_ATTEMPTS = 100  # to open the newest generation while other processes begin newer ones
+# A generation ends when it exceeds both `max_bytes` and this multiple of its initial size.
+MAX_GROWTH_FACTOR = 4
+MAX_OPEN_ATTEMPTS = 100  # opening the newest generation fails if another process has just started a newer one
 
-PROCESS_ID_LENGTH = 12  # of the random part of a proposal's id
+PROCESS_ID_LENGTH = 12  # characters of the random process id in a proposal id
 
 
 @dataclass(slots=True)
 class AppliedProposal:
-    """What became of a proposal: the results of its transactions, or whether it was registered."""
+    """The result of a proposal: its transaction results, or whether its incarnation was registered."""
 
     proposal_id: str
     results: list[TransactionResult] = field(default_factory=list)
@@ -54,42 +56,42 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSettings:
-    """How a process wants the log to be; all processes of an installation agree on `sync`.
+    """A process's settings for the log; `sync` must be the same in all processes of an installation.
 
-    `installation` may be empty: that of an existing log is taken, or a new one is made up. `boot_id` names
-    the present run of the machine.
+    If `installation` is empty, that of the existing log is used, or a random one for a new log. `boot_id`
+    identifies the current boot of the machine.
     """
 
     installation: str
-    sync: bool  # whether acknowledged transactions outlive a crash of the machine
+    sync: bool  # whether acknowledged transactions survive a crash of the machine
     max_bytes: int
     boot_id: str
 
 
 def read_boot_id() -> str:
-    """Return the identifier of the machine's present run."""
+    """Return the kernel's identifier of the current boot of the machine."""
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
 @dataclass(slots=True)
 class _GenerationProgress:
-    """How far the file of one generation was read."""
+    """The progress of reading the file of one generation."""
 
     reader: FrameReader = field(default_factory=FrameReader)
-    state_loaded: bool = False  # whether its first state was read: proposals count only after it
-    ended: bool = False  # whether its `EndEntry` was read: nothing after it counts
+    state_loaded: bool = False  # whether its initial state was read; proposals before it are ignored
+    ended: bool = False  # whether its `EndEntry` was read; entries after it are ignored
     size_bytes: int = 0
-    initial_size_bytes: int = 0  # up to its first state
-    read_error: str = ""  # why nothing more can be read, if so
+    initial_size_bytes: int = 0  # size of the file up to and including the initial state
+    read_error: str = ""  # the error that stopped reading permanently; empty if there was none
 
 
 class SharedLog:
-    """The log, and the state of the ledger at its end.
+    """The log, and the state of the ledger after the last entry that was read.
 
-    `folder_fd` is the descriptor of the ledger's folder, `path` its name for messages.
+    `folder_fd` is the file descriptor of the ledger's folder; `path` is its path, for messages.
 
     Raises:
-        LedgerUnusableError: the folder holds no log of this installation and format.
+        LedgerUnusableError: the folder holds no valid log of this installation, format and `sync` setting.
     """
 
     def __init__(self, folder_fd: int, path: str, settings: LogSettings, failpoint: FailpointHook) -> None:
@@ -99,7 +101,7 @@
         self._folder = GenerationFolder(folder_fd, path, failpoint)
         self._fd = -1
         self.file_name = ""
-        self.skipped_frames: list[SkippedFrame] = []  # not reported yet
+        self.skipped_frames: list[SkippedFrame] = []  # torn frames that were skipped and not reported yet
         self.state = MemoryStore()
         self.header = GenerationHeader("", 0, settings.sync, settings.boot_id)
         self._generation = _GenerationProgress()
@@ -109,12 +111,12 @@
         if self.header.boot_id != settings.boot_id:
             self._end_generation()
 
-    # Generations
+    # Opening and ending generations of the log
 
     def _list_generations(self) -> list[int]:
         generations = self._folder.list_generations()
         if self.header.generation and not generations:
-            raise LedgerError(f"ledger: {self._path} was emptied: start all gateways anew")
+            raise LedgerError(f"ledger: {self._path} was emptied: restart all gateways")
         return generations
 
     def _open_newest(self) -> None:
@@ -128,7 +130,9 @@
             if fd is not None:
                 self._read_generation(fd, generation_file_name(generations[-1]))
                 return
-        raise LedgerError(f"ledger: {self._path}: its generations change too fast to follow")
+        raise LedgerError(
+            f"ledger: {self._path}: could not open the newest log file: it was replaced at every attempt"
+        )
 
     def _create_first(self) -> None:
         installation = self._settings.installation or uuid.uuid4().hex
@@ -144,9 +148,9 @@
             self.read_new_entries()
             if not self._generation.state_loaded:
                 raise LedgerUnusableError(
-                    f"ledger: {self._path}/{file_name} holds no ledger: name another folder"
+                    f"ledger: {self._path}/{file_name} holds no ledger: choose another folder"
                 )
-        except BaseException:  # whatever interrupts the reading, the descriptor is not leaked
+        except BaseException:  # close the descriptor whatever interrupts the reading
             self.close()
             raise
 
@@ -157,7 +161,7 @@
         self._open_next_generation()
 
     def _open_next_generation(self) -> None:
-        """Continue in the next generation; create it if no other process has."""
+        """Switch to the next generation; create it if no other process has done so."""
         state = state_after_machine_crash(self.state) if self._lost_by_machine_crash() else self.state
         header = GenerationHeader(
             self.header.installation,
@@ -172,20 +176,20 @@
         self._folder.remove_before(self.file_name)
 
     def _lost_by_machine_crash(self) -> bool:
-        """Return whether the machine has started again since a log that was not made durable."""
+        """Return whether the log was written without `sync` and the machine has rebooted since."""
         return not self.header.sync and self.header.boot_id != self._settings.boot_id
 
-    # Proposals
+    # Appending proposals
 
     def register(self, incarnation: Incarnation, term_ms: float) -> bool:
-        """Propose a new incarnation, always durably; return whether it was registered."""
+        """Propose a new incarnation, and always sync it to disk; return whether it was registered."""
         entry = RegisterEntry(incarnation, self._next_proposal_id(), term_ms)
         return self._propose(entry, sync=True).registered
 
     def commit(
         self, incarnation: Incarnation, transactions: Sequence[Transaction]
     ) -> list[TransactionResult]:
-        """Propose transactions, as durably as the installation wants it; return their results."""
+        """Propose transactions, synced to disk if `sync` is set; return their results."""
         entry = CommitEntry(incarnation, self._next_proposal_id(), tuple(transactions))
         return self._propose(entry, sync=self._settings.sync).results
 
@@ -194,7 +198,7 @@
         return f"{self._process_id}.{self._proposal_count}"
 
     def _propose(self, entry: Proposal, sync: bool) -> AppliedProposal:
-        """Append an entry, again in each next generation, until it was met at its place in the log."""
+        """Append an entry and return its result; repeat in the next generation if this one has ended."""
         data = encode_frame(encode(entry))
         while True:
             self._append(data, sync)
@@ -205,7 +209,7 @@
                 return applied
             if not self._generation.ended:
                 raise LedgerError(
-                    f"ledger: {self._path}/{self.file_name} has lost an entry: put a new one there"
+                    f"ledger: {self._path}/{self.file_name} has lost an entry: create a new ledger"
                 )
             self._open_next_generation()
 
@@ -221,15 +225,15 @@
         limit = max(self._settings.max_bytes, MAX_GROWTH_FACTOR * self._generation.initial_size_bytes)
         if self._generation.ended or self._generation.size_bytes <= limit:
             return
-        with contextlib.suppress(OSError):  # the proposal has succeeded; the next one reports the error
+        with contextlib.suppress(OSError):  # the proposal has succeeded; the next call reports the error
             self._end_generation()
 
-    # Entries
+    # Reading and applying entries
 
     def read_new_entries(self, proposal_id: str = "") -> AppliedProposal | None:
-        """Apply what was appended since the last call.
+        """Apply the entries that were appended since the last call.
 
-        Returns what became of the proposal with that id, or None if it was not met.
+        Return the result of the proposal with the given id, or None if it was not among them.
         """
         own: AppliedProposal | None = None
         if self._generation.read_error:
@@ -239,17 +243,17 @@
                 for applied in self._apply_chunk(data):
                     if proposal_id and applied.proposal_id == proposal_id:
                         own = applied
-            except Exception as error:  # any failure: nothing after a frame that could not be read may count
+            except Exception as error:  # after any failed frame, later frames must not be applied
                 self._generation.read_error = str(error)
                 raise
             self._generation.size_bytes = self._generation.reader.offset
         return own
 
     def _apply_chunk(self, data: bytes) -> Iterator[AppliedProposal]:
-        """Apply the frames that end in `data`, up to the end of the generation; yield the proposals."""
+        """Apply the frames that end in `data`, up to the `EndEntry`; yield the results of proposals."""
         for frame in self._generation.reader.feed(data):
             if self._generation.ended:
-                continue  # the reader still counts its bytes
+                continue  # the loop continues so that the reader counts the remaining bytes
             applied = self._apply_frame(frame)
             if applied is not None:
                 yield applied
@@ -258,15 +262,15 @@
         return os.pread(self._fd, READ_CHUNK_BYTES, self._generation.reader.offset)
 
     def catch_up(self) -> None:
-        """Apply what was appended since the last call, through newer generations too."""
+        """Apply all entries that were appended since the last call, including those in newer generations."""
         self.read_new_entries()
         while self._generation.ended:
             self._open_next_generation()
         if os.fstat(self._fd).st_nlink == 0:
-            self.read_new_entries()  # a generation is removed only after it has ended
+            self.read_new_entries()  # processes remove a generation only after it has ended
             if not self._generation.ended:
                 raise LedgerError(
-                    f"ledger: {self._path}/{self.file_name} was removed: put it back and start again"
+                    f"ledger: {self._path}/{self.file_name} was removed: restore it and restart the gateway"
                 )
             self.catch_up()
 
@@ -278,7 +282,7 @@
             entry = decode(frame.payload)
         except ValueError as error:
             raise LedgerUnusableError(
-                f"ledger: {self._location(frame.start)}: {error}: name another folder"
+                f"ledger: {self._location(frame.start)}: {error}: choose another folder"
             ) from None
         if isinstance(entry, GenerationHeader):
             self._check_header(entry)
@@ -301,30 +305,33 @@
         return AppliedProposal(entry.proposal_id, apply_commit(self.state, entry))
 
     def _skip_corrupt_frame(self, reason: CorruptFrame, offset: int) -> None:
-        """Skip a torn frame; a damaged one is tolerated only where nothing was to outlive the machine."""
+        """Skip a torn frame; reject a damaged one, except after a machine crash without `sync`.
+
+        In that case nothing had to survive, so the damaged frame ends the generation.
+        """
         if reason is CorruptFrame.TORN:
             self.skipped_frames.append(SkippedFrame(self.file_name, offset))
         elif self._generation.state_loaded and self._lost_by_machine_crash():
             self._generation.ended = True
         else:
             raise LedgerUnusableError(
-                f"ledger: {self._location(offset)}: damaged: put it aside and start with an empty folder"
+                f"ledger: {self._location(offset)}: damaged: set it aside and restart with an empty folder"
             )
 
     def _check_header(self, header: GenerationHeader) -> None:
         expected = self._settings.installation or self.header.installation or header.installation
         if header.installation != expected:
             mismatch = f"is of installation {header.installation}, not {expected}"
-            raise LedgerUnusableError(f"ledger: {self._path} {mismatch}: name the right folder")
+            raise LedgerUnusableError(f"ledger: {self._path} {mismatch}: configure the right folder")
         if header.sync != self._settings.sync:
             sync_mode = "with" if header.sync else "without"
             raise LedgerUnusableError(
-                f"ledger: {self._path} was made {sync_mode} SYNC: set it alike in all gateways"
+                f"ledger: {self._path} was created {sync_mode} SYNC: use the same setting in all gateways"
             )
         self.header = header
 
     def close(self) -> None:
-        """Close the file of the log."""
+        """Close the file of the present generation."""
         if self._fd >= 0:
             os.close(self._fd)
         self._fd = -1
--- a/meadowpulley/ledger/stage.py
+++ b/meadowpulley/ledger/stage.py
@@ -1,7 +1,8 @@
-"""The stages of a gateway: the parts of the chain between its sockets and its policy.
+"""The interface of stages, the links of the chain between a gateway's sockets and its policy.
 
-A stage wraps the next one. It handles an event by itself, or passes it on and may change the actions that
-come back. What rests on the ledger is a stage inside the lease manager.
+Each stage wraps the next one. It handles an event itself, or passes the event to the next stage and may
+change the actions that the next stage returns. Every feature that uses the ledger is a stage inside the lease
+manager.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 
 class Stage(Protocol):
-    """Any stage of the chain.
+    """A stage of the chain.
 
-    Some packages add events and actions of their own, which stages that do not know them pass on. Those
-    packages are built on this one, so the types stay open here.
+    The types of events and actions are `Any`, because packages that depend on this one define further events
+    and actions. A stage passes on those that it does not know.
     """
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Return the actions that follow from an event; `now` is in milliseconds."""
+        """Return the actions in response to an event; `now` is in milliseconds."""
--- a/meadowpulley/ledger/store.py
+++ b/meadowpulley/ledger/store.py
@@ -1,4 +1,4 @@
-"""The interface of a backend of the ledger."""
+"""The interface that every ledger backend implements."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SkippedFrame:
-    """Where in the log a torn frame was skipped: a write that was cut short, and never answered."""
+    """The place of a skipped torn frame: a truncated write that was never acknowledged."""
 
     file_name: str
-    offset: int  # of its first byte
+    offset: int  # the file offset of its first byte
 
 
 @runtime_checkable
 class Store(Protocol):
-    """A backend of the ledger. Its calls may block: a reactor calls them from a thread.
+    """A ledger backend. Its calls may block, so they must not run in the reactor thread.
 
-    Every call raises `LedgerError` when the backend fails; a transaction of the failed call is UNKNOWN.
+    Every call raises `LedgerError` if the backend fails; its transactions then have the outcome UNKNOWN.
     """
 
     def register(self, name: str, term_ms: float) -> Incarnation:
-        """Register a new incarnation of that name, with the next epoch.
+        """Register a new incarnation under `name`, with the next epoch and a lease of `term_ms`.
 
         Raises `LedgerUnusableError` while an earlier incarnation of the name is alive.
         """
@@ -34,13 +34,13 @@
     def commit(
         self, incarnation: Incarnation, transactions: Sequence[Transaction]
     ) -> list[TransactionResult]:
-        """Apply transactions in order, each by itself, and make them durable together.
+        """Apply transactions in order, each separately, and make them durable together.
 
-        Returns one result for each of them.
+        Return one result for each transaction.
         """
 
     def read(self, key: str) -> Record | None:
-        """Return the record of that key, or None if there is none."""
+        """Return the record with that key, or None if there is none."""
 
     def scan(self, prefix: str) -> list[Record]:
         """Return the records whose keys start with `prefix`, sorted by key."""
@@ -51,11 +51,12 @@
     def changes(
         self, after_version: int, prefixes: Sequence[str] = ("",), watched_names: Sequence[str] | None = None
     ) -> Changes:
-        """Return what changed after a version, without waiting; 0 asks for a snapshot.
+        """Return the changes after a version, without waiting for any; version 0 requests a snapshot.
 
-        Records are those whose keys start with one of `prefixes`. Members come whatever the prefixes: all
-        that changed, or, where `watched_names` are given, those that were registered or fenced, and the
-        watched ones as they are now. So the renewals that a fleet reads grow linearly with it.
+        Records are included if their key starts with one of `prefixes`. Members are included regardless of
+        the prefixes. If `watched_names` is None, they are all changed members. Otherwise they are the members
+        that were registered or fenced, and the present state of the watched members. Watching a few members
+        each keeps the number of renewals that a fleet reads linear in its size.
         """
 
     def take_skipped_frames(self) -> list[SkippedFrame]:
--- a/meadowpulley/ledger/transactions.py
+++ b/meadowpulley/ledger/transactions.py
@@ -1,9 +1,9 @@
-"""Transactions, the only way in which the ledger changes, and their results.
+"""Transactions, which are the only way to change the ledger besides registration, and their results.
 
-A transaction is a few writes that are applied together or not at all: if one of them finds that its record
-has changed, the whole transaction fails and changes nothing. Each transaction is committed by an incarnation
-of a gateway, and an incarnation that was fenced can commit nothing more, so a gateway that was stopped for a
-while finds out at its next transaction, before it acts on it.
+A transaction is a sequence of writes that are applied together or not at all: if one write finds that its
+record has changed, the whole transaction fails and changes nothing. Each transaction is committed by an
+incarnation of a gateway, and a fenced incarnation can commit nothing more. A gateway that was stopped for a
+while therefore learns at its next transaction that it was fenced, before it acts on the result.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Create:
-    """Create a record; conflicts if the key exists."""
+    """Create a record; conflict if the key exists."""
 
     key: str
     value: bytes
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replace:
-    """Replace a record; conflicts unless it exists with this version."""
+    """Replace a record; conflict unless it exists with this version."""
 
     key: str
     value: bytes
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Remove:
-    """Remove a record; conflicts unless it exists with this version."""
+    """Remove a record; conflict unless it exists with this version."""
 
     key: str
     version: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckVersion:
-    """Write nothing; conflicts unless the record has this version (0: unless there is no record)."""
+    """Write nothing; conflict unless the record has this version (0: unless there is no record)."""
 
     key: str
     version: int
@@ -51,10 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """End another incarnation: from now on it can commit nothing.
+    """End another incarnation, which can commit nothing from then on.
 
-    Succeeds for exactly one caller, and never for that incarnation itself. `renewal` is the number of the
-    last renewal that the caller saw: an incarnation that has renewed its lease since is not fenced.
+    A fence succeeds for exactly one caller, and never for the fenced incarnation itself. `renewal` is the
+    last renewal number that the caller saw; if the incarnation has renewed its lease since, the fence
+    conflicts.
     """
 
     incarnation: Incarnation
@@ -63,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLease:
-    """End the incarnation that commits this, as `Fence` does, after the earlier writes of the transaction."""
+    """End the committing incarnation, as `Fence` does, after the earlier writes of the transaction."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewLease:
-    """Renew the lease of the incarnation that commits this: its renewal number rises by one.
+    """Renew the lease of the committing incarnation, whose renewal number increases by one.
 
     It must be the only write of its transaction.
     """
@@ -85,18 +86,18 @@
 
 
 def check_writes(transaction: Transaction) -> None:
-    """Check that a renewal is the only write of its transaction. Raises `InvalidTransactionError`."""
+    """Raise `InvalidTransactionError` if a transaction combines a renewal with other writes."""
     if RenewLease() in transaction.writes and len(transaction.writes) > 1:
         raise InvalidTransactionError("RenewLease must be the only write of its transaction")
 
 
 class TransactionOutcome(Enum):
-    """How a transaction ended. The values are the suffixes of the counters `ledger.*`."""
+    """The outcome of a transaction. The values are the suffixes of the counters `ledger.*`."""
 
     COMMITTED = "won"
-    CONFLICT = "lost"  # a record was not as the transaction expected: nothing was changed
-    FENCED = "sealed"  # the incarnation that committed it has ended: nothing was changed
-    UNKNOWN = "unknown"  # no answer, or none in time: it may have been applied, or may yet be
+    CONFLICT = "lost"  # a write conflicted with the present state, so nothing was changed
+    FENCED = "sealed"  # the committing incarnation has ended, so nothing was changed
+    UNKNOWN = "unknown"  # no answer in time: the transaction may have been applied, or may still be applied
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,6 +105,6 @@
     """The outcome of one transaction, with the cause of a conflict."""
 
     outcome: TransactionOutcome
-    version: int = 0  # of the ledger after it, where it was committed
-    failed_write_index: int = -1  # which of its writes conflicted
-    existing: Record | None = None  # the record which that write found, if any
+    version: int = 0  # the ledger's version after the transaction, if it was committed
+    failed_write_index: int = -1  # index of the write that conflicted; -1 if none did
+    existing: Record | None = None  # the record that the conflicting write found, if any
--- a/tests/processes/test_ledger.py
+++ b/tests/processes/test_ledger.py
@@ -188,7 +188,7 @@
     assert [full.call("begin"), other.call("begin")] == [1, 1]
     full.call("limit_file_size", (tmp_path / "log.00000001").stat().st_size + 700)
     full.send("count", 10)
-    assert "see to that disk" in full.receive()["error"]
+    assert "check that disk" in full.receive()["error"]
     assert other.call("count", 5) == ["won"] * 5
     store = DiskStore(str(tmp_path))
     assert store.take_skipped_frames()
--- a/tests/test_ledger_client.py
+++ b/tests/test_ledger_client.py
@@ -190,7 +190,7 @@
     the ledger used again when there is space.
     """
     fixture = ClientFixture()
-    fixture.store.fault = "ledger: /l: No space left on device: see to that disk"
+    fixture.store.fault = "ledger: /l: No space left on device: check that disk"
     for ticket in range(50):
         fixture.commit(ticket, f"x/{ticket}")
         fixture.client.scan(Scan(ticket, "x/", "t"))
@@ -234,7 +234,7 @@
             s for s in transactions if RenewLease() not in s.writes
         )  # a renewal is a rename, and writes nothing to the log
         if logged and len(encode(CommitEntry(incarnation, "", logged))) > free_bytes:
-            raise LedgerError("ledger: /l: No space left on device: see to that disk")
+            raise LedgerError("ledger: /l: No space left on device: check that disk")
         return real(fixture.store, incarnation, transactions)
 
     fixture.runner.paused = slow_poll
--- a/tests/test_ledger_disk.py
+++ b/tests/test_ledger_disk.py
@@ -173,7 +173,7 @@
         is TransactionOutcome.COMMITTED
     )
     for _ in range(2):
-        with pytest.raises(LedgerError, match="see to that disk"):
+        with pytest.raises(LedgerError, match="check that disk"):
             store.commit(incarnation, [Transaction((Create("l", b""),))])
     store = DiskStore(str(tmp_path), sync=True)
     record = store.read("l")
