--- a/meadowpulley/ledger/client.py
+++ b/meadowpulley/ledger/client.py
@@ -127,7 +127,9 @@
 
     def _wrapped(self) -> LeaseManager:
         if self.lease_manager is None:
-            raise LedgerError(f"ledger: {self.incarnation} has no lease manager: call `wrap` first")
+            raise LedgerError(
+                f"ledger: {self.incarnation} has no lease manager round its stages: call `wrap` first"
+            )
         return self.lease_manager
 
     def close(self) -> None:
@@ -181,7 +183,7 @@
         now = self._gateway.deadlines.now()
         if self._has_job_timed_out(now):
             self._handle_failure(
-                f"ledger: {self._settings.folder}: no response within {self._settings.timeout_ms:g} ms"
+                f"ledger: {self._settings.folder}: no answer within {self._settings.timeout_ms:g} ms"
             )
         self._poll_due = not self.unavailable or self._probe.is_due(now)
         self._start_job()
--- a/meadowpulley/ledger/disk.py
+++ b/meadowpulley/ledger/disk.py
@@ -64,7 +64,7 @@
             self._folder_fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         except OSError as error:
             raise LedgerUnusableError(
-                f"ledger: {path}: {error.strerror}: create that folder, or configure another one"
+                f"ledger: {path}: {error.strerror}: make sure that this folder exists, or name another"
             ) from None
         try:
             with self._os_errors_translated():
@@ -110,14 +110,14 @@
     def _check_folder(self) -> None:
         if not os.path.samestat(os.stat(self._path), os.fstat(self._folder_fd)):
             raise LedgerError(
-                f"ledger: {self._path} is another folder now: restore it, or restart the gateway"
+                f"ledger: {self._path} is another folder now: put it back, or start the gateway again"
             )
 
     def register(self, name: str, term_ms: float) -> Incarnation:
         """Register a new incarnation; see `Store.register`."""
         if not VALID_NAME.fullmatch(name):
             raise LedgerUnusableError(
-                f"ledger: the name '{name}' must be 1 to 64 of letters, digits, '_', '-', '.', not '.' first"
+                f"ledger: the name '{name}' may have none but A-Z, a-z, 0-9, '_', '-', '.' (not first)"
             )
         with self._caught_up():
             previous = self._log.state.members_by_name.get(name)
@@ -128,7 +128,7 @@
                 )
             if not self._log.register(incarnation, term_ms):
                 raise LedgerUnusableError(
-                    f"ledger: the name '{name}' was registered meanwhile: choose another"
+                    f"ledger: the name '{name}' was taken by another process: choose another"
                 )
             self._failpoint("begin.begun")
         return incarnation
--- a/meadowpulley/ledger/log_generations.py
+++ b/meadowpulley/ledger/log_generations.py
@@ -61,7 +61,7 @@
         foreign = [name for name in names if not name.startswith(DRAFT_PREFIX) and name != LEASES_FOLDER]
         if foreign and not generations:
             raise LedgerUnusableError(
-                f"ledger: {self._path} holds '{min(foreign)}' but no ledger: choose an empty folder"
+                f"ledger: {self._path} holds '{min(foreign)}' but no ledger: name an empty folder"
             )
         return generations
 
--- a/meadowpulley/ledger/shared_log.py
+++ b/meadowpulley/ledger/shared_log.py
@@ -116,7 +116,7 @@
     def _list_generations(self) -> list[int]:
         generations = self._folder.list_generations()
         if self.header.generation and not generations:
-            raise LedgerError(f"ledger: {self._path} was emptied: restart all gateways")
+            raise LedgerError(f"ledger: {self._path} was emptied: start all gateways again")
         return generations
 
     def _open_newest(self) -> None:
@@ -130,9 +130,7 @@
             if fd is not None:
                 self._read_generation(fd, generation_file_name(generations[-1]))
                 return
-        raise LedgerError(
-            f"ledger: {self._path}: could not open the newest log file: it was replaced at every attempt"
-        )
+        raise LedgerError(f"ledger: {self._path}: its generations change too fast for this process to follow")
 
     def _create_first(self) -> None:
         installation = self._settings.installation or uuid.uuid4().hex
@@ -148,7 +146,7 @@
             self.read_new_entries()
             if not self._generation.state_loaded:
                 raise LedgerUnusableError(
-                    f"ledger: {self._path}/{file_name} holds no ledger: choose another folder"
+                    f"ledger: {self._path}/{file_name} holds no ledger: name another folder"
                 )
         except BaseException:  # close the descriptor whatever interrupts the reading
             self.close()
@@ -270,7 +268,7 @@
             self.read_new_entries()  # processes remove a generation only after it has ended
             if not self._generation.ended:
                 raise LedgerError(
-                    f"ledger: {self._path}/{self.file_name} was removed: restore it and restart the gateway"
+                    f"ledger: {self._path}/{self.file_name} was removed: put it back and start again"
                 )
             self.catch_up()
 
@@ -282,7 +280,7 @@
             entry = decode(frame.payload)
         except ValueError as error:
             raise LedgerUnusableError(
-                f"ledger: {self._location(frame.start)}: {error}: choose another folder"
+                f"ledger: {self._location(frame.start)}: {error}: name another folder"
             ) from None
         if isinstance(entry, GenerationHeader):
             self._check_header(entry)
@@ -315,14 +313,14 @@
             self._generation.ended = True
         else:
             raise LedgerUnusableError(
-                f"ledger: {self._location(offset)}: damaged: set it aside and restart with an empty folder"
+                f"ledger: {self._location(offset)}: damaged: move it away and start with an empty folder"
             )
 
     def _check_header(self, header: GenerationHeader) -> None:
         expected = self._settings.installation or self.header.installation or header.installation
         if header.installation != expected:
             mismatch = f"is of installation {header.installation}, not {expected}"
-            raise LedgerUnusableError(f"ledger: {self._path} {mismatch}: configure the right folder")
+            raise LedgerUnusableError(f"ledger: {self._path} {mismatch}: name the right folder")
         if header.sync != self._settings.sync:
             sync_mode = "with" if header.sync else "without"
             raise LedgerUnusableError(
--- a/tests/processes/ledger_worker.py
+++ b/tests/processes/ledger_worker.py
@@ -1,4 +1,4 @@
-"""One process on a ledger: reads calls as JSON lists, one a line, and answers each by a JSON line."""
+"""A process that uses a ledger: it reads calls as lines of JSON lists, and answers each with a JSON line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LedgerWorker:
-    """An incarnation, and the calls that a test makes on it."""
+    """An incarnation with the operations that a test can call."""
 
     def __init__(self, folder: str, name: str, max_log_bytes: int, sync: bool) -> None:
         failpoint = parse_failpoints(os.environ.get(FAILPOINTS_VARIABLE, ""))
@@ -23,18 +23,22 @@
         self.incarnation = self.store.register(name, 1000.0)
 
     def claim(self, first: int, last: int, batch_size: int) -> list[int]:
-        """Claim a range of numbers; return those that were granted."""
-        won = []
+        """Try to create a record for each number of a range; return the numbers whose record was created."""
+        claimed = []
         for start in range(first, last, batch_size):
             claims = range(start, min(start + batch_size, last))
             results = self.store.commit(
                 self.incarnation, [Transaction((Create(f"claim/{n}", b""),)) for n in claims]
             )
-            won += [n for n, d in zip(claims, results, strict=True) if d.outcome.value == "won"]
-        return won
+            claimed += [n for n, d in zip(claims, results, strict=True) if d.outcome.value == "won"]
+        return claimed
 
     def count(self, times: int) -> list[str]:
-        """Add to an own counter and to a common one, whose value must be known; return the outcomes."""
+        """Increment the shared counter and create an own record in one transaction, repeatedly.
+
+        Each transaction conflicts if another process has changed the counter since it was read. Return the
+        outcomes.
+        """
         outcomes = []
         for _ in range(times):
             record = self.store.read("common")
--- a/tests/processes/test_ledger.py
+++ b/tests/processes/test_ledger.py
@@ -1,4 +1,7 @@
-"""Processes on one ledger, stopped or killed at every failpoint: no other waits, and nothing is corrupted."""
+"""Tests of processes that share a ledger and are stopped or killed at every failpoint.
+
+No other process may have to wait, and nothing may be corrupted.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 from meadowpulley.ledger.failpoints import FAILPOINT_NAMES, FAILPOINTS_VARIABLE
 from meadowpulley.ledger.log_entries import encode
 
-SMALL_LOG_BYTES = 6_000  # bytes after which a log ends
+SMALL_LOG_BYTES = 6_000  # size of the log above which a new generation starts
 
 
 class WorkerProcess:
@@ -54,7 +57,7 @@
         return self.receive()
 
     def wait_for(self, action: str) -> None:
-        """Wait until the process has killed or stopped itself."""
+        """Wait until the process is stopped (`action` "stop") or killed."""
         _, status = os.waitpid(self.process.pid, os.WUNTRACED)
         assert os.WIFSTOPPED(status) if action == "stop" else os.WIFSIGNALED(status)
 
@@ -88,12 +91,12 @@
     ids=["one generation", "many generations", "many generations with sync"],
 )
 def test_each_claim_has_one_winner(tmp_path: Path, start: Start, max_log_bytes: int, sync: bool) -> None:
-    """Eight processes claim the same thousand numbers at once. Each number must go to exactly one of them."""
+    """Eight processes claim the same thousand numbers at once. Exactly one process must get each number."""
     workers = [start(f"n{n}", max_log_bytes, sync) for n in range(8)]
-    assert [racer.call("begin") for racer in workers] == [1] * 8
-    for n, racer in enumerate(workers):
-        racer.send("claim", 0, 1000, 1 + 3 * n)
-    winners = Counter(n for racer in workers for n in racer.receive())
+    assert [worker.call("begin") for worker in workers] == [1] * 8
+    for n, worker in enumerate(workers):
+        worker.send("claim", 0, 1000, 1 + 3 * n)
+    winners = Counter(n for worker in workers for n in worker.receive())
     assert winners == Counter(range(1000))
     store = DiskStore(str(tmp_path), sync=sync)
     assert len(store.scan("claim/")) == 1000
@@ -102,7 +105,8 @@
     assert len(generations) == 1
 
 
-# What a process does until its failpoint: `count` continues through several generations of the log.
+# The call that leads a process to its failpoint. All other failpoints are reached by `count`, which goes on
+# through several generations of the log.
 COMMANDS_BY_FAILPOINT = {"renew.renamed": ("renew",), "seal.renamed": ("fence", "prey", 1, 0)}
 
 
@@ -111,11 +115,11 @@
 def test_a_process_lost_at_any_failpoint_blocks_nobody(
     tmp_path: Path, start: Start, failpoint: str, action: str
 ) -> None:
-    """A process is killed or stopped in the middle of an operation. The others continue and fence it, and
-    what it does when it wakes changes nothing.
+    """A process is killed or stopped in the middle of an operation. Other processes must be able to
+    continue and to fence it, and nothing that it does after it resumes may have an effect.
     """
     store = DiskStore(str(tmp_path), sync=True, max_log_bytes=SMALL_LOG_BYTES)
-    survivor, prey = store.register("me", 1000.0), store.register("prey", 1000.0)
+    survivor, target = store.register("me", 1000.0), store.register("prey", 1000.0)
     victim = start(
         "victim",
         SMALL_LOG_BYTES,
@@ -126,12 +130,14 @@
         assert victim.call("begin") == 1
     victim.send(*COMMANDS_BY_FAILPOINT.get(failpoint, ("count", 200)))
     victim.wait_for(action)
-    # The others continue, through new generations, while it is lost, ...
+    # Other processes continue through new generations while the victim is lost.
     for n in range(40):
         (result,) = store.commit(survivor, [Transaction((Create(f"k{n}", b"x" * 200),))])
         assert result.outcome is TransactionOutcome.COMMITTED
-    # ... fence the incarnation that it was about to fence, and its own, ...
-    assert store.commit(survivor, [Transaction((Fence(prey, 0),))])[0].outcome is TransactionOutcome.COMMITTED
+    # They fence the incarnation that the victim was about to fence, and the victim itself.
+    assert (
+        store.commit(survivor, [Transaction((Fence(target, 0),))])[0].outcome is TransactionOutcome.COMMITTED
+    )
     members = {m.incarnation.name: m for m in store.members()}
     if "victim" in members:
         result = store.commit(
@@ -144,18 +150,18 @@
         victim.process.send_signal(signal.SIGCONT)
         answer = victim.receive()
         if failpoint == "seal.renamed":
-            assert answer == "sealed"  # the other's move made it; this one came too late
+            assert answer == "sealed"  # the survivor has fenced the target and the victim meanwhile
         elif failpoint == "begin.locked":
-            assert "won" in answer  # it begins only now, and sealed it was not
+            assert "won" in answer  # it registers only after it resumes, so it was not fenced
             return
         elif isinstance(answer, list):
-            # What it asked for after it woke changed nothing; what it had been told as won is there.
+            # Its transactions after the resumption changed nothing; those reported as committed are present.
             assert answer[-1] == "sealed"
             assert answer.count("won") == len(store.scan("victim.1/"))
         assert victim.call("count", 1) == ["sealed"]
         assert victim.call("renew") == "sealed"
     assert {r.key: r for r in store.scan("")} == before
-    # ... and a process that opens the ledger anew has the same state.
+    # A process that opens the ledger now reads the same state.
     reopened = DiskStore(str(tmp_path), sync=True)
     assert reopened.members() == store.members()
     assert encode(reopened._log.state) == encode(store._log.state)
@@ -164,8 +170,8 @@
 
 
 def test_a_name_belongs_to_one_live_process(tmp_path: Path, start: Start) -> None:
-    """A second process wants the name of one that lives, or stands still. It gets it only after that has
-    ended.
+    """A second process registers the name of a process that runs or is stopped. It may get the name only
+    after the first process has ended.
     """
     first, second = start("n"), start("n")
     assert first.call("begin") == 1
@@ -176,14 +182,16 @@
     store = DiskStore(str(tmp_path))
     assert not store.changes(0).dead_incarnations
     first.kill()
-    assert [str(life) for life in store.changes(0).dead_incarnations] == ["n.1"]
+    assert [str(incarnation) for incarnation in store.changes(0).dead_incarnations] == ["n.1"]
     assert second.call("begin") == 2
     assert second.call("renew") == "won"
     assert not store.changes(0).dead_incarnations
 
 
 def test_a_full_disk_stops_only_the_process_it_affects(tmp_path: Path, start: Start) -> None:
-    """One process may write no more, and tears a frame. The others commit on, and skip the torn frame."""
+    """One process reaches its file size limit and leaves a torn frame. Other processes must skip that
+    frame and continue to commit.
+    """
     full, other = start("full"), start("other")
     assert [full.call("begin"), other.call("begin")] == [1, 1]
     full.call("limit_file_size", (tmp_path / "log.00000001").stat().st_size + 700)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The lease manager: renewals, expiry and fencing, on clocks of their own in virtual time."""
+"""Tests of the lease manager in virtual time, where each gateway has its own clock."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class EventRecorder:
-    """The stage inside: it records the events that it receives."""
+    """The inner stage, which records the events that it receives."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -47,7 +47,7 @@
 
 
 class Gateway:
-    """A lease manager that polls a store in memory, on a clock with any offset and up to 1% drift."""
+    """A lease manager that polls an in-memory store; its clock has a random offset and up to 1% drift."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.inner = fleet, EventRecorder()
@@ -58,14 +58,14 @@
         self.members_read = self.version = 0
         self.watched_names: tuple[str, ...] | None = ()
         self.lease_manager = LeaseManager(fleet.store.register(name, TIMINGS.term_ms), TIMINGS, self.inner)
-        self.carry_out(self.lease_manager.start(self.now()))
+        self.run_actions(self.lease_manager.start(self.now()))
         fleet.call_later(fleet.random.uniform(0.0, POLL_MS), self.poll)
 
     def now(self) -> float:
         return self.offset + self.fleet.time * self.rate
 
     def dispatch(self, event: Any) -> None:
-        self.carry_out(self.lease_manager.handle(self.now(), event))
+        self.run_actions(self.lease_manager.handle(self.now(), event))
 
     def is_awake(self, retry: Any) -> bool:
         if self.stopped:
@@ -89,12 +89,12 @@
         self.fleet.call_later(ANSWER_MS, lambda: self.finish_poll(LedgerChanged(changes, poll_started)))
 
     def finish_poll(self, event: LedgerChanged) -> None:
-        """A watch request made since the poll started applies from the next poll on."""
+        """Dispatch the result of a poll. Watch requests made since it started apply from the next poll on."""
         if self.is_awake(lambda: self.finish_poll(event)):
             self.dispatch(event)
             self.fleet.call_later(POLL_MS - ANSWER_MS, self.poll)
 
-    def carry_out(self, actions: list[Any]) -> None:
+    def run_actions(self, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, WatchRequest):
                 self.watched_names = action.names
@@ -144,8 +144,8 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_no_lease_expires_while_all_gateways_live(seed: int) -> None:
-    """Clocks drift by up to 1% and polls take time, but nobody fails: no lease may expire by anybody's
-    clock.
+    """Although clocks drift by up to 1% and polls take time, no gateway may
+    see a lease expire while all gateways run.
     """
     fleet = Fleet(12, seed)
     fleet.run(20_000.0)
@@ -162,8 +162,8 @@
 def test_each_lost_incarnation_is_fenced_once_and_all_are_notified(
     gateway_count: int, killed_count: int
 ) -> None:
-    """Up to seven of ten gateways are killed at once. The others must find each of them, in spite of lost
-    neighbours, without a fence too many and without losing a lease themselves.
+    """Up to seven of ten gateways are killed at once, so that whole runs of neighbours on the ring are
+    lost. The survivors must fence each lost gateway exactly once, and must not lose their own leases.
     """
     fleet = Fleet(gateway_count, gateway_count)
     fleet.run(3_000.0)
@@ -173,10 +173,10 @@
         gateway.killed = True
     for _ in range(40):
         fleet.run(100.0)
-        # No survivor loses its lease meanwhile.
+        # No survivor loses its lease while the lost ones are fenced.
         for g in survivors:
             assert g.lease_manager.holds_lease(g.now())
-    # Found within two terms and the backoff between the others.
+    # All losses are found within two terms and the backoff between the survivors.
     assert sorted(s for g in survivors for s in g.fenced_incarnations) == sorted(
         g.lease_manager.incarnation for g in lost
     )
@@ -186,7 +186,8 @@
             if isinstance(event, LeaseExpired):
                 fenced.update(member.incarnation for member in event.members if member.fenced)
         assert fenced == {g.lease_manager.incarnation for g in lost}
-    assert fleet.fences == killed_count  # each waits for those before it, so no fence fails
+    # The survivors try to fence one after the other, so no fence is attempted twice.
+    assert fleet.fences == killed_count
 
 
 def test_membership_reads_grow_linearly_with_the_fleet() -> None:
@@ -201,8 +202,8 @@
 
 
 def test_a_stopped_gateway_is_fenced_before_it_holds_its_lease_again() -> None:
-    """A gateway stands still for five terms, and wakes. It must find out that it was fenced before it
-    acts.
+    """A gateway is suspended for five terms and resumes. It must learn that it was fenced before it acts
+    on its old lease.
     """
     fleet = Fleet(4, 3)
     fleet.run(2_000.0)
@@ -220,7 +221,7 @@
 
 
 def test_a_suspended_machine_expires_no_lease_on_resume() -> None:
-    """The whole machine sleeps for a minute. When it wakes, no gateway may count the others as expired."""
+    """The whole machine sleeps for a minute. After it resumes, no gateway may treat another as expired."""
     fleet = Fleet(6, 4)
     fleet.run(2_000.0)
     for gateway in fleet.gateways:
@@ -235,12 +236,12 @@
 
 
 def test_a_recovered_ledger_fences_nobody() -> None:
-    """The ledger was away for less than half a term. Nobody could renew, so all leases are counted anew."""
+    """The ledger fails for less than half a term. No gateway could renew, so each lease gets a new term."""
     fleet = Fleet(5, 5)
     fleet.run(2_000.0)
     for gateway in fleet.gateways:
         gateway.stopped = True
-    fleet.run(400.0)  # short enough that this alone resets no lease
+    fleet.run(400.0)  # shorter than the poll gap that would reset the leases by itself
     for gateway in fleet.gateways:
         gateway.stopped, gateway.missed_calls = False, []
         before = {n: s.observed_at for n, s in gateway.lease_manager.observed_members.items()}
@@ -250,12 +251,12 @@
 
 
 def test_no_incarnation_holds_a_lease_that_another_counts_as_expired() -> None:
-    """A gateway is cut off from the ledger. Its own lease must end before any other counts it as expired."""
+    """A gateway can't reach the ledger. Its own lease must end before any other gateway sees it expire."""
     for seed in range(40):
         fleet = Fleet(5, seed)
         fleet.run(2_000.0)
         partitioned = fleet.gateways[0]
-        partitioned.is_awake = lambda retry: False  # type: ignore[method-assign]  # it learns nothing more
+        partitioned.is_awake = lambda retry: False  # type: ignore[method-assign]  # no more events arrive
         while not fleet.events(LeaseExpired):
             holds_lease = partitioned.lease_manager.holds_lease(partitioned.now())
             fleet.run(1.0)
@@ -263,8 +264,8 @@
 
 
 def test_a_dead_process_is_fenced_without_waiting_for_its_lease() -> None:
-    """A process is killed, and the kernel has released its lock. It is fenced long before its lease
-    expires.
+    """A process is killed and the kernel releases its lock. Other gateways must fence its incarnation at
+    once, long before the lease expires.
     """
     fleet = Fleet(5, 6)
     fleet.run(2_000.0)
@@ -277,20 +278,20 @@
 def test_graceful_shutdown_releases_the_lease_at_once() -> None:
     fleet = Fleet(4, 7)
     fleet.run(2_000.0)
-    leaver = fleet.gateways[1]
-    leaver.carry_out(leaver.lease_manager.release_lease())
+    leaving = fleet.gateways[1]
+    leaving.run_actions(leaving.lease_manager.release_lease())
     fleet.run(2 * POLL_MS)
     assert fleet.store.members_by_name["n1"].fenced
-    assert not [e for e in leaver.inner.events if isinstance(e, Fenced)]
+    assert not [e for e in leaving.inner.events if isinstance(e, Fenced)]
     assert all(
-        any(isinstance(e, LeaseExpired) for e in g.inner.events) for g in fleet.gateways if g is not leaver
+        any(isinstance(e, LeaseExpired) for e in g.inner.events) for g in fleet.gateways if g is not leaving
     )
 
 
 def test_a_key_moves_only_if_its_incarnation_is_lost() -> None:
-    """One of twenty gateways is lost: its keys go to the next in the order, and no other key moves."""
+    """One of twenty gateways is lost. Its keys must move to the next gateway, and no other key may move."""
     incarnations = [Incarnation(f"n{n}", 1) for n in range(20)]
-    key_counts = {life: 0 for life in incarnations}
+    key_counts = {incarnation: 0 for incarnation in incarnations}
     for n in range(2_000):
         order = rendezvous_order(f"k{n}", incarnations)
         key_counts[order[0]] += 1
@@ -299,7 +300,7 @@
     assert max(key_counts.values()) < 150
 
 
-def test_batches_keep_their_bounds_and_complete_each_commit() -> None:
+def test_batches_stay_within_limits_and_complete_each_commit() -> None:
     queue = CommitQueue(max_transactions=3, max_bytes=2_000)
     small, big = Transaction((Create("k", b"v"),)), Transaction((Create("k", bytes(1_500)),))
     commits = [
--- a/tests/test_ledger_client.py
+++ b/tests/test_ledger_client.py
@@ -1,4 +1,4 @@
-"""The ledger at a gateway: batches by turn, time-outs, and faults reported once."""
+"""Tests of the ledger client: one batch per reactor turn, timeouts, and faults that are reported once."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class LogRecorder:
-    """A log that keeps the names and the fields of events."""
+    """A log that records the names and the fields of events."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -58,7 +58,7 @@
 
 
 class FakeGateway:
-    """A gateway's clock, log and counters, and the events that were dispatched to it."""
+    """A gateway with a clock, a log and counters, which records the events that are dispatched to it."""
 
     def __init__(self) -> None:
         self.deadlines, self.log, self.counters = self, LogRecorder(), Counters()
@@ -88,7 +88,7 @@
         self.handlers[kind] = handler
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Record an event as the stages inside."""
+        """Record an event in place of the inner stages."""
         self.forwarded_events.append(event)
         return []
 
@@ -104,7 +104,7 @@
 
 
 class ManualRunner:
-    """A background runner whose jobs run when the test wants."""
+    """A background runner that holds its jobs back while `paused` is set."""
 
     def __init__(self) -> None:
         self.jobs: list[tuple[Callable[[], JobResult], Callable[[JobResult], None]]] = []
@@ -121,7 +121,7 @@
             on_result(job())
 
     def close(self, timeout_ms: float) -> bool:
-        """Run the jobs without their results, as after the reactor has stopped."""
+        """Run the jobs but deliver no results, as happens after the reactor has stopped."""
         for job, _ in self.jobs:
             job()
         return True
@@ -159,7 +159,7 @@
         batch_sizes.append(len(transactions))
         return real_commit(incarnation, transactions)
 
-    fixture.store.commit = count_and_commit  # type: ignore[method-assign]  # a spy
+    fixture.store.commit = count_and_commit  # type: ignore[method-assign]  # records batch sizes
     fixture.commit(1, "x/1", "x/2")
     fixture.commit(2, "x/1")
     fixture.client.scan(Scan(3, "x/", "t"))
@@ -182,12 +182,12 @@
     fixture.gateway.run(100.0)
     snapshots = [c.changes for c in fixture.gateway.events_of(LedgerChanged) if c.changes.is_snapshot]
     assert [r.key for r in snapshots[-1].records] == ["x/2", "y/1"]
-    assert len(snapshots) == 2  # the first poll's, and this
+    assert len(snapshots) == 2  # one from the first poll, and one after the change of prefixes
 
 
 def test_a_ledger_failure_is_reported_once_and_the_gateway_serves_on() -> None:
-    """The disk is full for five seconds. Every commit and scan must be answered at once, one line logged, and
-    the ledger used again when there is space.
+    """The disk is full for five seconds. Every commit and scan must be answered at once, the failure must be
+    logged only once, and the ledger must be used again when there is space.
     """
     fixture = ClientFixture()
     fixture.store.fault = "ledger: /l: No space left on device: check that disk"
@@ -215,8 +215,9 @@
     assert fixture.gateway.events_of(CommitCompleted)[-1].results[0].outcome is TransactionOutcome.COMMITTED
 
 
-# Which writes a full disk rejects while all polls succeed: those of more than so many bytes; and whether the
-# ledger became unavailable by a slow poll that returned once the disk was full, and not by such a write.
+# Each case has two values. The first is the size in bytes above which a full disk rejects writes, although
+# all polls succeed. The second says whether the ledger became unavailable because of a slow poll, which
+# returned once the disk was full, and not because of a rejected write.
 FULL_DISK_CASES = {"every write": (0, False), "long writes": (2_000, False), "after a slow poll": (0, True)}
 
 
@@ -224,15 +225,14 @@
 def test_a_read_only_ledger_stays_unavailable(
     monkeypatch: pytest.MonkeyPatch, free_bytes: int, slow_poll: bool
 ) -> None:
-    """A full or read-only disk rejects writes while all polls succeed. The ledger must not count as recovered
-    until a frame as long as the one that failed can be written.
+    """A full or read-only disk rejects writes although all polls succeed. The ledger must count as recovered
+    only after a frame as long as the one that failed was written.
     """
     fixture, real = ClientFixture(), MemoryStore.commit
 
     def commit_to_full_disk(incarnation: Any, transactions: Any) -> Any:
-        logged = tuple(
-            s for s in transactions if RenewLease() not in s.writes
-        )  # a renewal is a rename, and writes nothing to the log
+        # A renewal is a rename and writes nothing to the log.
+        logged = tuple(s for s in transactions if RenewLease() not in s.writes)
         if logged and len(encode(CommitEntry(incarnation, "", logged))) > free_bytes:
             raise LedgerError("ledger: /l: No space left on device: check that disk")
         return real(fixture.store, incarnation, transactions)
@@ -258,8 +258,8 @@
 
 
 def test_a_hanging_disk_times_out_and_its_late_result_is_ignored() -> None:
-    """The disk hangs. What waits is answered as unknown within the time-out, and the late result changes
-    nothing.
+    """The disk hangs. Waiting commits must be answered as UNKNOWN within the timeout, and the late result
+    must change nothing.
     """
     fixture = ClientFixture()
     fixture.runner.paused = True
@@ -288,12 +288,12 @@
 
 
 def test_commits_at_close_are_written_after_a_running_poll() -> None:
-    """The process ends while a poll is running. What the stages have committed must still be written."""
+    """The process ends while a poll is running. The queued commits of the stages must still be written."""
     fixture = ClientFixture()
     fixture.runner.paused = True
     fixture.gateway.run(100.0)
     assert fixture.runner.jobs
-    for ticket in range(MAX_BATCH_TRANSACTIONS + 2):  # more than go into one group
+    for ticket in range(MAX_BATCH_TRANSACTIONS + 2):  # more transactions than fit into one batch
         fixture.commit(ticket, f"x/{ticket}")
     fixture.client.release_lease()
     fixture.client.close()
@@ -302,7 +302,7 @@
 
 
 def test_a_fenced_gateway_is_notified_once_and_stops_using_the_ledger() -> None:
-    """Another gateway fences this one. It must be told once, log it once, and commit nothing more."""
+    """Another gateway fences this one. It must dispatch and log that once, and commit nothing more."""
     fixture = ClientFixture()
     renewal = fixture.store.members_by_name["n"].renewal
     fixture.store.commit(fixture.other, [Transaction((Fence(fixture.client.incarnation, renewal),))])
@@ -318,22 +318,22 @@
     assert fixture.gateway.forwarded_events.count(Fenced()) == 1
 
 
-def test_a_torn_frame_is_logged_with_its_place() -> None:
-    """A process died while it wrote to the log. The next reader skips the torn frame and says where it is."""
+def test_a_torn_frame_is_logged_with_file_and_offset() -> None:
+    """A process died during a write to the log. The reader must skip the torn frame and log its location."""
     fixture = ClientFixture()
     skipped = [SkippedFrame("log.00000001", 99)]
 
     def take_skipped_frames() -> list[SkippedFrame]:
         return [skipped.pop()] if skipped else []
 
-    fixture.store.take_skipped_frames = take_skipped_frames  # type: ignore[method-assign]  # a stub
+    fixture.store.take_skipped_frames = take_skipped_frames  # type: ignore[method-assign]  # a test double
     fixture.gateway.run(200.0)
     assert fixture.gateway.log.events == ["ledger_log_frame_skipped"]
     assert fixture.gateway.log.fields == [{"folder": "/l", "file": "log.00000001", "offset": 99}]
 
 
 def test_graceful_shutdown_releases_the_lease_silently() -> None:
-    """A gateway ends its own incarnation. That is no failure: nothing may be logged as one."""
+    """A gateway ends its own incarnation. That is not a failure, so nothing may be logged."""
     fixture = ClientFixture()
     fixture.commit(1, "x/last")
     fixture.client.release_lease()
@@ -347,12 +347,12 @@
     def __init__(self) -> None:
         self.calls: Any = __import__("queue").Queue()
 
-    def callFromThread(self, *call: Any) -> None:  # noqa: N802  # Twisted's name
+    def callFromThread(self, *call: Any) -> None:  # noqa: N802  # the method name is defined by Twisted
         self.calls.put(call)
 
 
-def test_a_gateway_rejects_a_second_one_of_its_name(tmp_path: Path) -> None:
-    """Two gateways are started under one name. The second must not start, nor disturb the first."""
+def test_a_second_gateway_with_the_same_name_is_rejected(tmp_path: Path) -> None:
+    """Two gateways are started with the same name. The second must fail to start and not affect the first."""
     gateway, reactor = FakeGateway(), FakeReactor()
     environ = {"MEADOWPULLEY_LEDGER": str(tmp_path)}
     assert start_ledger(gateway, "n", {}, reactor) is None
@@ -363,7 +363,7 @@
         start_ledger(gateway, "n", environ, reactor)
     client.wrap(gateway, tuple)
     client.start()
-    call, *arguments = reactor.calls.get(timeout=30)  # from the thread, for the reactor's turn
+    call, *arguments = reactor.calls.get(timeout=30)  # queued by the worker thread for the reactor thread
     call(*arguments)
     assert gateway.events_of(LedgerChanged)
     assert gateway.events_of(CommitCompleted, "keeper")[0].results[0].outcome is TransactionOutcome.COMMITTED
--- a/tests/test_ledger_contract.py
+++ b/tests/test_ledger_contract.py
@@ -1,4 +1,4 @@
-"""The contract of every backend of the ledger, as one table of cases."""
+"""Tests of the contract that every ledger backend fulfils; most of them are one table of cases."""
 
 from __future__ import annotations
 
@@ -41,12 +41,16 @@
     return DiskStore(str(folder))
 
 
-def rolling(folder: Path) -> Store:
-    """A store whose log begins a new generation after every few entries."""
+def on_disk_with_small_generations(folder: Path) -> Store:
+    """Return a store whose log starts a new generation after every few entries."""
     return DiskStore(str(folder), sync=True, max_log_bytes=1)
 
 
-BACKENDS: dict[str, Callable[[Path], Store]] = {"memory": in_memory, "disk": on_disk, "rolling": rolling}
+BACKENDS: dict[str, Callable[[Path], Store]] = {
+    "memory": in_memory,
+    "disk": on_disk,
+    "small generations": on_disk_with_small_generations,
+}
 
 
 @pytest.fixture(params=sorted(BACKENDS))
@@ -62,37 +66,57 @@
     return result
 
 
-# The writes before, the transaction under test, its outcome and the index of the failed write; `v` is the
-# version of "k".
+# Each case has the writes that are committed first, the writes of the transaction under test, its outcome,
+# and the index of the write that fails (-1: none). `v` is the version of the record "k", 0 if there is none.
 Case = tuple[list[Write], Callable[[int], tuple[Write, ...]], TransactionOutcome, int]
 CASES: dict[str, Case] = {
-    "create an absent one": ([], lambda v: (Create("k", b"1"),), COMMITTED, -1),
-    "create one that is there": ([Create("k", b"0")], lambda v: (Create("k", b"1"),), CONFLICT, 0),
-    "replace it unchanged": ([Create("k", b"0")], lambda v: (Replace("k", b"1", v),), COMMITTED, -1),
-    "replace it changed": ([Create("k", b"0")], lambda v: (Replace("k", b"1", v - 1),), CONFLICT, 0),
-    "replace an absent one": ([], lambda v: (Replace("k", b"1", 0),), CONFLICT, 0),
-    "remove it unchanged": ([Create("k", b"0")], lambda v: (Remove("k", v),), COMMITTED, -1),
-    "remove it changed": ([Create("k", b"0")], lambda v: (Remove("k", v + 1),), CONFLICT, 0),
-    "remove an absent one": ([], lambda v: (Remove("k", 0),), CONFLICT, 0),
-    "unchanged and there": ([Create("k", b"0")], lambda v: (CheckVersion("k", v),), COMMITTED, -1),
-    "unchanged and absent": ([], lambda v: (CheckVersion("k", 0),), COMMITTED, -1),
-    "unchanged but changed": ([Create("k", b"0")], lambda v: (CheckVersion("k", 0),), CONFLICT, 0),
-    "all together": (
+    "create an absent record": ([], lambda v: (Create("k", b"1"),), COMMITTED, -1),
+    "create an existing record": ([Create("k", b"0")], lambda v: (Create("k", b"1"),), CONFLICT, 0),
+    "replace with the current version": (
+        [Create("k", b"0")],
+        lambda v: (Replace("k", b"1", v),),
+        COMMITTED,
+        -1,
+    ),
+    "replace with an old version": ([Create("k", b"0")], lambda v: (Replace("k", b"1", v - 1),), CONFLICT, 0),
+    "replace an absent record": ([], lambda v: (Replace("k", b"1", 0),), CONFLICT, 0),
+    "remove with the current version": ([Create("k", b"0")], lambda v: (Remove("k", v),), COMMITTED, -1),
+    "remove with another version": ([Create("k", b"0")], lambda v: (Remove("k", v + 1),), CONFLICT, 0),
+    "remove an absent record": ([], lambda v: (Remove("k", 0),), CONFLICT, 0),
+    "check the current version": ([Create("k", b"0")], lambda v: (CheckVersion("k", v),), COMMITTED, -1),
+    "check that a record is absent": ([], lambda v: (CheckVersion("k", 0),), COMMITTED, -1),
+    "check that an existing record is absent": (
+        [Create("k", b"0")],
+        lambda v: (CheckVersion("k", 0),),
+        CONFLICT,
+        0,
+    ),
+    "two writes that succeed": (
         [Create("k", b"0")],
         lambda v: (Replace("k", b"1", v), Create("l", b"2")),
         COMMITTED,
         -1,
     ),
-    "or none": ([Create("k", b"0")], lambda v: (Create("l", b"2"), Create("k", b"1")), CONFLICT, 1),
+    "two writes of which one conflicts": (
+        [Create("k", b"0")],
+        lambda v: (Create("l", b"2"), Create("k", b"1")),
+        CONFLICT,
+        1,
+    ),
     "create twice in one transaction": ([], lambda v: (Create("l", b"1"), Create("l", b"2")), CONFLICT, 1),
-    "removed and made anew": (
+    "remove and create again": (
         [Create("k", b"0")],
         lambda v: (Remove("k", v), Create("k", b"1")),
         COMMITTED,
         -1,
     ),
-    "fence another": ([], lambda v: (Fence(Incarnation("b", 1), 0), Create("l", b"1")), COMMITTED, -1),
-    "fence one that has renewed": (
+    "fence another incarnation": (
+        [],
+        lambda v: (Fence(Incarnation("b", 1), 0), Create("l", b"1")),
+        COMMITTED,
+        -1,
+    ),
+    "fence an incarnation that has renewed": (
         [],
         lambda v: (Create("l", b"1"), Fence(Incarnation("b", 1), 1)),
         CONFLICT,
@@ -113,7 +137,7 @@
         COMMITTED,
         -1,
     ),
-    "release the lease but conflict": (
+    "release the lease after a conflict": (
         [Create("k", b"0")],
         lambda v: (Create("k", b"1"), ReleaseLease()),
         CONFLICT,
@@ -166,7 +190,7 @@
 
 
 def test_a_fenced_incarnation_commits_nothing(store: Store) -> None:
-    """A gateway was fenced while it slept. Whatever it tries when it wakes must change nothing."""
+    """A gateway is fenced while it is suspended. After it resumes, none of its commits may have an effect."""
     a, b = store.register("a", 1000.0), store.register("b", 1000.0)
     transactions = [
         Transaction((Create("first", b""),)),
@@ -176,17 +200,16 @@
     assert [d.outcome for d in store.commit(a, transactions)] == [COMMITTED, COMMITTED, COMMITTED]
     for write in (Create("k", b""), CheckVersion("first", 0), RenewLease(), Fence(a, 0), ReleaseLease()):
         assert commit_one(store, b, write).outcome is FENCED
-    assert commit_one(store, a, Fence(b, 0)).outcome is CONFLICT  # exactly once
-    assert (
-        commit_one(store, Incarnation("c", 1), Create("k", b"")).outcome is FENCED
-    )  # an incarnation that was never registered
+    assert commit_one(store, a, Fence(b, 0)).outcome is CONFLICT  # an incarnation is fenced only once
+    # An incarnation that was never registered is treated as fenced.
+    assert commit_one(store, Incarnation("c", 1), Create("k", b"")).outcome is FENCED
     assert [r.key for r in store.scan("")] == ["first", "last"]
     assert commit_one(store, a, ReleaseLease()).outcome is COMMITTED
     assert commit_one(store, a, RenewLease()).outcome is FENCED
 
 
 def test_epochs_rise_and_a_live_name_is_rejected(store: Store) -> None:
-    """A name is registered again and again. A living holder keeps it, and no epoch is given twice."""
+    """A name is registered repeatedly. A live incarnation must keep its name, and no epoch may be reused."""
     a, b = store.register("a", 1000.0), store.register("b", 1000.0)
     with pytest.raises(LedgerUnusableError, match="'b'"):
         store.register("b", 1000.0)
@@ -221,7 +244,8 @@
     assert [m.incarnation.name for m in store.changes(version).members] == list("abcd")
     unchanged = store.changes(changes.version, ("x/",), ("b",))
     assert (unchanged.version, unchanged.records, unchanged.removed_keys) == (changes.version, (), ())
-    assert [m.incarnation.name for m in unchanged.members] == ["b"]  # as they stand, every time
+    # The state of a watched member is returned by every call, even without a change.
+    assert [m.incarnation.name for m in unchanged.members] == ["b"]
     snapshot = store.changes(0, ("y/",), ())
     assert snapshot.is_snapshot
     assert len(snapshot.records) == 4
@@ -229,7 +253,7 @@
 
 
 def test_tombstones_are_kept_up_to_a_limit(store: Store) -> None:
-    """More keys are removed than tombstones are kept. A reader from before must be given a snapshot."""
+    """More keys are removed than tombstones are kept. A reader of an older version must get a snapshot."""
     a = store.register("a", 1000.0)
     first_version = commit_one(store, a, Create("kept", b"")).version
     key_count = 5_000
--- a/tests/test_ledger_disk.py
+++ b/tests/test_ledger_disk.py
@@ -1,4 +1,4 @@
-"""The ledger on a disk: damaged logs, and what outlives a crash of a process or of the machine."""
+"""Tests of the on-disk ledger: damaged logs, and which data survives a crash of a process or the machine."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
     return store, incarnation
 
 
-def test_a_torn_frame_at_the_end_is_skipped_wherever_it_was_cut(tmp_path: Path) -> None:
-    """A process dies while it appends. Wherever its frame was cut short, readers skip it and later frames
-    count.
+def test_a_torn_frame_at_the_end_is_skipped_wherever_it_was_truncated(tmp_path: Path) -> None:
+    """A process dies during an append. Wherever its frame was truncated, readers must skip it and apply later
+    frames.
     """
     store, incarnation = create_filled_store(tmp_path / "whole")
     before, data = encode(store._log.state), (tmp_path / "whole" / LOG).read_bytes()
@@ -54,25 +54,27 @@
         (folder / LOG).write_bytes(data + frame[:cut])
         reopened = DiskStore(str(folder))
         assert encode(reopened._log.state) == (after if cut == len(frame) else before)
-        assert reopened.register("b", 1.0) == Incarnation("b", 1)  # the next frame ends the torn one
-        frame_complete = cut >= len(frame) - 1  # only its last byte was missing
+        # The line end of the next frame terminates the torn one.
+        assert reopened.register("b", 1.0) == Incarnation("b", 1)
+        # Without its last byte, a line end, the frame is complete: the next frame starts with a line end.
+        frame_complete = cut >= len(frame) - 1
         assert (reopened.read("last") is not None) == frame_complete
         is_torn = cut > 1 and not frame_complete
-        torn_frame = SkippedFrame(LOG, offset=len(data) + 1)  # after the line end that begins the frame
+        torn_frame = SkippedFrame(LOG, offset=len(data) + 1)  # after the line end that starts the frame
         assert reopened.take_skipped_frames() == ([torn_frame] if is_torn else [])
-        assert reopened.take_skipped_frames() == [], "each is reported once"
+        assert reopened.take_skipped_frames() == [], "a skipped frame is reported only once"
         reopened.close()
 
 
 def test_damage_before_the_end_is_rejected(tmp_path: Path) -> None:
-    """A bit of the log flips. No record may be taken from such a log, and nothing in it may be changed."""
+    """A bit of the log flips. Such a log must be rejected as a whole, and the file must not be changed."""
     create_filled_store(tmp_path / "whole")
     data, generator = (tmp_path / "whole" / LOG).read_bytes(), random.Random(1)
-    end = data[:-1].rindex(b"\n")  # where the last frame begins
+    end = data[:-1].rindex(b"\n")  # the offset at which the last frame starts
     for n in range(300):
         offset, bit = generator.randrange(1, end - 1), 1 << generator.randrange(8)
         if data[offset - 1 : offset + 1] == b"\n\n" or data[offset : offset + 2] == b"\n\n":
-            continue  # between two frames one line end is enough
+            continue  # damage to one of the two line ends between frames loses nothing
         damaged = data[:offset] + bytes([data[offset] ^ bit]) + data[offset + 1 :]
         folder = tmp_path / str(n)
         folder.mkdir()
@@ -95,7 +97,7 @@
 def test_a_folder_without_a_ledger_is_rejected(
     tmp_path: Path, name: str, content: bytes, message: str
 ) -> None:
-    """The setting names a folder that holds something else. It must be refused and left as it is."""
+    """The configured folder holds something else. It must be rejected and not be changed."""
     (tmp_path / name).write_bytes(content)
     with pytest.raises(LedgerUnusableError, match=message):
         DiskStore(str(tmp_path))
@@ -104,7 +106,7 @@
 
 
 def test_another_installation_format_or_durability_is_rejected(tmp_path: Path) -> None:
-    """The folder holds a ledger, but of another installation, format or durability. It must be refused."""
+    """The folder holds a ledger of another installation, format or `sync` setting. It must be rejected."""
     store, _ = create_filled_store(tmp_path)
     DiskStore(str(tmp_path), installation=store.installation).close()
     with pytest.raises(LedgerUnusableError, match="is of installation"):
@@ -118,7 +120,9 @@
 
 
 def test_a_moved_or_replaced_folder_fails_until_restored(tmp_path: Path) -> None:
-    """The folder is moved away while the ledger is open, and another stands in its place."""
+    """The folder is moved while the ledger is open, and another is put in its place. Calls must fail
+    until the original folder is restored.
+    """
     store, incarnation = create_filled_store(tmp_path / "here")
     (tmp_path / "here").rename(tmp_path / "there")
     with pytest.raises(LedgerError, match="No such file"):
@@ -138,7 +142,9 @@
 
 
 def test_an_old_generation_linked_again_is_not_used(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process opens a generation just as it is ended, removed, and linked again by a resumed process."""
+    """While one process opens a generation, others end and remove it, and a resumed process links it
+    again. The first process must notice that and use the newest generation.
+    """
     other = DiskStore(str(tmp_path), max_log_bytes=1)
     incarnation = other.register("a", 1000.0)
     real, reopened_files = os.open, list[str]()
@@ -163,8 +169,8 @@
 
 @pytest.mark.parametrize("action", ["full", "error"])
 def test_a_transaction_that_failed_on_disk_may_be_applied_later_but_once(tmp_path: Path, action: str) -> None:
-    """The write succeeds and the sync fails. The outcome is unknown to the caller: applied once, or not at
-    all.
+    """The write succeeds and the sync fails, so the caller can't know the outcome. The transaction may be
+    applied once or not at all, but never twice.
     """
     store = DiskStore(str(tmp_path), sync=True, failpoint=parse_failpoints(f"log.appended={action}@3+"))
     incarnation = store.register("a", 1000.0)
@@ -182,8 +188,8 @@
 
 
 def test_damage_found_while_running_is_permanent(tmp_path: Path) -> None:
-    """A foreign program writes to the log. Nothing after its bytes may ever count, at the next call
-    neither.
+    """Another program writes to the log. Nothing after its bytes may be applied, neither by the first
+    call that reads them nor by a later one.
     """
     store, incarnation = create_filled_store(tmp_path)
     with open(tmp_path / LOG, "ab") as log:
@@ -201,7 +207,9 @@
 def test_durability_after_a_machine_crash(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sync: bool, damaged_tail: bool
 ) -> None:
-    """After a crash of the machine there is what was made durable, and by chance more, some of it damaged."""
+    """After a machine crash the file holds all synced data, and possibly more, which may be damaged. With
+    `sync` all records must survive; without `sync` only the epochs must.
+    """
     synced_sizes: dict[int, int] = {}
     real = os.fdatasync
 
@@ -221,11 +229,12 @@
         os.truncate(log, synced_sizes[log.stat().st_ino])
     surviving = tmp_path / "left"
     surviving.mkdir()
-    shutil.copy(log, surviving / LOG)  # without the leases, which are not made durable
+    shutil.copy(log, surviving / LOG)  # without the lease files, which are never synced
     reopened = DiskStore(str(surviving), sync=sync, machine_boot_id="another run of the machine")
     values = {r.key: r.value for r in reopened.scan("")}
     assert (len(values), values.get("k1")) == ((5, b"new") if sync else (0, None))
-    assert reopened.register("a", 1000.0) == Incarnation("a", 2)  # the name's epoch rises all the same
+    # The epoch must increase even if the records are lost.
+    assert reopened.register("a", 1000.0) == Incarnation("a", 2)
     assert (
         reopened.commit(incarnation, [Transaction((Create("late", b""),))])[0].outcome
         is TransactionOutcome.FENCED
--- a/tests/test_ledger_format.py
+++ b/tests/test_ledger_format.py
@@ -1,4 +1,4 @@
-"""The stored format of the ledger: old logs are read, and the same bytes are written now."""
+"""Tests of the stored format of the ledger: old logs can be read, and the same bytes are still written."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     encode,
 )
 
-# Every kind of entry, framed, as the version before wrote it (commit a9dc96e).
+# A frame of every kind of entry except the state, as an earlier version wrote it (commit a9dc96e).
 OLD_FRAMES: dict[str, tuple[LogEntry, bytes]] = {
     "header": (
         GenerationHeader("inst", 3, True, "boot-1"),
@@ -67,7 +67,8 @@
     "end": (EndEntry(), b"\n000000058a27a5f5a8c90ef7\x91\xa3end\n"),
 }
 
-# Whole files `log.00000001` and, with a log that ends after every few entries, `log.00000002`.
+# The complete files `log.00000001` and `log.00000002`. The second was written with a size limit that makes
+# the log start a new generation after every few entries.
 OLD_FIRST_GENERATION = (
     b"\n000000298e73d2309e3d8597\x97\xa4head\xb3meadowpulley-ledger\x01\xa4inst\x01\xc2\xa6boot-1\n"
     b"\n0000000cefa35030289d358b\x96\xa5state\x00\x90\x90\x80\x00\n"
@@ -106,7 +107,7 @@
 
 
 def write_ledger(store: Store) -> None:
-    """The calls that wrote the files above."""
+    """Make the calls that wrote the files above."""
     assert (store.register("a", 1000.0), store.register("b", 2000.0)) == (A, B)
     store.commit(
         A,
--- a/tests/test_ledger_settings.py
+++ b/tests/test_ledger_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the ledger, and a gateway without a ledger."""
+"""Tests of the ledger settings, and of a gateway without a ledger."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
         ("LEDGER_SYNC", "yes", "SYNC: 'yes' is neither 0 nor 1"),
         ("FAILPOINTS", "log.apended=kill", "FAILPOINTS: 'log.apended=kill'"),
     ],
-    ids=["no term", "short term", "no poll", "time-out", "size", "sync", "failpoint"],
+    ids=["no number", "short term", "poll of 0 ms", "timeout", "size", "sync", "failpoint"],
 )
 def test_invalid_settings_are_rejected(name: str, value: str, message: str) -> None:
-    """A setting can't be used. The gateway must not start, and say so in one line."""
+    """A setting is invalid. It must be reported in one line, so that the gateway does not start with it."""
     setting = {f"MEADOWPULLEY_{name}": value}
     assert read_settings(setting) is None, "settings are read only if a ledger is configured"
     with pytest.raises(LedgerUnusableError, match=message) as raised:
