--- a/meadowpulley/ledger/client.py
+++ b/meadowpulley/ledger/client.py
@@ -128,7 +128,7 @@
     def _wrapped(self) -> LeaseManager:
         if self.lease_manager is None:
             raise LedgerError(
-                f"ledger: {self.incarnation} has no lease manager round its stages: call `wrap` first"
+                f"ledger: {self.incarnation} has no lease manager around its stages: call `wrap` first"
             )
         return self.lease_manager
 
--- a/meadowpulley/ledger/disk.py
+++ b/meadowpulley/ledger/disk.py
@@ -117,7 +117,8 @@
         """Register a new incarnation; see `Store.register`."""
         if not VALID_NAME.fullmatch(name):
             raise LedgerUnusableError(
-                f"ledger: the name '{name}' may have none but A-Z, a-z, 0-9, '_', '-', '.' (not first)"
+                f"ledger: the name '{name}' is invalid: use 1 to 64 characters,"
+                " none but A-Z, a-z, 0-9, '_' and '-', and '.' except at the start"
             )
         with self._caught_up():
             previous = self._log.state.members_by_name.get(name)
--- a/meadowpulley/ledger/failpoints.py
+++ b/meadowpulley/ledger/failpoints.py
@@ -84,7 +84,7 @@
     if name not in FAILPOINT_NAMES or action not in ACTIONS or not count.isdecimal():
         known = ", ".join(FAILPOINT_NAMES)
         raise FailpointSyntaxError(
-            f"{FAILPOINTS_VARIABLE}: '{part}': write NAME=ACTION@COUNT with a NAME out of {known}"
+            f"{FAILPOINTS_VARIABLE}: '{part}': write NAME=ACTION@COUNT with NAME being one of {known}"
         )
     return name, _Trigger(ACTIONS[action], int(count), repeats)
 
--- a/meadowpulley/ledger/shared_log.py
+++ b/meadowpulley/ledger/shared_log.py
@@ -130,7 +130,7 @@
             if fd is not None:
                 self._read_generation(fd, generation_file_name(generations[-1]))
                 return
-        raise LedgerError(f"ledger: {self._path}: its generations change too fast for this process to follow")
+        raise LedgerError(f"ledger: {self._path}: its log files change too fast for this process to follow")
 
     def _create_first(self) -> None:
         installation = self._settings.installation or uuid.uuid4().hex
@@ -268,7 +268,8 @@
             self.read_new_entries()  # processes remove a generation only after it has ended
             if not self._generation.ended:
                 raise LedgerError(
-                    f"ledger: {self._path}/{self.file_name} was removed: put it back and start again"
+                    f"ledger: {self._path}/{self.file_name} was removed:"
+                    " put it back and start the gateway again"
                 )
             self.catch_up()
 
@@ -324,7 +325,7 @@
         if header.sync != self._settings.sync:
             sync_mode = "with" if header.sync else "without"
             raise LedgerUnusableError(
-                f"ledger: {self._path} was created {sync_mode} SYNC: use the same setting in all gateways"
+                f"ledger: {self._path} was created {sync_mode} SYNC: set it to the same value everywhere"
             )
         self.header = header
 
--- a/tests/test_ledger_disk.py
+++ b/tests/test_ledger_disk.py
@@ -56,7 +56,7 @@
         assert encode(reopened._log.state) == (after if cut == len(frame) else before)
         # The line end of the next frame terminates the torn one.
         assert reopened.register("b", 1.0) == Incarnation("b", 1)
-        # Without its last byte, a line end, the frame is complete: the next frame starts with a line end.
+        # The frame is complete even without its last byte, a line end, since the next frame starts with one.
         frame_complete = cut >= len(frame) - 1
         assert (reopened.read("last") is not None) == frame_complete
         is_torn = cut > 1 and not frame_complete
