--- a/meadowpulley/ledger/shared_log.py
+++ b/meadowpulley/ledger/shared_log.py
@@ -325,7 +325,7 @@
         if header.sync != self._settings.sync:
             sync_mode = "with" if header.sync else "without"
             raise LedgerUnusableError(
-                f"ledger: {self._path} was created {sync_mode} SYNC: set it to the same value everywhere"
+                f"ledger: {self._path} was created {sync_mode} SYNC: set it to the same value in all gateways"
             )
         self.header = header
 
