--- a/meadowpulley/errors.py
+++ b/meadowpulley/errors.py
@@ -1,7 +1,7 @@
 """The base class of the project's errors.
 
-Each package derives its own base class from it. An error message says in one line what is wrong, where it is
-wrong and how to fix it.
+Each package derives its own base class from this class. An error message says in one line what is wrong,
+where the mistake is and how to fix it.
 """
 
 from __future__ import annotations
--- a/meadowpulley/gossip/list_confirmation_codec.py
+++ b/meadowpulley/gossip/list_confirmation_codec.py
@@ -1,10 +1,11 @@
 """Encoding of the messages by which gateways confirm servers of the endpoint list to each other.
 
 A gateway sends a query with a nonce to ask which servers discovery lists. A gateway with a recent list
-replies with the age of that list and with fingerprints of ready servers, as many as fit. If a fingerprint
-matches a server that the asking gateway knows, then discovery listed that server unchanged at the time of the
-list. The asking gateway computes that time by subtracting the age from the time of its query, so a slow reply
-never makes a list look newer than it is, and a message that is lost, late or repeated confirms nothing false.
+replies with the age of that list and with fingerprints of ready servers, as many as a datagram holds. If a
+fingerprint matches a server that the asking gateway knows, then discovery listed that server unchanged at
+the time of the list. The asking gateway computes that time by subtracting the age from the time of its
+query, so a slow reply never makes a list look newer than it is, and a message that is lost, late or repeated
+confirms nothing false.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 
 QUERY_VERSION = 0xA2
 REPLY_VERSION = 0xA3
-MAX_BYTES = 256  # maximum size of a datagram
+MAX_BYTES = 256  # maximum size of a datagram in bytes
 MAX_AGE_MS = (1 << 16) - 1
 WORD_MODULUS = 1 << 32
 _QUERY = struct.Struct("!BII")  # version, nonce, first server number
 _REPLY = struct.Struct("!BIHB")  # version, nonce, list age in ms, number of fingerprints
 _FINGERPRINT = struct.Struct("!I")
-MAX_FINGERPRINTS = (MAX_BYTES - _REPLY.size) // _FINGERPRINT.size  # 62 fingerprints
+MAX_FINGERPRINTS = (MAX_BYTES - _REPLY.size) // _FINGERPRINT.size  # 62 fingerprints fit into a datagram
 _SERVER = struct.Struct("!Iqd")  # server number, build, Unix time of the start in ms
 
 
@@ -57,7 +58,7 @@
     """
     if isinstance(message, ListQuery):
         return _QUERY.pack(QUERY_VERSION, message.nonce, message.first_server % WORD_MODULUS)
-    age_ms = min(int(message.age_ms) + 1, MAX_AGE_MS)  # rounded up: the list never looks newer than it is
+    age_ms = min(int(message.age_ms) + 1, MAX_AGE_MS)  # rounded up, so that no list looks newer than it is
     words = message.fingerprints[:MAX_FINGERPRINTS]
     head = _REPLY.pack(REPLY_VERSION, message.nonce, age_ms, len(words))
     return head + b"".join([_FINGERPRINT.pack(word) for word in words])
--- a/meadowpulley/gossip/outcome_digest.py
+++ b/meadowpulley/gossip/outcome_digest.py
@@ -1,8 +1,8 @@
 """Encoding of digests: the gossip messages in which gateways report outcomes by build and server.
 
-A digest covers the responses since the sender's previous digest. For each class, it counts the successful and
-failed responses of the newest build and of its baseline. It also lists the failed responses of any build with
-their servers. A digest may be lost or repeated without harm.
+A digest covers the responses since the sender's previous digest. For each class, the digest counts the
+successful and failed responses of the newest build and of its baseline. The digest also lists the failed
+responses of all builds, each with its server. A digest may be lost or repeated without harm.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 MAX_COUNT = 255  # highest count, or class number, that fits into a byte
 _HEAD = struct.Struct("!BIIIBB")  # version, incarnation, sequence number, build, class count, failure count
 _CLASS = struct.Struct("!BBBBB")  # class; successes and failures of the newest build, then of its baseline
-_FAILURE = struct.Struct("!HB")  # server, class
+_FAILURE = struct.Struct("!HB")  # server number, class number
 MAX_FAILURES = 24
 # 33 classes: as many as fit into the bytes that the header and MAX_FAILURES failures leave.
 MAX_CLASSES = (MAX_BYTES - _HEAD.size - MAX_FAILURES * _FAILURE.size) // _CLASS.size
-SERVER_MODULUS = 1 << 16  # digests carry server numbers modulo this
+SERVER_MODULUS = 1 << 16  # digests carry server numbers modulo this number
 WORD_MODULUS = 1 << 32
-TIMEOUT_CLASS = 255  # used as a class number: time-outs at warmed-up servers
+TIMEOUT_CLASS = 255  # class number under which digests count time-outs at warmed-up servers
 
 
 class ClassCounts(NamedTuple):
@@ -44,9 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Digest:
-    """The outcomes that one gateway reports.
+    """The outcomes that one gateway reports to the others in one message.
 
-    A gateway draws a new `incarnation` at each start; within it, `sequence` rises by one with each digest.
+    A gateway draws a new `incarnation` at each start; within an incarnation, `sequence` rises by one with
+    each digest.
     """
 
     incarnation: int
@@ -60,7 +61,8 @@
     """Encode a digest into at most MAX_BYTES.
 
     Counts are capped at MAX_COUNT. Classes whose number does not fit into a byte are left out, and so are
-    their failures. Of the rest, the first MAX_CLASSES classes and the first MAX_FAILURES failures are kept.
+    their failures. Of the remaining data, the first MAX_CLASSES classes and the first MAX_FAILURES failures
+    are kept.
     """
     classes = [counts for counts in digest.classes if counts.class_index <= MAX_COUNT][:MAX_CLASSES]
     failures = [failure for failure in digest.failures if failure.class_index <= MAX_COUNT][:MAX_FAILURES]
--- a/meadowpulley/interface/actions.py
+++ b/meadowpulley/interface/actions.py
@@ -20,7 +20,7 @@
     request: int
     server: int
     timeout_ms: float = 0.0
-    write_by_ms: float = math.inf  # time from which the attempt may no longer be written
+    write_by_ms: float = math.inf  # time from which the attempt may no longer be written to the server
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Requests one `Timer` event with this token after the delay."""
+    """Requests one `Timer` event with `token` after `delay_ms`."""
 
     delay_ms: float
     token: int
--- a/meadowpulley/interface/events.py
+++ b/meadowpulley/interface/events.py
@@ -12,8 +12,8 @@
 class ServerEntry:
     """One server of the endpoint list.
 
-    `started_ms` is the start of the server on the clock of the events, or 0 if it is warmed up.
-    `started_unix_ms` is the Unix time of its start as discovery sends it, so it is the same at every gateway.
+    `started_ms` is the start of the server on the clock of the events, or 0 if the server is warmed up.
+    `started_unix_ms` is the Unix time of the start as sent by discovery, the same at all gateways.
     """
 
     server: int
@@ -29,11 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list, or a failure to get one.
+    """An update of the endpoint list, or a failed attempt to get an update.
 
-    `entries` holds the changed servers if `kind` is INCREMENTAL, no servers if it is FAILED, TIMED_OUT or
-    BROKEN, and otherwise the complete list. `as_of_ms` is the time, on the clock of the events, up to which
-    the known list contains all changes. It is None if the transport pushes every change and every failure.
+    `entries` holds the changed servers if `kind` is INCREMENTAL, no servers if `kind` is FAILED, TIMED_OUT
+    or BROKEN, and otherwise the complete list. `as_of_ms` is the time, on the clock of the events, up to
+    which the gateway's list contains all changes. `as_of_ms` is None if the transport pushes every change and
+    every failure.
     """
 
     kind: EndpointUpdateKind
@@ -44,17 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointWatchOpened:
-    """Discovery got a watch call: it responds to the next change, or after `wait_ms` at the latest."""
+    """Discovery received a watch call and responds at the next change, or after `wait_ms` at the latest."""
 
     wait_ms: float
-    as_of_ms: float  # the known list contains all changes up to this time
+    as_of_ms: float  # the endpoint list at the gateway contains all changes up to this time
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointWatchClosed:
     """No watch call to discovery is outstanding any more."""
 
-    as_of_ms: float | None  # the known list contains all changes up to this time; None: up to now
+    as_of_ms: float | None  # the gateway's list contains all changes up to this time; None: up to now
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +66,7 @@
     build: int
     zone: int
     cell: int
-    sent_ms: float  # earliest time of sending, on this gateway's clock
+    sent_ms: float  # earliest time at which the attempt was sent, on this gateway's clock
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,9 +81,11 @@
     expected_work_ms: float | None = None
     client_retry: bool = False
     write: bool = False
-    adopted: bool = False  # taken over from a lost gateway; does not add to the allowed exposure
-    # Number of attempts made by earlier gateways; they count towards `max_attempts`. This gateway numbers its
-    # own attempts from 0.
+    # Whether the request was taken over from a lost gateway. An adopted request does not raise the allowed
+    # exposure.
+    adopted: bool = False
+    # Number of attempts made by earlier gateways; these attempts count towards `max_attempts`. This gateway
+    # numbers its own attempts from 0.
     prior_attempt_count: int = 0
     # The attempts of earlier gateways that a server may have executed or may still execute.
     prior_attempts: tuple[PriorAttempt, ...] = ()
@@ -140,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """The timer set by the `SetTimer` with this token has expired."""
+    """The timer set by the `SetTimer` action with the same token has expired."""
 
     token: int
 
@@ -149,7 +152,7 @@
 class RolloutUpdate:
     """The state of the newest build's rollout.
 
-    If it is the reply to a vote (`is_vote_reply`), `result` tells whether the vote counts.
+    If the update is the reply to a vote (`is_vote_reply`), `result` tells whether the vote counts.
     """
 
     build: int
@@ -163,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BuildStatistics:
-    """The platform's statistics on one build's attempts in one class, over its last reporting period."""
+    """The platform's statistics on one build's attempts in one class, over the last reporting period."""
 
     build: int
     class_index: int
--- a/meadowpulley/interface/log_events.py
+++ b/meadowpulley/interface/log_events.py
@@ -1,7 +1,7 @@
 """Typed events that the policy and the stages write to the gateway's log.
 
-`event_name` is the name of the event in the log, and the fields keep their names there. `log_wording` writes
-an event as one sentence, for hosts with a plain text log.
+`event_name` is the name of the event in the log; the fields have the same names in the log. `log_wording`
+writes an event as one sentence, for hosts with a plain text log.
 """
 
 from __future__ import annotations
@@ -22,19 +22,20 @@
 
 @dataclass(frozen=True, slots=True)
 class BuildRejected:
-    """This gateway votes from now on to roll a build back; the fields hold the measurements behind it."""
+    """This gateway votes from now on to roll a build back; the fields hold the reason and measurements."""
 
     event_name: ClassVar[str] = "build_rejected"
 
     build: int
     reason: RollbackReason
-    # FAILURES: evidence divided by the required evidence; a build is rejected if this is 1 or more.
+    # For the reason FAILURES: evidence divided by the required evidence; a build is rejected at 1 or more.
     evidence_ratio: float | None = None
-    # LATENCY: lower and upper end of the confidence interval of the latency that the build adds.
+    # For the reason LATENCY: confidence interval of the latency that the build adds, from low to high.
     slowdown_low_ms: float | None = None
     slowdown_high_ms: float | None = None
-    margin_ms: float | None = None  # LATENCY: added latency up to which a build is accepted
-    # SHARED_SLOWDOWN and SLOW_WITHOUT_BASELINE: mean latency before the servers became slow.
+    # For the reason LATENCY: added latency up to which a build is accepted.
+    margin_ms: float | None = None
+    # For SHARED_SLOWDOWN and SLOW_WITHOUT_BASELINE: mean latency before the servers became slow.
     baseline_latency_ms: float | None = None
 
 
@@ -65,7 +66,7 @@
     stage: str
     key: str
     reason: str
-    writer: str | None = None  # incarnation that wrote the record; None if it adds nothing to the key
+    writer: str | None = None  # incarnation that wrote the record; None if not given in the event
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentVersionConflict:
-    """The experiment in this gateway's file differs from the one that the fleet runs."""
+    """The experiment in this gateway's file differs from the experiment that the fleet runs."""
 
     event_name: ClassVar[str] = "experiment_version_conflict"
 
--- a/meadowpulley/interface/vocabulary.py
+++ b/meadowpulley/interface/vocabulary.py
@@ -48,11 +48,11 @@
 
 
 class EndpointUpdateKind(IntEnum):
-    """The kind of an endpoint list update, or of a failure to get one."""
+    """The kind of an endpoint list update, or of a failed attempt to get an update."""
 
     INCREMENTAL = 0
     FULL = 1
     CACHED = 2
     FAILED = 3
     TIMED_OUT = 4  # a poll or a watch got no response within its time-out
-    BROKEN = 5  # the connection broke, or the response was malformed: a list may have been lost
+    BROKEN = 5  # the connection broke, or the response was malformed: an update may have been lost
--- a/meadowpulley/settings/object_reader.py
+++ b/meadowpulley/settings/object_reader.py
@@ -10,7 +10,7 @@
 from meadowpulley.errors import MeadowpulleyError
 
 T = TypeVar("T")
-NO_MINIMUM = -sys.float_info.max  # for numbers of any size, where the caller corrects invalid ones
+NO_MINIMUM = -sys.float_info.max  # minimum for values that may be any finite number, even a negative one
 
 
 class SettingsError(MeadowpulleyError, ValueError):
@@ -32,7 +32,7 @@
     """Reads the values of one JSON object by their keys.
 
     `location` names the object in error messages. For a key that is absent or null, a method returns its
-    default. The methods that read a value raise SettingsError if it has the wrong type.
+    default value. The methods that read a value raise SettingsError if the value has the wrong type.
     """
 
     def __init__(self, raw: object, location: str) -> None:
@@ -52,7 +52,8 @@
     def number(self, key: str, default: float = 0.0, minimum: float = 0.0) -> float:
         """Return a finite number of at least `minimum`; raise SettingsError for any other number.
 
-        Python's JSON parser accepts NaN, Infinity and integers too large for a float; they are rejected here.
+        Python's JSON parser accepts NaN, Infinity and integers too large for a float; this method
+        rejects such values.
         """
         raw = self._raw.get(key)
         if raw is None:
@@ -68,7 +69,7 @@
         return value
 
     def integer(self, key: str, default: int = 0, minimum: float = 0.0) -> int:
-        """Return a number, truncated to an integer."""
+        """Return a number of at least `minimum`, truncated to an integer."""
         return int(self.number(key, default, minimum))
 
     def boolean(self, key: str) -> bool:
@@ -81,7 +82,7 @@
         return value
 
     def string(self, key: str, default: str = "") -> str:
-        """Return a string value or the default."""
+        """Return a string, or `default` if the key is absent or null."""
         value = self._raw.get(key)
         if value is None:
             return default
@@ -119,7 +120,7 @@
         return [ObjectReader(raw, f"{self._location}: '{key}' {n}") for n, raw in enumerate(self.array(key))]
 
     def choice(self, key: str, choices: Mapping[str, T], default: T) -> T:
-        """Return the choice that a string value names; the default for an empty string."""
+        """Return the choice that a string value names, or `default` if the string is empty."""
         word = self.string(key)
         if word and word not in choices:
             raise self.error(key, f"is '{word}', but must be one of {', '.join(choices)}")
--- a/meadowpulley/settings/reader.py
+++ b/meadowpulley/settings/reader.py
@@ -1,6 +1,7 @@
 """Read a gateway's settings from JSON, for the simulator adapter and for the real gateway.
 
-Unknown keys are ignored, since later versions of the platform may add keys. Missing keys take a default.
+Unknown keys are ignored, since later versions of the platform may add keys. Missing keys take a default
+value.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     "token": Effect.IDEMPOTENT_WITH_KEY,
     "side_effect": Effect.NON_IDEMPOTENT,
 }
-LOAD_REPORT_COLUMNS = {  # column names of load reports: from the platform's names to the policy's
+LOAD_REPORT_COLUMNS = {  # maps the platform's column names of load reports to the policy's names
     "busy_reqs": "in_flight",
     "pending": "queued",
     "cpu_share": "cpu",
@@ -83,7 +84,7 @@
 
 
 def _read_request_classes(reader: ObjectReader) -> tuple[RequestClass, ...]:
-    """Read the classes, whose names must be unique.
+    """Read the request classes, whose names must be unique.
 
     A request names its class in the first part of its path.
     """
@@ -137,7 +138,7 @@
 
 
 def parse_settings(encoded: bytes, location: str) -> Settings:
-    """Parse the settings from JSON text. Raises SettingsError."""
+    """Parse the settings from JSON text. Raises SettingsError if the text is invalid."""
     try:
         loaded = json.loads(encoded)
     except (ValueError, RecursionError) as error:
@@ -147,7 +148,7 @@
 
 
 def read_settings(loaded: object, location: str) -> Settings:
-    """Read the settings from a decoded JSON value. Raises SettingsError.
+    """Read the settings from a decoded JSON value. Raises SettingsError if the value is invalid.
 
     This gateway's index is taken modulo the number of gateways, so that delays computed from it stay within
     the range of the other gateways' delays.
--- a/meadowpulley/settings/types.py
+++ b/meadowpulley/settings/types.py
@@ -15,7 +15,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The group of servers that share idempotency keys: a retry at any of them has no second effect."""
+    """The group of servers that share idempotency keys: a retry at any of these has no second effect."""
 
     ALL = "all"
     ZONE = "zone"
@@ -25,8 +25,8 @@
 class StageGate(Enum):
     """How votes move a rollout from stage to stage.
 
-    With TIMER, a stage ends after a set time unless enough gateways vote to hold. Otherwise it ends when
-    enough gateways have voted to advance and its soak time is over.
+    With TIMER, a stage ends after a set time unless enough gateways vote to hold. Otherwise a stage ends
+    when enough gateways have voted to advance and the stage's soak time is over.
     """
 
     ANY = "any"
@@ -85,7 +85,7 @@
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 0.0
     max_open_connections: int = 0
-    idle_timeout_ms: float = 0.0  # servers may close a connection that is idle for this long; 0: never
+    idle_timeout_ms: float = 0.0  # idle time after which servers may close a connection; 0: never
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/state/averages.py
+++ b/meadowpulley/state/averages.py
@@ -6,13 +6,13 @@
 from collections import defaultdict, deque
 from functools import partial
 
-# A window keeps events for this many milliseconds beyond its length, so that a count that must not be too low
-# can include events slightly older than the window.
+# An `EventWindow` keeps events for this many milliseconds beyond its length. A count that must not be too
+# low can then include events slightly older than the window.
 WINDOW_MARGIN_MS = 1000.0
 
 
 class DecayingRate:
-    """A rate per millisecond that decays exponentially with a given time constant."""
+    """The rate of a quantity per millisecond, which decays exponentially with a given time constant."""
 
     def __init__(self, memory_ms: float) -> None:
         """Start at a rate of 0; `memory_ms` is the time constant."""
@@ -21,7 +21,7 @@
         self.updated_at = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Add an amount at the time `now`, in ms."""
+        """Add an amount of the quantity that occurs at the time `now`, in ms."""
         decay = math.exp((self.updated_at - now) / self.memory_ms)
         self.total = self.total * decay + amount
         self.updated_at = now
@@ -53,5 +53,5 @@
 
 
 def event_windows(memory_ms: float) -> defaultdict[int, EventWindow]:
-    """Return a mapping from exposure classes to windows of one length, created at first use."""
+    """Return event windows by exposure class, created at first use; each is `memory_ms` long."""
     return defaultdict(partial(EventWindow, memory_ms))
--- a/meadowpulley/state/confirmation.py
+++ b/meadowpulley/state/confirmation.py
@@ -1,4 +1,4 @@
-"""State of list confirmation: asking other gateways whether servers are still listed by discovery."""
+"""State of list confirmation: queries to other gateways on whether discovery still lists servers."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 
 class ConfirmationState:
-    """The queries that this gateway sent, and its ready servers. Times are ms on its own clock."""
+    """The gateway's confirmation queries and its ready servers. Times are ms on the gateway's clock."""
 
     def __init__(self, rng: Random) -> None:
-        """Start without any query; `rng` is used for queries only."""
-        # A generator for queries alone, so that they do not change the random numbers drawn elsewhere.
+        """Start without any query sent; `rng` is used only to create queries."""
+        # Queries have their own random generator, so that they do not change the random numbers drawn by
+        # other modules.
         self.rng = rng
-        self.queried_at = -math.inf  # when other gateways were last queried
-        self.queried_range = -1  # index of the range of servers in the last query; -1 before the first
-        self.open_queries: dict[int, float] = {}  # time of each query by its nonce, oldest first
+        self.queried_at = -math.inf  # time of the last query to other gateways
+        self.queried_range = -1  # index of the last queried range of servers; -1 before the first query
+        self.open_queries: dict[int, float] = {}  # sending time of recent queries by nonce, oldest first
         self.last_confirmed_by = -1  # index of the gateway that replied last; -1 before the first reply
-        self.ready_servers: list[Server] | None = None  # sorted by number; None: to be computed
+        # The ready servers sorted by number, or None if the sorted list must be computed again.
+        self.ready_servers: list[Server] | None = None
--- a/meadowpulley/state/estimation.py
+++ b/meadowpulley/state/estimation.py
@@ -1,7 +1,7 @@
 """The mixed Differences-in-Q estimator, for an A/B test on a queueing system.
 
-The formula numbers in this module are those of the paper on Differences-in-Q: it implements (12), (15)-(20),
-(39) and appendix C.3. Callers pass all tuned values.
+The formula numbers in this module are those of the paper on Differences-in-Q. This module implements
+formulas (12), (15)-(20) and (39) and appendix C.3 of that paper. Callers pass all tuned values.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from meadowpulley.state.requests import Attempt
 
-# The two Q functions are taken as equal if the sum of their squared differences is at most this, in square
-# milliseconds: their weights then make no difference to the weighted mean.
+# The latency Q and the queue length Q are treated as equal if the sum of their squared differences is at
+# most this, in square milliseconds. The weights then make no difference to the weighted mean.
 MIN_VARIANCE = 1e-9
 BASELINE_ARM = 0
 TRIAL_ARM = 1
@@ -37,21 +37,23 @@
     """
 
     latencies: list[float]  # latency cost of each request in ms
-    queue_lengths: list[float]  # outstanding attempts per server when the request was sent
-    arms: list[int]  # BASELINE_ARM, TRIAL_ARM or NO_ARM
+    queue_lengths: list[float]  # mean outstanding attempts per server when each request was sent
+    arms: list[int]  # arm of each request: BASELINE_ARM, TRIAL_ARM or NO_ARM
     blocks: list[tuple[float, int]]
 
 
 class QMix(NamedTuple):
     """Parameters of the Q functions, formula (39) of the paper.
 
-    A request's Q value sums up its own cost and those of the next `horizon` requests. `arrival_rate` is the
-    number of requests per ms.
+    A request's Q value is the sum of the costs of the request and of the next `horizon` requests.
+    `arrival_rate` is the number of requests per ms.
     """
 
     horizon: int
     arrival_rate: float
-    min_alpha: float  # least weight of the latency Q, from 0 to 1; the queue length Q gets the rest
+    # Minimum weight of the latency Q, from 0 to 1. The weights of the latency Q and of the queue length Q
+    # add up to 1.
+    min_alpha: float
 
 
 class _Block(NamedTuple):
@@ -66,19 +68,20 @@
         return 1 / (1 / len(self.trial) + 1 / len(self.baseline))
 
     def difference(self, values: list[float]) -> float:
-        """Return the mean value of the trial arm minus that of the baseline."""
+        """Return the mean of the block's values in the trial arm minus their mean in the baseline arm."""
         trial_mean = fmean([values[position] for position in self.trial])
         baseline_mean = fmean([values[position] for position in self.baseline])
         return trial_mean - baseline_mean
 
 
 def mixed_q(costs: CostSeries, mix: QMix) -> QDifference:
-    """Estimate by how many ms the trial arm raises the mean latency of all requests, within blocks.
+    """Estimate by how many ms the trial arm raises the mean latency of all requests.
 
-    A request's Q value is the sum of its own cost and the costs of the following requests, by formula (12) of
-    the paper. Queue lengths are divided by the arrival rate to convert them to milliseconds, by formula (15).
+    Requests of the two arms are compared only within the same block. A request's Q value is the sum of its
+    own cost and the costs of the following requests, by formula (12) of the paper. Queue lengths are divided
+    by the arrival rate to convert them to milliseconds, by formula (15).
     """
-    count = len(costs.latencies) - mix.horizon  # the last `horizon` requests have too few successors
+    count = len(costs.latencies) - mix.horizon  # the last `horizon` requests have no complete Q value
     blocks = _blocks_with_both_arms(costs.arms[: max(count, 0)], costs.blocks)
     if not blocks or mix.arrival_rate <= 0:
         return QDifference(0.0, math.inf, 0, 0)
@@ -94,7 +97,7 @@
 
 
 def _weighted_difference(mixed: list[float], blocks: list[_Block], weights: list[float]) -> float:
-    """Return the weighted sum of the differences between the arms in each block."""
+    """Return the weighted sum, over all blocks, of the difference between the arms' mean Q values."""
     differences = [block.difference(mixed) for block in blocks]
     products = [weight * difference for weight, difference in zip(weights, differences, strict=True)]
     return sum(products, 0.0)
@@ -154,7 +157,7 @@
 
 
 class LatencySamples:
-    """Attempts of an A/B test and their arms.
+    """The attempts of an A/B test, each with its arm and its latency cost.
 
     Latency costs are capped at `max_latency_ms`. Latency costs and queue lengths of servers in slow start are
     scaled down to those of warmed-up servers.
@@ -168,13 +171,13 @@
 
     @property
     def baseline_mean(self) -> float:
-        """The mean latency cost of the baseline's attempts in ms; 0 if it has none."""
+        """The mean latency cost of the baseline's attempts in ms; 0 without such attempts."""
         pairs = zip(self.latencies, self.arms, strict=True)
         baseline = [latency for latency, arm in pairs if arm == BASELINE_ARM]
         return fmean(baseline or [0.0])
 
     def compare(self, block_ms: float, mix: QMix) -> QDifference:
-        """Compare the arms with `mixed_q`.
+        """Estimate with `mixed_q` how much latency the trial arm adds.
 
         Attempts are compared only if they were sent in the same period of `block_ms` milliseconds, to servers
         of the same machine kind.
--- a/meadowpulley/state/failure_test.py
+++ b/meadowpulley/state/failure_test.py
@@ -10,18 +10,19 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-ALL_SERVERS = -2  # used as a server number: all servers together
-PLATFORM = -1  # used as a server number: the platform's statistics
-ALL_CLASSES = -1  # used as a class index: all classes together
+ALL_SERVERS = -2  # server number that stands for all servers together
+PLATFORM = -1  # server number that stands for the platform's statistics
+ALL_CLASSES = -1  # class index that stands for all request classes together
 
 
 @dataclass(frozen=True, slots=True)
 class FailureTestBounds:
-    """The failure rates that the test tells apart, each from 0 to 1.
+    """The failure rates that the sequential test distinguishes, each from 0 to 1.
 
-    `increases` lists by how much a bad build's failure rate exceeds the baseline's, at least; each is tested
-    separately. `relative_increase` is such an increase as a fraction of the baseline's rate; the larger of
-    the two is used. The test limits the baseline's rate to the range from `min_rate` to `max_rate`.
+    Each entry of `increases` is the minimum share of the baseline's successful requests that would fail with
+    a bad build; the test is done separately for each share. A share smaller than `relative_increase` times
+    the baseline's failure rate is raised to that product. The baseline's rate is limited to the range
+    from `min_rate` to `max_rate`.
     """
 
     increases: tuple[float, ...]
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerOutcomes:
-    """Counts of responses of one class from one server, from `ALL_SERVERS` or from the `PLATFORM`."""
+    """Counts of responses of one class from one server, `ALL_SERVERS` or the `PLATFORM` statistics."""
 
     class_index: int
     server: int
@@ -41,16 +42,16 @@
 
 
 class SequentialFailureTest:
-    """One CUSUM of log likelihood ratios per class, increase and server, which never falls below 0."""
+    """Keeps a CUSUM of log likelihood ratios, at least 0, by class, failure rate increase and server."""
 
     def __init__(self, bounds: FailureTestBounds) -> None:
-        """Start without evidence."""
+        """Start without any outcomes."""
         self.bounds = bounds
-        # Log likelihood ratios by class and increase, then by server.
+        # CUSUM of log likelihood ratios by request class and failure rate increase, then by server number.
         self.log_odds: dict[tuple[int, float], dict[int, float]] = defaultdict(lambda: defaultdict(float))
 
     def add(self, outcomes: ServerOutcomes, baseline_rate: float, server_only: bool = False) -> None:
-        """Add outcomes of a server, and also to the sum over all servers unless `server_only` is set."""
+        """Add outcomes to the sums of their server and, unless `server_only`, to the sums of all servers."""
         counts_alone = server_only or outcomes.server < 0
         scopes = (outcomes.server,) if counts_alone else (outcomes.server, ALL_SERVERS)
         expected = min(max(baseline_rate, self.bounds.min_rate), self.bounds.max_rate)
@@ -62,17 +63,18 @@
                     sums[scope] = max(sums[scope] + log_ratio, 0.0)
 
     def _log_likelihood_ratio(self, outcomes: ServerOutcomes, expected: float, increase: float) -> float:
-        """Return the outcomes' log likelihood at the increased failure rate minus that at `expected`."""
+        """Return the outcomes' log likelihood at an increased failure rate minus that at rate `expected`."""
         increased = expected + max(increase, expected * self.bounds.relative_increase) * (1 - expected)
         failure_ratio = math.log(increased / expected)
         success_ratio = math.log((1 - increased) / (1 - expected))
         return outcomes.failed * failure_ratio + outcomes.succeeded * success_ratio
 
     def strongest(self, server_limit: float, min_own: float) -> float:
-        """Return the highest log likelihood ratio over all classes and increases.
+        """Return the strongest evidence that the build fails too often, as a log likelihood ratio.
 
-        Each server contributes at most `server_limit`. The platform's statistics count only where the sum of
-        the servers' contributions exceeds `min_own`.
+        The maximum is taken over all request classes and all tested increases of the failure rate. Each
+        server contributes at most `server_limit` to the evidence. The platform's statistics count only if
+        the contributions of all servers add up to more than `min_own`.
         """
         strongest = 0.0
         for sums in self.log_odds.values():
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -17,7 +17,7 @@
 from meadowpulley.state.failure_test import ALL_SERVERS, SequentialFailureTest, ServerOutcomes
 from meadowpulley.state.servers import Server
 
-MAX_UNPUBLISHED = 600  # outcomes kept for the next digest; if there are more, the oldest are dropped
+MAX_UNPUBLISHED = 600  # maximum number of outcomes kept for the next digest; the oldest are dropped first
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
     @property
     def baseline_total(self) -> int:
-        """The number of all responses of the baseline, good and failed."""
+        """The number of all responses of the baseline, successful and failed."""
         return self.baseline_succeeded + self.baseline_failed
 
 
@@ -53,10 +53,10 @@
 
 
 class PooledOutcomes:
-    """The sums of several gateways' digests on one build."""
+    """Response counts of a build and of its baseline, added up over several gateways' digests."""
 
     def __init__(self, digests: list[Digest]) -> None:
-        """Sum up the digests on one build."""
+        """Add up the response counts of `digests`, which must all be about the same build."""
         self._class_counts: list[ClassCounts] = []
         # Number of failed responses by class and by server number modulo SERVER_MODULUS, as in digests.
         self.failures_by_server: Counter[FailedResponse] = Counter()
@@ -65,18 +65,18 @@
             self.failures_by_server.update(digest.failures)
 
     def of_class(self, class_index: int) -> ArmOutcomes:
-        """Return the sums of one class of requests."""
+        """Return the added-up response counts of one request class."""
         return _add_up([counts for counts in self._class_counts if counts.class_index == class_index])
 
     def add_to(
         self, test: SequentialFailureTest, class_index: int, servers: list[int], baseline_rate: float
     ) -> None:
-        """Add the outcomes of a class to a test: for all servers together, and for each of `servers`."""
+        """Add a class's outcomes to a failure test, for all servers together and for each of `servers`."""
         outcomes = self.of_class(class_index)
         test.add(ServerOutcomes(class_index, ALL_SERVERS, outcomes.failed, outcomes.succeeded), baseline_rate)
         for server in servers:
             failed = self.failures_by_server[FailedResponse(server % SERVER_MODULUS, class_index)]
-            # Digests do not say which server succeeded, so successes are split evenly.
+            # Digests count successes without naming servers, so successes are split evenly among servers.
             succeeded = outcomes.succeeded / len(servers)
             test.add(ServerOutcomes(class_index, server, failed, succeeded), baseline_rate, server_only=True)
 
@@ -89,16 +89,16 @@
         return ArmTimeouts(counts.succeeded, counts.baseline_succeeded)
 
     def responses(self) -> ArmOutcomes:
-        """Return the sums of all classes together, without time-outs."""
+        """Return the response counts added up over all request classes, without time-outs."""
         return _add_up([counts for counts in self._class_counts if counts.class_index != TIMEOUT_CLASS])
 
 
 class FailureReports(NamedTuple):
-    """Numbers of failed responses in digests; server numbers are modulo SERVER_MODULUS."""
+    """Counts of the failed responses that digests report; server numbers are modulo SERVER_MODULUS."""
 
     total: int
-    failures: Counter[int]  # failed responses of each server
-    senders: Counter[int]  # number of gateways that report failures of each server
+    failures: Counter[int]  # number of failed responses by server number
+    senders: Counter[int]  # number of gateways that report failures, by server number
 
 
 def _add_up(rows: list[ClassCounts]) -> ArmOutcomes:
@@ -114,8 +114,8 @@
     """The outcomes and digests that the gateways of a fleet exchange.
 
     `incarnation` is a random number drawn when this gateway starts. In a large fleet, a gateway does not send
-    a digest every second, so the digests received in one second may report outcomes of several seconds:
-    `clock_skew_s` is about how many.
+    a digest every second, so the digests received in one second may report outcomes of several seconds.
+    `clock_skew_s` is the approximate number of these seconds.
     """
 
     def __init__(self, incarnation: int, clock_skew_s: int) -> None:
@@ -123,20 +123,21 @@
         self.incarnation = incarnation
         self.sequence = 0  # sequence number of the last digest that this gateway sent
         self.unpublished: deque[OutcomeCounts] = deque(maxlen=MAX_UNPUBLISHED)
-        # Sequence number of the last new digest received, by sender and incarnation of the sender.
+        # Sequence number of the newest digest received, by gateway index and incarnation of the sender.
         self.last_digest_by_sender: dict[tuple[int, int], int] = {}
         self.rejected_digests = 0
-        self.received: list[tuple[int, Digest]] = []  # digests of the current second, with their senders
-        # The latest failure rates of the baseline by class, at most `clock_skew_s` for each class, since the
-        # digests of one second may report several seconds. A build is compared with the highest of them.
+        self.received: list[tuple[int, Digest]] = []  # (sender, digest) pairs of the current second
+        # The baseline's failure rates in recent seconds, by request class. Up to `clock_skew_s` rates are
+        # kept, one for each second, since the digests received in one second may report outcomes of that
+        # many seconds. A build is compared with the highest rate kept.
         self.baseline_failure_rates: dict[int, deque[float]] = defaultdict(lambda: deque(maxlen=clock_skew_s))
-        self.last_baseline_fault_at = -math.inf  # when the baseline last failed at any gateway
+        self.last_baseline_fault_at = -math.inf  # when digests last showed that the baseline was faulty
 
     def next_digest(self, build: int, baseline_build: int, under_evaluation: bool) -> Digest | None:
-        """Return a digest of the outcomes since the last one, or None if it would be empty.
+        """Return a digest of the outcomes since the last digest, or None if there is nothing to report.
 
-        A digest holds the failures at any build. If `under_evaluation` is set, it also holds all outcomes of
-        the build and of its baseline.
+        A digest holds the failed responses of all builds. If `under_evaluation` is set, the digest also
+        holds all outcomes of the build and of its baseline.
         """
         counts_by_class: dict[int, ClassCounts] = {}
         failures: list[FailedResponse] = []
@@ -158,11 +159,14 @@
         return any(outcome.failed for outcome in self.unpublished)
 
     def record_timeout(self, server: Server) -> None:
-        """Record a time-out at a warmed-up server; `PooledOutcomes.timeouts` reads it from the digest."""
+        """Record a time-out at a warmed-up server for the next digest.
+
+        Digests carry time-outs as successes of the separate class `TIMEOUT_CLASS`.
+        """
         self.unpublished.append(OutcomeCounts(TIMEOUT_CLASS, server.build, server.id, 0, 1))
 
     def accept(self, sender: int, digest: Digest, max_incarnations: int) -> bool:
-        """Tell whether a digest is new, and record its sequence number if so.
+        """Return whether a digest is newer than its sender's last one; if so, record its sequence number.
 
         Sequence numbers are kept for at most `max_incarnations` incarnations of senders.
         """
@@ -171,7 +175,7 @@
             return False
         self.last_digest_by_sender.pop(source, None)
         self.last_digest_by_sender[source] = digest.sequence
-        if len(self.last_digest_by_sender) > max_incarnations:  # the first entry was updated longest ago
+        if len(self.last_digest_by_sender) > max_incarnations:  # first entry: least recently updated
             del self.last_digest_by_sender[next(iter(self.last_digest_by_sender))]
         return True
 
@@ -191,7 +195,7 @@
         return FailureReports(total, failures, senders)
 
     def take_pooled(self, build: int) -> PooledOutcomes:
-        """Return the sums of the current second's digests on the build, and start the next second."""
+        """Return the added-up counts of the received digests on a build, and clear all received digests."""
         digests = [digest for _, digest in self.received if digest.build == build]
         self.received = []
         return PooledOutcomes(digests)
--- a/meadowpulley/state/requests.py
+++ b/meadowpulley/state/requests.py
@@ -15,7 +15,7 @@
 )
 from meadowpulley.state.servers import Server
 
-ALL_CLASSES = -1  # the exposure class of every request where exposure is not counted per class
+ALL_CLASSES = -1  # exposure class of all requests if exposure is not counted per request class
 PRIOR_ATTEMPT_NUMBER = -1  # stands in for the unknown number of an attempt made by an earlier gateway
 
 
@@ -25,7 +25,7 @@
     def __init__(
         self, request: Request, request_class: RequestClass, now: float, exposure_per_class: bool
     ) -> None:
-        """Record a request that arrives at the time `now`, with the attempts of other gateways."""
+        """Record a request that arrives at the time `now`, with the attempts of earlier gateways."""
         self.request = request
         self.request_class = request_class
         self.arrived_at = now
@@ -37,7 +37,7 @@
         # Attempts that a server executed, may have executed, or may still execute.
         self.possible_executions = [_prior_attempt(self, prior) for prior in request.prior_attempts]
         self.streaming = False  # whether part of a response was sent to the client
-        self.randomized = False  # whether the build was chosen at random
+        self.randomized = False  # whether the request's build was chosen at random
         self.probed_servers: list[int] = []
 
     @property
@@ -49,7 +49,7 @@
     def deduplicated_everywhere(self) -> bool:
         """Whether every server discards a repeat of the request, including a retry by the client.
 
-        False if an earlier gateway may have sent the request to a server.
+        The value is false if an earlier gateway may have sent the request to a server.
         """
         everywhere = self.request_class.deduplication_scope is DeduplicationScope.ALL
         return self.effect is Effect.IDEMPOTENT_WITH_KEY and everywhere and not self.request.prior_attempts
@@ -66,8 +66,8 @@
     """The conditions under which an attempt was sent to a server."""
 
     queue_length: float  # mean number of this gateway's outstanding attempts per candidate server
-    slow_start_fraction: float  # fraction of its capacity that the server had, 0 to 1
-    randomized: bool  # whether the build was chosen at random
+    slow_start_fraction: float  # server's capacity as a fraction of its warmed-up capacity, 0 to 1
+    randomized: bool  # whether the attempt's build was chosen at random
 
 
 class Attempt:
@@ -86,15 +86,17 @@
         # Retries avoid the servers of earlier attempts, so only first attempts get a build at random.
         self.randomized = conditions.randomized and not in_flight.attempt_count
         self.latency_ms: float | None = None
-        self.unattributable = False  # no response, or one of unknown latency: not caused by the build
+        # Whether the outcome cannot be attributed to the build: the attempt got no response or one of
+        # unknown latency, or an error from a server that often fails.
+        self.unattributable = False
 
     def latency_cost(self, now: float) -> float:
-        """Return the latency in ms, or the age while outstanding, scaled to a warmed-up server."""
+        """Return the latency, or the age of an outstanding attempt, in ms, scaled to a warmed-up server."""
         elapsed_ms = self.latency_ms if self.latency_ms is not None else now - self.sent_at
         return self.slow_start_fraction * elapsed_ms
 
 
-PRIOR_CONDITIONS = SendConditions(0.0, 0.0, False)  # attempts of other gateways give no latency samples
+PRIOR_CONDITIONS = SendConditions(0.0, 0.0, False)  # attempts by earlier gateways are no latency samples
 
 
 def _prior_attempt(in_flight: InFlightRequest, prior: PriorAttempt) -> Attempt:
--- a/meadowpulley/state/sample_summary.py
+++ b/meadowpulley/state/sample_summary.py
@@ -8,7 +8,7 @@
 
 
 class SampleSummary(NamedTuple):
-    """Size, mean and population standard deviation of a sample; all are 0 if it is empty."""
+    """Size, mean and population standard deviation of a sample; all three are 0 for an empty sample."""
 
     size: int
     mean: float
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -9,9 +9,10 @@
 
 
 class Server:
-    """One run of a server: after a restart or with another build, the same number is a new `Server`.
+    """One run of a server.
 
-    Times are milliseconds on the clock of the events.
+    A restart of a server, or a change of its build, creates a new `Server` with the same number. Times
+    are milliseconds on the clock of the events.
     """
 
     def __init__(self, endpoint: ServerEntry) -> None:
@@ -25,21 +26,23 @@
         self.state = endpoint.state
         self.fingerprint = fingerprint(endpoint.server, endpoint.build, endpoint.started_unix_ms)
         self.outstanding = 0  # number of this gateway's attempts at the server without an outcome
-        # The slot of the overload window for which `slow_start_budget` was drawn at random; -1 before the
-        # first draw. Windows are divided into slots, which are numbered from time 0 on.
+        # Overload windows are divided into time slots, numbered from time 0. This is the number of the slot
+        # for which `slow_start_budget` was last drawn at random, or -1 before the first draw.
         self.slow_start_slot = -1
-        self.slow_start_budget = -1  # attempts that may still be sent in that slot
-        self.failure_rate = 0.0  # exponentially weighted moving average, 0 to 1
+        self.slow_start_budget = -1  # number of attempts that may still be sent in `slow_start_slot`
+        self.failure_rate = 0.0  # exponentially weighted moving average of failures, 0 to 1
         self.ejected_until = 0.0
-        # Length of the last ejection. While it is above 0, the server gets at most one request at a time.
+        # Length of the last ejection in ms. While this length is above 0, the server gets at most one
+        # request at a time.
         self.ejection_ms = 0.0
         self.last_failure_at = -math.inf
         self.last_response_at = -math.inf
-        # Up to this time, according to another gateway, discovery listed the server as this gateway knows it.
+        # Latest time at which discovery listed this run of the server as ready, as confirmed by another
+        # gateway.
         self.peer_confirmed_at = -math.inf
 
     def as_candidate(self, slow_start_fraction: float, mean_latency_ms: float, home_zone: int) -> Candidate:
-        """Return the data on the server that a placement policy gets."""
+        """Return the data that a placement policy gets on this server."""
         return Candidate(
             server=self.id,
             zone=self.zone,
@@ -54,7 +57,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the server takes requests."""
+        """Whether discovery lists the server as ready for requests."""
         return self.state is ServerState.READY
 
     def in_scope(self, scope: DeduplicationScope, other: Server) -> bool:
--- a/meadowpulley/state/state.py
+++ b/meadowpulley/state/state.py
@@ -1,6 +1,6 @@
 """The complete state of one gateway's policy, and the bookkeeping on it.
 
-This module makes no decisions. Its only tuned constants set how much data is kept and for how long.
+This module makes no decisions. The only tuned constants here set how much data is kept and for how long.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 from meadowpulley.state.traffic_pause import TrafficPause
 from meadowpulley.state.votes import VoteState
 
-MAX_SAMPLES = 600  # number of attempts kept as samples of latency cost
-CONFIRMATION_SEED = 2  # added to the seed, so that list confirmation draws from a random stream of its own
+MAX_SAMPLES = 600  # maximum number of attempts kept as samples of latency cost
+CONFIRMATION_SEED = 2  # added to the seed for the separate random generator of list confirmation
 RATE_MEMORY_MS = 4000.0  # time constant of the request rate and of the goodput, in ms
 NO_BUILD = -1
 
@@ -46,14 +46,14 @@
     Times are milliseconds on the clock of the events, and rates are per millisecond.
     """
 
-    confidence_z: float  # number of standard errors between an estimate and its bounds
-    required_evidence: float  # log likelihood ratio of failures from which a build is rolled back
-    subset_size: float  # number of servers that this gateway prefers
+    confidence_z: float  # number of standard errors from an estimate to its confidence bounds
+    required_evidence: float  # log likelihood ratio of failures at which a build is rolled back
+    subset_size: float  # number of servers to which this gateway prefers to send; infinite: all
     waiting_poll_interval_ms: float  # interval between two checks of waiting requests
-    retry_budget: float  # number of retries that may be sent
+    retry_budget: float  # number of retries that may be sent now
     build_evidence: defaultdict[int, BuildEvidence]
     gossip: GossipState
-    placements: dict[int, Placement]  # by experiment arm; arm 0 uses the policy's own choice
+    placements: dict[int, Placement]  # placement by experiment arm; arm 0 uses the policy's own order
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start with empty state; all random numbers are derived from the seed."""
@@ -76,16 +76,16 @@
 
     def _init_servers(self, settings: Settings, seed: int) -> None:
         self.servers: dict[int, Server] = {}
-        # Only the ready servers of each build, so that no request has to scan the whole fleet.
+        # The ready servers are kept in one list per arm, so that no request has to scan the whole fleet.
         self.trial_servers: list[Server] = []
         self.baseline_servers: list[Server] = []
         self.peak_ready_servers = 1
-        # Exponentially weighted moving average of latency, by machine kind. Latencies of servers in slow
-        # start are scaled down to those of warmed-up servers.
+        # Exponentially weighted moving average of latency in ms, by machine kind. Latencies of servers in
+        # slow start are scaled down to those of warmed-up servers.
         self.kind_latency_ms: dict[int, float] = {}
         self.endpoint_list = EndpointListState(settings.must_poll)
         self.confirmation = ConfirmationState(Random(seed + CONFIRMATION_SEED))
-        # Number of sends that were not allowed, by the rule that forbade them.
+        # Number of refused sends, by the name of the rule that refused them.
         self.send_refusals: Counter[str] = Counter()
         # Number of sends by what allowed them: the lease on the endpoint list, or a reply by which another
         # gateway confirmed the server.
@@ -98,37 +98,40 @@
         self.attempts: dict[tuple[int, int], Attempt] = {}
         # The first attempts of the latest requests: samples of latency cost.
         self.latency_samples: deque[Attempt] = deque(maxlen=MAX_SAMPLES)
-        # Arrivals of requests, without retries by clients and without adopted requests.
+        # Arrival rate of requests; retries by clients and adopted requests are not counted.
         self.request_rate = DecayingRate(RATE_MEMORY_MS)
         self.goodput = DecayingRate(RATE_MEMORY_MS)
-        self.mean_latency_ms = 0.0  # exponentially weighted moving average over responses of all servers
+        self.mean_latency_ms = 0.0  # exponentially weighted mean latency of all servers
         self.concurrency_limit = math.inf
 
     def _init_rollout(self, settings: Settings) -> None:
-        # The rollout update received last. The platform's rules, such as the exposure cap, refer to it.
+        # The rollout update received last. The platform's rules, such as the exposure cap, refer to this
+        # update.
         self.latest_rollout: RolloutUpdate | None = None
         # The most advanced state of a rollout received so far, as ordered by `progress`. Evaluation and votes
-        # refer to it.
+        # refer to this state.
         self.furthest_rollout: RolloutUpdate | None = None
         self.baseline_build = NO_BUILD  # the build that the newest build is compared with
         self.rollback_build = NO_BUILD  # the build that this gateway votes to roll back
         self.trial_started_at = 0.0
         self.stage_started_at = 0.0
-        # Mean latency cost before the newest build's trial. It is updated from attempts at the baseline while
-        # these are not slower than before and the newest build gets too little traffic to slow them down.
+        # Mean latency cost in ms before the newest build's trial. Attempts at the baseline update this mean
+        # while they are not slower than the mean and the newest build gets too little traffic to slow them
+        # down.
         self.baseline_latency_ms = 0.0
-        self.baseline_request_rate = 0.0  # the highest rate during the first stage of the newest build
+        self.baseline_request_rate = 0.0  # highest request rate in the first stage of the newest build
         self.trial_probability = 0.0
         self.trial_probability_valid_until = -math.inf
         self.sticky_share = 0.0  # share of requests whose key binds them to the trial build
         # Arrivals of requests by exposure class, counted for the exposure cap.
         self.request_windows = event_windows(settings.rollout.exposure_window_ms)
-        # With monotonic keys: the newest build that may have responded to each key.
+        # Newest build that may have responded to each key; used only if the setting `monotonic_keys` is on.
         self.sticky_builds: dict[int, int] = {}
-        # The keys bound to builds up to this one were dropped, so no key may go to an older build.
+        # All key bindings to this build and to older builds were dropped, so no key may go to an older
+        # build.
         self.oldest_sticky_build = NO_BUILD
         self.traffic_pause = TrafficPause()
-        # Outcomes, each with the time from which it counts as evidence.
+        # Outcomes not yet counted as evidence, each with the time from which the outcome counts.
         self.pending_outcomes: deque[tuple[float, OutcomeCounts]] = deque()
         exchanges_gossip = settings.limits.gossip and self.gateway_count > 1
         self.gossip_at = -math.inf if exchanges_gossip else math.inf
@@ -137,7 +140,10 @@
     # Servers
 
     def apply_endpoints(self, update: EndpointUpdate) -> None:
-        """Update the servers from an endpoint list; a restart or another build makes a new `Server`."""
+        """Update the servers from an endpoint list.
+
+        A server that restarted or that runs another build is stored as a new `Server`.
+        """
         listed = {entry.server: entry for entry in update.entries}
         if update.kind is not EndpointUpdateKind.INCREMENTAL:
             self.servers = {number: server for number, server in self.servers.items() if number in listed}
@@ -160,9 +166,9 @@
         return [server for server in self.servers.values() if server.build == build]
 
     def slow_start_fraction(self, server: Server, age_offset_ms: float = 0.0) -> float:
-        """Return the least fraction of its full capacity that a server has at its age, 0 to 1.
+        """Return a lower bound of a server's capacity at its age, as a fraction of its warmed-up capacity.
 
-        `age_offset_ms` is first subtracted from the age.
+        The fraction is from 0 to 1. `age_offset_ms` is first subtracted from the server's age.
         """
         age_ms = max(self.now - server.started_ms - age_offset_ms, 0.0)
         if not server.started_ms or age_ms >= self.rules.slow_start_ms:
@@ -179,7 +185,7 @@
     def capacity(self, servers: list[Server], slow_start_power: int) -> float:
         """Return the sum of the servers' relative capacities, with slow start fractions raised to a power.
 
-        With a power above 1, servers in slow start count for less, since they are slow at any load.
+        A power above 1 gives servers in slow start less weight, since such servers are slow at any load.
         """
         capacity = 0.0
         for server in servers:
@@ -188,14 +194,14 @@
         return capacity
 
     def as_candidate(self, server: Server) -> Candidate:
-        """Return the data on a server that a placement policy gets."""
+        """Return the data that a placement policy gets on a server."""
         latency_ms = self.kind_latency_ms.get(server.kind, 0.0)
         return server.as_candidate(self.slow_start_fraction(server), latency_ms, self.settings.zone)
 
     # Requests and attempts
 
     def admit(self, request: Request) -> InFlightRequest:
-        """Record a request that arrives now; an adopted one was already counted at its first gateway."""
+        """Record a request that arrives now; an adopted request was already counted by its first gateway."""
         request_class = self.settings.classes[request.class_index]
         per_class = self.rollout_settings.exposure_per_class
         in_flight = InFlightRequest(request, request_class, self.now, per_class)
@@ -209,7 +215,7 @@
         return in_flight
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Record an attempt that is sent now, and count it for its server and its request."""
+        """Record an attempt that is sent now, and update the counts of its server and its request."""
         if attempt.in_flight.attempt_count == 0:
             self.latency_samples.append(attempt)
         self.attempts[attempt.in_flight.request.request, attempt.number] = attempt
@@ -218,7 +224,7 @@
         attempt.in_flight.add_attempt(attempt)
 
     def finish_attempt(self, request: int, number: int) -> Attempt | None:
-        """Remove an outstanding attempt and return it, or None if it is unknown."""
+        """Remove and return an outstanding attempt; return None if no such attempt is outstanding."""
         attempt = self.attempts.pop((request, number), None)
         if attempt is not None:
             attempt.server.outstanding -= 1
@@ -232,7 +238,7 @@
         return [number for number in numbers if (request, number) in self.attempts]
 
     def record_latency(self, attempt: Attempt, elapsed_ms: float, weight: float) -> None:
-        """Add the latency of a response to the moving averages of all servers and of its machine kind."""
+        """Add the latency of a response to the moving averages of all servers and of the machine kind."""
         average = self.mean_latency_ms
         self.mean_latency_ms += weight * (elapsed_ms - average) if average else elapsed_ms
         warm_ms = elapsed_ms * attempt.slow_start_fraction
@@ -251,7 +257,7 @@
             self.sticky_builds[key] = max(build, self.sticky_builds.get(key, 0))
 
     def forget_sticky_builds(self, newest: int) -> None:
-        """Drop the keys bound to builds up to `newest`; no key may go to a build older than that."""
+        """Drop the keys bound to builds up to `newest`; no key may go to a build older than `newest`."""
         self.oldest_sticky_build = newest
         self.sticky_builds = {key: build for key, build in self.sticky_builds.items() if build > newest}
 
@@ -261,7 +267,7 @@
         """Process an update on the newest build's rollout.
 
         Every update is stored in `latest_rollout`, which the platform's rules refer to. An update that
-        arrives late, with an earlier state than one before it, does not replace `furthest_rollout`.
+        arrives late, with a state earlier than `furthest_rollout`, does not replace `furthest_rollout`.
         """
         furthest = self.furthest_rollout
         self.latest_rollout = update
@@ -289,7 +295,7 @@
             del self.build_evidence[build]
 
     def _release_keys_between(self, baseline_build: int, newest_build: int) -> None:
-        """Unbind keys from the builds between the baseline and the newest build: they were rolled back."""
+        """Unbind keys from builds between the baseline and the newest, since those were rolled back."""
         self.oldest_sticky_build = min(self.oldest_sticky_build, baseline_build)
         self.sticky_builds = {
             key: build
@@ -298,7 +304,7 @@
         }
 
     def set_timer(self, due_at: float, token: int) -> None:
-        """Set the timer to a time in ms, unless it is already set to an earlier one."""
+        """Set the timer to a time in ms, unless the timer is already set to an earlier time."""
         if due_at < self.timer_at:
             self.timer_at = due_at
             self.actions.append(SetTimer(due_at - self.now, token))
--- a/meadowpulley/state/traffic_pause.py
+++ b/meadowpulley/state/traffic_pause.py
@@ -11,9 +11,11 @@
     def __init__(self) -> None:
         """Start without a pause."""
         self.active = False
-        self.count = 0  # number of pauses in short succession, including the last one
+        self.count = 0  # number of pauses in short succession, including the latest pause
         self.changed_at = -math.inf  # time at which the last pause began or ended
-        self.slow_since = math.inf  # start of a slowdown without a baseline to compare with; inf if none
+        # Start of the current slowdown, recorded only while the newest build gets all traffic and therefore
+        # has no baseline to be compared with; infinite if there is no such slowdown.
+        self.slow_since = math.inf
 
     def begin(self, now: float, memory_ms: float) -> None:
         """Begin a pause; `count` restarts at 1 unless the last pause ended less than `memory_ms` ago."""
--- a/meadowpulley/state/votes.py
+++ b/meadowpulley/state/votes.py
@@ -10,18 +10,19 @@
 
 
 class VoteState:
-    """The last vote that was sent, and the platform's reply to it. Times are milliseconds."""
+    """The last vote that was sent, and the platform's reply to that vote. Times are milliseconds."""
 
     def __init__(self) -> None:
         """Start without a vote."""
         self.last_vote = Vote(NO_BUILD, 0, Verdict.NONE)
         self.sent_at = -math.inf
         self.valid_until = -math.inf
-        self.backoff_until = -math.inf  # no vote is sent before this time: the platform got too many votes
+        # No vote is sent before this time, since the platform rejected a vote for exceeding its rate limit.
+        self.backoff_until = -math.inf
         self.acknowledged = True
 
     def acknowledge(self, result: Result, valid_until: float) -> None:
-        """Process the platform's reply to the vote; an accepted vote counts until `valid_until`."""
+        """Process the platform's reply to the last vote; an accepted vote counts until `valid_until`."""
         self.acknowledged = True
         if result is Result.OK:
             self.valid_until = valid_until
