--- a/meadowpulley/interface/log_events.py
+++ b/meadowpulley/interface/log_events.py
@@ -45,7 +45,7 @@
 
     event_name: ClassVar[str] = "endpoint_list_expired"
 
-    age_ms: float  # age of the list: it contains all changes up to this many ms ago
+    age_ms: float  # age of the endpoint list, which contains all changes up to this many ms ago
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
 
     event_name: ClassVar[str] = "endpoint_list_renewed"
 
-    age_ms: float  # age of the list: it contains all changes up to this many ms ago
+    age_ms: float  # age of the endpoint list, which contains all changes up to this many ms ago
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExperimentArmHarmful:
-    """An arm of a placement experiment costs more than the guard allows."""
+    """An arm of a placement experiment costs more than the experiment's guard allows."""
 
     event_name: ClassVar[str] = "experiment_arm_harmful"
 
--- a/meadowpulley/settings/types.py
+++ b/meadowpulley/settings/types.py
@@ -23,7 +23,7 @@
 
 
 class StageGate(Enum):
-    """How votes move a rollout from stage to stage.
+    """The rule by which votes move a rollout from stage to stage.
 
     With TIMER, a stage ends after a set time unless enough gateways vote to hold. Otherwise a stage ends
     when enough gateways have voted to advance and the stage's soak time is over.
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """How the platform rolls out builds, counts votes and limits exposure."""
+    """The settings by which the platform rolls out builds, counts votes and limits exposure."""
 
     gate: StageGate = StageGate.ANY
     in_place: bool = False
--- a/meadowpulley/state/averages.py
+++ b/meadowpulley/state/averages.py
@@ -46,7 +46,7 @@
         self.count(now, WINDOW_MARGIN_MS)
 
     def count(self, now: float, margin_ms: float = 0.0) -> int:
-        """Return the number of events within the window plus the margin, and drop older events."""
+        """Return the number of events within the window plus `margin_ms`, and drop older events."""
         while self.times and self.times[0] < now - self.memory_ms - margin_ms:
             self.times.popleft()
         return len(self.times)
--- a/meadowpulley/state/failure_test.py
+++ b/meadowpulley/state/failure_test.py
@@ -73,8 +73,9 @@
         """Return the strongest evidence that the build fails too often, as a log likelihood ratio.
 
         The maximum is taken over all request classes and all tested increases of the failure rate. Each
-        server contributes at most `server_limit` to the evidence. The platform's statistics count only if
-        the contributions of all servers add up to more than `min_own`.
+        server contributes at most `server_limit`, and the sum of these contributions counts up to the ratio
+        of all servers together. The platform's statistics count only if the contributions add up to more
+        than `min_own`.
         """
         strongest = 0.0
         for sums in self.log_odds.values():
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -202,7 +202,7 @@
 
 
 def _add_outcome(counts: ClassCounts | None, outcome: OutcomeCounts, of_newest: bool) -> ClassCounts:
-    """Return a class's counts plus an outcome of the newest build (`of_newest`) or of its baseline."""
+    """Return a class's counts with an outcome added for the newest build (`of_newest`) or its baseline."""
     if counts is None:
         counts = ClassCounts(outcome.class_index, 0, 0, 0, 0)
     if of_newest:
--- a/meadowpulley/state/requests.py
+++ b/meadowpulley/state/requests.py
@@ -100,7 +100,7 @@
 
 
 def _prior_attempt(in_flight: InFlightRequest, prior: PriorAttempt) -> Attempt:
-    """Return an attempt that an earlier gateway made, kept like an outstanding attempt."""
+    """Return a record of an attempt that an earlier gateway made; its outcome is unknown."""
     endpoint = ServerEntry(
         server=prior.server,
         cell=prior.cell,
--- a/meadowpulley/state/rollout.py
+++ b/meadowpulley/state/rollout.py
@@ -1,4 +1,4 @@
-"""State of a rollout: evidence on a build, bounds of its slowdown, and the order of rollout states."""
+"""State of a rollout: evidence on a build, bounds of the build's slowdown, order of rollout states."""
 
 from __future__ import annotations
 
