--- a/meadowpulley/policy/admission.py
+++ b/meadowpulley/policy/admission.py
@@ -7,10 +7,10 @@
 from meadowpulley.policy.routing import route
 from meadowpulley.state import InFlightRequest, State
 
-WAITING_POLL_INTERVAL_MS = 50.0  # longest time until the gateway tries again to send waiting requests
-MAX_WAIT_FRACTION = 0.25  # longest wait for a server, as a fraction of the latency objective
-# Fraction of the idle timeout of connections. The subset grows to as many servers as requests arrive in that
-# time, so that each server gets a request long before its connection is closed as idle.
+WAITING_POLL_INTERVAL_MS = 50.0  # longest interval, in ms, between tries to send waiting requests
+MAX_WAIT_FRACTION = 0.25  # longest wait for a server, as a fraction of a request's latency objective
+# The subset grows to as many servers as requests arrive in this fraction of the connections' idle timeout.
+# Each server then gets a request long before the connection to the server is closed as idle.
 SUBSET_IDLE_FRACTION = 0.1
 
 
@@ -18,10 +18,10 @@
     """Admit a request, or reject it at once if the concurrency limit is reached."""
     in_flight = state.admit(request)
     _grow_subset(state)
-    if not request.adopted:  # the gateway that received an adopted request counted it
+    if not request.adopted:  # an adopted request was counted by the gateway that received it
         retry_budget.replenish(state)
     if concurrency_limit.is_reached(state):
-        give_up(state, in_flight)  # without queueing it: its response would be too late
+        give_up(state, in_flight)  # the request is not queued, as its response would be too late
     else:
         route_or_queue(state, in_flight)
 
@@ -34,7 +34,11 @@
 
 
 def route_or_queue(state: State, in_flight: InFlightRequest) -> None:
-    """Send the request, or queue it while it can still be answered in time; otherwise give it up."""
+    """Send the request if a server is available; otherwise queue the request or give it up.
+
+    A request is queued only while a response in time is still possible. A request with outstanding attempts
+    is not given up.
+    """
     if route(state, in_flight):
         return
     if _may_wait(state, in_flight):
@@ -44,7 +48,7 @@
 
 
 def _may_wait(state: State, in_flight: InFlightRequest) -> bool:
-    """Return whether a server that the request may be sent to can still become available in time."""
+    """Return whether the request can still be sent and answered in time if it waits for a server."""
     if state.now >= _wait_until(state, in_flight):
         return False
     if in_flight.attempt_count >= state.settings.limits.max_attempts:
--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -2,7 +2,7 @@
 
 A response within its latency objective raises the limit if more than half of the limit is in use; a late
 response lowers it. The increase and the decrease balance when one response in five is late. The limit
-sheds load: a request that would exceed it is rejected at once.
+sheds load: a request that would exceed the limit is rejected at once.
 """
 
 import math
@@ -12,11 +12,11 @@
 
 LIMIT_INCREASE = 0.1  # attempts added to the limit for each response within its latency objective
 LIMIT_DECREASE = 0.4  # attempts subtracted from the limit for each late response
-# Attempts in flight per server that all gateways together may always have; each gateway's limit is at least
-# its part of them.
+# Attempts in flight per server that all gateways together may always have. This number is divided equally
+# among the gateways, and a gateway's limit never falls below its part.
 MIN_LIMIT_PER_SERVER = 2.0
-# Standard deviations of a Poisson count by which the number of attempts in flight may exceed its typical
-# value by chance, which matters when only a few are in flight.
+# Standard deviations of a Poisson count by which the number of attempts in flight may grow by chance. The
+# limit leaves room for this growth, which is relatively large when few attempts are in flight.
 MAX_DEVIATIONS = 3.0
 
 
@@ -52,10 +52,11 @@
 
 
 def _highest_limit(state: State, outstanding: int) -> float:
-    """Return the highest limit that still ends an overload: about twice the typical attempts in flight.
+    """Return the upper bound that an overload sets to the limit: about twice the attempts in flight.
 
-    The typical number is that of the outstanding attempts or, if higher, goodput times mean latency, which
-    by Little's law is the number of attempts that are being served.
+    A limit far above the attempts in flight would be decreased many times before it rejected any request,
+    and the overload would go on meanwhile. The attempts in flight are the outstanding attempts or, if higher,
+    goodput times mean latency. By Little's law, this product is the number of attempts that are being served.
     """
     typical = max(outstanding, state.goodput.value(state.now) * state.mean_latency_ms)
     return typical + max(typical, MAX_DEVIATIONS * math.sqrt(typical)) + 1
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -5,9 +5,10 @@
 send to a server that is draining or removed. So the gateway may use an entry of its list only until the
 drain grace ends for the earliest change that its list could be missing.
 
-Only information from discovery renews the lease, and it counts from the time at which discovery was asked. A
-server's response does not renew it, even if successful: it may come from a later incarnation at the same
-address, which discovery does not list yet, and a response does not say which incarnation sent it.
+Only information from discovery renews the lease. The renewed lease counts from the time at which discovery
+was asked. A successful response of a server does not renew the lease. The response may come from a later
+incarnation at the same address, which discovery does not list yet. A response does not say which incarnation
+sent it.
 
 If g is the drain grace minus `allowance_ms`, the list may be used
 
@@ -25,26 +26,29 @@
 from meadowpulley.state import Server, State
 
 # The platform's protocol page defines when a change counts as notified: at the latest 6 s after discovery
-# has it, or 2 s after the wait of an open long poll is over, if that is later.
+# has the change, or 2 s after the wait of an open long poll is over, if that is later.
 NOTIFICATION_MS = 6_000.0
 LONG_POLL_NOTIFICATION_MS = 2_000.0
-# How long, in ms, a gateway may stall between reading its clock and writing a request. It is subtracted from
-# the drain grace and from deduplication windows; no other constant allows for such stalls.
+# How long, in ms, a gateway may stall between reading its clock and writing a request. This time is
+# subtracted from the drain grace and from deduplication windows; no other constant allows for such stalls.
 STALL_ALLOWANCE_MS = 150.0
 
 
 class LeaseBasis(Enum):
-    """Whose confirmation of the endpoint list permits a send; the value is the name of its counter."""
+    """Says whether the endpoint list's own lease or a confirmation by a peer permits a send.
+
+    Each value is the name of a counter of sends.
+    """
 
     LIST = "list"
     PEER = "peer"
 
 
 def allowance_ms(state: State, span_ms: float) -> float:
-    """Return how many ms before the end of a time span a write has to be decided at the latest.
+    """Return the time, in ms, that must be left of a time span when the gateway decides to write.
 
-    This leaves time for a stall between the decision, which reads the clock, and the write itself, and for
-    the length of a clock tick. It is at most half of the span.
+    The gateway reads the clock when it decides. The time that is left covers a stall between the decision and
+    the write, and the length of a clock tick. The result is at most half of the span.
     """
     return min(STALL_ALLOWANCE_MS + state.settings.tick_ms, span_ms / 2)
 
@@ -55,9 +59,9 @@
 
 
 def _grace_ms(state: State) -> float:
-    """Return how long, in ms on this gateway's clock, a change may be ignored after its notification.
+    """Return how long, in ms, this gateway may ignore a change that counts as notified.
 
-    This is the drain grace minus the allowance for stalls.
+    The time is the drain grace minus the allowance for stalls, measured on this gateway's clock.
     """
     grace_ms = state.rules.drain_grace_ms
     return grace_ms - allowance_ms(state, grace_ms)
@@ -67,15 +71,19 @@
 
 
 def start_from_cache(state: State) -> None:
-    """Start the lease on a list of unknown age: changes to it count as notified when the process starts."""
+    """Start the lease on a list of unknown age.
+
+    Changes to the list count as notified when the process starts.
+    """
     _confirm_as_of(state, state.now - _notification_ms(state))
 
 
 def confirm_list(state: State, as_of_ms: float | None) -> None:
     """Renew the lease with a list that holds all changes up to the time `as_of_ms`.
 
-    The time is None if discovery pushes each later change, and otherwise reports a failure. The lease then
-    lasts while the watch is open, and after that for the drain grace minus the allowance for stalls.
+    `as_of_ms` is None if discovery pushes changes. The gateway then receives every later change, or learns
+    that the watch failed. Such a lease lasts while the watch is open, and after the end of the watch for the
+    drain grace minus the allowance for stalls.
     """
     if as_of_ms is None:
         state.endpoint_list.confirmed_at = state.now
@@ -90,7 +98,7 @@
 
 
 def watch_ended(state: State, as_of_ms: float | None) -> None:
-    """End a watch; the list holds all changes up to the time `as_of_ms`, or up to now if that is None."""
+    """End a watch whose list holds all changes up to the time `as_of_ms`; None stands for now."""
     state.endpoint_list.watch_covers_until = -math.inf
     _confirm_as_of(state, state.now if as_of_ms is None else as_of_ms)
 
@@ -100,7 +108,7 @@
 
 
 def list_lost(state: State) -> None:
-    """Record that a list sent to this gateway may be lost, although its changes now count as notified."""
+    """Record that a list may have been lost. The changes in a lost list count as notified."""
     state.endpoint_list.lost_at = state.now
 
 
@@ -125,10 +133,11 @@
 
 
 def _unless_lost(state: State, confirmed_at: float, until: float) -> float:
-    """Return `until`, the end of a lease, or an earlier end if a later list may have been lost.
+    """Return the end `until` of a lease, or an earlier time if a later list may have been lost.
 
-    The changes in the lost list count as notified when discovery wrote it. A gateway that stalls may detect
-    the loss `STALL_ALLOWANCE_MS` later, so the drain grace starts by that much before the loss was detected.
+    The changes in a lost list count as notified from the time at which discovery wrote the list. A gateway
+    that stalls may detect the loss `STALL_ALLOWANCE_MS` after that time. The drain grace is therefore counted
+    from `STALL_ALLOWANCE_MS` before the detection.
     """
     lost_at = state.endpoint_list.lost_at
     if confirmed_at >= lost_at:
@@ -137,7 +146,7 @@
 
 
 def lease_basis(state: State) -> LeaseBasis:
-    """Return what permits sends now: the list, or a peer's confirmation once the list has expired."""
+    """Return what permits sends now: the list or, after the list has expired, a peer's confirmation."""
     return LeaseBasis.PEER if _list_expired(state) else LeaseBasis.LIST
 
 
@@ -151,7 +160,10 @@
 
 
 def all_expired(state: State) -> bool:
-    """Return whether there are ready servers but all leases have expired; waiting is then pointless."""
+    """Return whether the leases on all ready servers have expired, so that waiting is pointless.
+
+    The result is False if there are no ready servers.
+    """
     ready = state.trial_servers + state.baseline_servers
     return bool(ready) and not any(is_usable(state, server) for server in ready)
 
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -1,10 +1,10 @@
-"""Confirmation of listed servers by other gateways, while discovery cannot answer this one in time.
+"""Confirmation of listed servers by other gateways, used when discovery answers too late.
 
 Discovery answers the calls of all gateways in turn, and its answer to one gateway is valid for all. A
 gateway whose lease on the list is about to end asks other gateways. A reply confirms each server that both
 gateways list with the same build and start time, as of the time at which the other gateway asked
-discovery. It confirms nothing else: neither that a server responds, nor any server that is missing from
-this gateway's own list.
+discovery. A reply does not confirm that a server responds, nor any server that is missing from this
+gateway's own list.
 """
 
 import math
@@ -23,20 +23,20 @@
 from meadowpulley.policy.outcome_gossip import handle_digest
 from meadowpulley.state import Server, State
 
-QUERY_AHEAD_MS = 3_000.0  # other gateways are queried from this long before the list's lease ends
-QUERY_INTERVAL_MS = 500.0  # interval between two rounds of queries
+QUERY_AHEAD_MS = 3_000.0  # time, in ms, from the first query to other gateways to the end of the list's lease
+QUERY_INTERVAL_MS = 500.0  # interval, in ms, between two rounds of queries
 # Number of gateways queried in a round: the last one that confirmed servers, and random others.
 GATEWAYS_PER_QUERY = 2
-# Number of gateways queried in a round once the lease has ended. It is larger because few gateways have a
-# recent list shortly after an outage of discovery.
+# Number of gateways queried in a round once the lease has ended. The number is larger than
+# `GATEWAYS_PER_QUERY` because few gateways have a recent list shortly after an outage of discovery.
 GATEWAYS_PER_URGENT_QUERY = 8
-MAX_OPEN_QUERIES = 8  # number of the latest rounds of queries whose replies are still accepted
-# Maximum number of ranges of servers that a gateway asks about, one range in each round. A range has as many
-# servers as fit into one reply. The first range starts at the gateway's subset of servers, so this number of
-# ranges includes the subset, however many servers there are.
+MAX_OPEN_QUERIES = 8  # replies are accepted to the queries of this many latest rounds
+# Maximum number of ranges of servers that a gateway asks other gateways about, one range in each round. A
+# range is as many listed servers as one reply can confirm. The first range begins where the gateway's subset
+# of servers begins. These few ranges therefore include a small subset, even if the whole list is long.
 MAX_QUERIED_RANGES = 4
-# Age, in ms, above which a gateway's list is not used for replies: it would extend the lease of the gateway
-# that asks by 1 or 2 s at most.
+# Age, in ms, above which a gateway's list is not used for replies. A reply from an older list would extend
+# the lease of the gateway that asks by 1 or 2 s at most.
 MAX_REPLY_AGE_MS = NOTIFICATION_MS - 1_000.0
 NONCE_BITS = 32
 
@@ -48,7 +48,7 @@
 
 
 def next_query_at(state: State) -> float:
-    """Return when to query other gateways next: not before the lease on the list is about to end."""
+    """Return when to query other gateways next: `QUERY_AHEAD_MS` before the lease ends, or later."""
     if not _is_allowed(state) or not state.servers:
         return math.inf
     first_query_at = list_lease_until(state) - QUERY_AHEAD_MS
@@ -70,7 +70,7 @@
 def _first_server(state: State) -> int:
     """Return the first server of the range to ask for.
 
-    Successive rounds ask for successive ranges, of which the first begins where this gateway's subset does.
+    Successive rounds ask for successive ranges. The first range begins where this gateway's subset begins.
     """
     confirmation = state.confirmation
     ready = _ready_servers(state)
@@ -97,7 +97,7 @@
 
 
 def handle_gossip(state: State, event: GossipReceived) -> None:
-    """Handle a datagram from another gateway: a query, a reply, or otherwise a digest of outcomes."""
+    """Handle a datagram from another gateway: a list query, a list reply, or a digest of outcomes."""
     message = decode(event.data)
     if message is None or event.sender == state.settings.gateway_index:
         handle_digest(state, event)
@@ -108,7 +108,7 @@
 
 
 def _handle_query(state: State, sender: int, query: ListQuery) -> None:
-    """Reply to another gateway, unless this gateway's list is too old to be of much use to it."""
+    """Reply to another gateway's query, unless this gateway's own list is too old to be useful."""
     age_ms = state.now - state.endpoint_list.confirmed_at
     if not _is_allowed(state) or age_ms > min(MAX_REPLY_AGE_MS, MAX_AGE_MS):
         return
@@ -121,7 +121,7 @@
 
 
 def _handle_reply(state: State, sender: int, reply: ListReply) -> None:
-    """Mark as confirmed the servers that the other gateway lists exactly as this one does."""
+    """Mark servers as confirmed that both gateways list with the same build and start time."""
     queried_at = state.confirmation.open_queries.get(reply.nonce)
     if queried_at is None:
         return
@@ -134,7 +134,7 @@
 
 
 def _ready_servers(state: State) -> list[Server]:
-    """Return the ready servers, sorted by id; the result is kept until the next endpoint list."""
+    """Return the ready servers, sorted by id. The result is cached until the next endpoint list."""
     confirmation = state.confirmation
     if confirmation.ready_servers is None:
         confirmation.ready_servers = state.ready_servers()
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -1,11 +1,11 @@
-"""When to call discovery for the endpoint list, so that it can answer the calls of the whole fleet.
+"""Times of the list calls to discovery, spaced so that discovery can answer the whole fleet.
 
 Discovery is one service for all gateways and handles their calls in turn. A call that waits too long
-fails, but discovery still spends the time of its turn on it. If a fleet retried failed calls faster than
-discovery answers them, the retries would fill the very queue in which calls time out, for as long as the
-retries go on. So the gateways together make no more calls, retries included, than one call per gateway in
-the time that discovery may need to answer all of them. However long the pauses are here, `endpoint_lease`
-limits how old a list may become.
+fails, but discovery still spends time on the failed call. If a fleet retried failed calls faster than
+discovery answers calls, the retries would keep the queue full, and calls would go on timing out. The
+gateways together therefore make at most one call per gateway, retries included, in the time that discovery
+may need to answer all gateways. Long pauses are safe, because `endpoint_lease` limits how old a list may
+become.
 """
 
 import math
@@ -13,22 +13,24 @@
 from meadowpulley.interface import EndpointUpdateKind
 from meadowpulley.state import State
 
-# List calls that a fleet would make at the same time are spread over this many ms for each gateway but the
-# first.
+# Mean spacing, in ms, between the list calls of gateways that would otherwise call at the same time. Upper
+# limits on the spread can make the spacing smaller in a large fleet.
 LIST_CALL_SPACING_MS = 100.0
-# First calls are spread over this time at most. Discovery needs 2 to 8 s to handle one call of each gateway,
-# whatever the size of the fleet, and a call may wait 2 s in its queue: calls spread over 6 s fit into both.
+# Longest time, in ms, over which the first calls of a fleet are spread. Discovery needs 2 to 8 s to handle
+# one call of each gateway, for a fleet of any size. A call may wait 2 s in discovery's queue. Even if
+# discovery needs 8 s, calls spread over 6 s are therefore answered in time.
 MAX_FIRST_CALL_MS = 6_000.0
-# Upper limit, in ms, of the random pause after the second failed call in a row, for a small fleet. For a
-# large fleet the limit is twice the time over which its calls are spread, if that is longer. `RETRY_MS` is
-# also the shortest time after which a call without any response is repeated.
+# Upper limit, in ms, of the random pause after the second failed call in a row, for a small fleet. In a
+# large fleet, the limit rises to twice the time over which the fleet's calls are spread. `RETRY_MS` is also
+# the shortest time after which a call without any response is repeated.
 RETRY_MS = 1_500.0
-MAX_RETRY_GROWTH = 2.0  # multiplies RETRY_MS from the third failed call in a row on
-# Longest pause, in ms, after a failed call in a fleet of any size. A call fails after 2 s in the queue; with
-# this pause added, a fleet whose calls all fail calls no faster than discovery can answer.
+MAX_RETRY_GROWTH = 2.0  # factor on RETRY_MS after the third and each later failed call in a row
+# Longest pause, in ms, after a failed call in a fleet of any size. A call fails after 2 s in discovery's
+# queue, and the pause follows. Even if all calls fail, a fleet then makes them no faster than discovery can
+# answer.
 MAX_RETRY_MS = 10_000.0
-# Shortest pause after the second and later failed calls in a row, as a fraction of the pause's upper limit.
-# The pause is drawn at random between the two.
+# Shortest pause after the second and later failed calls in a row, as a fraction of the longest pause. Each
+# pause is drawn at random between the shortest and the longest.
 MIN_RETRY_FRACTION = 0.5
 
 
@@ -51,7 +53,7 @@
 def retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
     """Draw the pause, in ms, between a failed call and the next one."""
     if kind is EndpointUpdateKind.TIMED_OUT:
-        return 0.0  # timeouts are detected late, and by each gateway at a different time
+        return 0.0  # no pause, as gateways detect timeouts late and at different times
     if not state.endpoint_list.consecutive_failures:
         return _first_retry_delay_ms(state, kind)
     growth = min(state.endpoint_list.consecutive_failures, MAX_RETRY_GROWTH)
@@ -61,9 +63,13 @@
 
 
 def _first_retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
-    """Draw the pause, in ms, after a first failure, to spread the retries of calls that failed at once."""
+    """Draw the pause, in ms, after a first failed call.
+
+    A random pause spreads the retries of gateways whose calls failed at the same time.
+    """
     delay_ms = state.rng.random() * _fleet_spread_ms(state)
     if kind is EndpointUpdateKind.BROKEN:
-        # The changes in a list that may have been lost count as notified: retry well within the drain grace.
+        # A list may have been lost, and the changes in a lost list count as notified. The gateway therefore
+        # retries within half of the drain grace.
         return min(delay_ms, state.rng.random() * state.rules.drain_grace_ms / 2)
     return delay_ms
--- a/meadowpulley/policy/endpoints.py
+++ b/meadowpulley/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""Handling of endpoint lists, of failed calls for them, and of watches that open and close."""
+"""Handling of endpoint lists, of failed list calls, and of watches that open and close."""
 
 import math
 
@@ -17,14 +17,14 @@
 
 
 def handle_endpoint_update(state: State, update: EndpointUpdate) -> None:
-    """Apply an endpoint list, or handle the failure of a call for one."""
+    """Apply an endpoint list, or handle a failed list call."""
     if update.kind in CALL_FAILURES:
         _handle_failed_call(state, update)
         return
     if update.kind is EndpointUpdateKind.CACHED:
         endpoint_lease.start_from_cache(state)
-        # Delays the first query to other gateways: in a small fleet discovery answers the first list call
-        # sooner than they would.
+        # The first query to other gateways is delayed, as if a query had just been sent. In a small fleet,
+        # discovery answers the first list call sooner than other gateways would answer a query.
         state.confirmation.queried_at = state.now
     else:
         endpoint_lease.confirm_list(state, update.as_of_ms)
@@ -47,11 +47,11 @@
 
 
 def handle_watch_opened(state: State, event: EndpointWatchOpened) -> None:
-    """Renew the lease, now that discovery holds an open call for the next change."""
+    """Renew the lease when discovery holds a call open until the endpoint list changes."""
     endpoint_lease.confirm_list(state, event.as_of_ms)
     endpoint_lease.watch_opened(state, event.wait_ms)
 
 
 def handle_watch_closed(state: State, event: EndpointWatchClosed) -> None:
-    """End the watch after this gateway itself has closed the call for the next change."""
+    """End the watch after this gateway has closed the call that waited for the next change."""
     endpoint_lease.watch_ended(state, event.as_of_ms)
--- a/meadowpulley/policy/exposure.py
+++ b/meadowpulley/policy/exposure.py
@@ -1,5 +1,8 @@
-"""The exposure cap of a build on trial, its guarded stages, and the builds that keys are bound to.
+"""Limits on which requests may go to a build on trial, and on the builds that a key may go to.
 
+In the first stages of a rollout, as many as the setting `guarded_stages` says, a build on trial gets
+idempotent requests only. A key may be bound to a build. Requests with the key
+then do not go to older builds.
 Within a time window, the number of attempts sent to a build on trial is at most the exposure allowance plus
 the cap times the number of requests.
 """
@@ -24,9 +27,10 @@
 
 
 def _key_allows(state: State, in_flight: InFlightRequest, server: Server) -> bool:
-    """Return whether the key allows the build: no newer build may have answered a request with this key.
+    """Return whether the key of a request allows the server's build.
 
-    A build that is being or has been rolled back does not count as newer.
+    The build is not allowed if a newer build may have answered a request with the same key. A build
+    that is being or has been rolled back does not count as newer.
     """
     key = in_flight.request.key
     if not key:
@@ -38,7 +42,7 @@
         return False
     if is_on_trial(state, server.build) or not state.rollout_settings.monotonic_keys:
         return True
-    # A later build may already have answered an outstanding attempt.
+    # A server of a newer build may already have answered an attempt whose outcome has not arrived yet.
     attempts = state.attempts.values()
     later = [attempt.in_flight.request.key for attempt in attempts if attempt.server.build > newest_build]
     return key not in later
@@ -47,8 +51,8 @@
 def _within_cap(state: State, in_flight: InFlightRequest, build: int, cap: float) -> bool:
     """Return whether one more attempt at the build stays within the cap.
 
-    Attempts are counted over a window that is one tick longer, and requests over one that is one tick
-    shorter, so that times which are wrong by up to a tick do not break the cap.
+    Attempts are counted over a window one tick longer than the exposure window, and requests over a window
+    one tick shorter. Times that are wrong by up to a tick therefore do not break the cap.
     """
     tick_ms = state.settings.tick_ms
     exposure_class = in_flight.exposure_class
--- a/meadowpulley/policy/final_response.py
+++ b/meadowpulley/policy/final_response.py
@@ -5,7 +5,7 @@
 
 
 def give_up(state: State, in_flight: InFlightRequest) -> None:
-    """Give a request up: reject it if a retry by the client is harmless, otherwise fail it."""
+    """Give up a request: reject it if a retry by the client is harmless, otherwise fail it."""
     request = in_flight.request.request
     state.in_flight.pop(request, None)
     if _client_may_retry(in_flight):
@@ -25,7 +25,7 @@
 def cancel_outstanding(state: State, in_flight: InFlightRequest) -> None:
     """Cancel the outstanding attempts of a finished request, if the servers can drop them.
 
-    This spares the servers useless work.
+    Cancelling spares the servers work on responses that are no longer needed.
     """
     if state.settings.limits.cancellation and not in_flight.streaming:
         numbers = state.outstanding_attempts(in_flight)
--- a/meadowpulley/policy/outcomes.py
+++ b/meadowpulley/policy/outcomes.py
@@ -16,7 +16,7 @@
 # Slow start fraction from which the timeouts and latencies of a server count as evidence on its build. At a
 # server with a smaller fraction, requests may be slow or time out only because they queue.
 WARMED_UP_FRACTION = 0.8
-# Time from sending an attempt until its failure counts as evidence, in mean latencies. Errors arrive sooner
+# A failed attempt counts as evidence this many mean latencies after it was sent. Errors arrive sooner
 # than the successful responses to requests sent at the same time, so without this delay the newest outcomes
 # would hold too many errors.
 FAILURE_DELAY_LATENCIES = 2.0
@@ -49,9 +49,10 @@
     """Update server health, the evidence on the build and the concurrency limit with an outcome."""
     result = outcome.result
     ok = result is Result.OK
-    # If this gateway stalled after it sent an attempt, it does not know how long the attempt took. Such an
-    # outcome is not used for the server's health, timeout evidence, the concurrency limit or latencies. It
-    # still counts as goodput and as evidence on the build, and still binds the request's key.
+    # If this gateway stalled after it sent an attempt, the gateway does not know how long the attempt took.
+    # Such an outcome is not used for the server's health, timeout evidence, the concurrency limit or
+    # latencies. The outcome still counts as goodput and as evidence on the build, and still binds the
+    # request's key.
     latency_known = attempt.sent_at >= state.resumed_at
     if latency_known and result not in NO_HEALTH_SIGNAL:
         update_health(state, attempt.server, result)
@@ -71,7 +72,7 @@
 def _collect_evidence(state: State, attempt: Attempt, outcome: Outcome) -> None:
     """Keep a response as evidence on the build that sent it.
 
-    A broken connection is no such evidence: the network or the machine is to blame for it.
+    Broken connections are not kept as evidence, because the network or the machine is to blame for them.
     """
     ok = outcome.result is Result.OK
     error = outcome.result is Result.ERROR
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -30,19 +30,22 @@
 STALL_THRESHOLD_MS = 250.0
 MIN_SUBSET_SIZE = 8  # minimum number of servers in the subset that a gateway prefers
 TIMER_TOKEN = 1  # identifies the only timer of the policy
-OUTSTANDING_POLL_INTERVAL_MS = 200.0  # interval of the checks for servers that do not respond
-# Added to the seed, so that the incarnation number in digests comes from a separate random sequence.
+OUTSTANDING_POLL_INTERVAL_MS = 200.0  # interval, in ms, of the checks for servers that do not respond
+# This offset is added to the policy's seed, so that the incarnation number in digests comes from a random
+# sequence of its own.
 GOSSIP_SEED = 1
-BASE_CONFIDENCE_Z = 2.0  # standard errors from an estimate to its confidence bounds, for one gateway
-# Standard errors added for each e-fold increase of the number of gateways. The more gateways there are, the
-# more likely it is that one of them is wrong by chance.
+BASE_CONFIDENCE_Z = 2.0  # standard errors between estimate and confidence bound, for one gateway
+# Standard errors added to `BASE_CONFIDENCE_Z` for each e-fold increase of the number of gateways. With more
+# gateways, it is more likely that at least one of them has an estimate that is wrong by chance.
 FLEET_CONFIDENCE_Z = 0.5
 
 
 def handle_timer(state: State, _: interface.Timer) -> None:
-    """Do what is due: list calls and queries, outlier ejection, waiting requests, gossip, evaluation.
+    """Do the work that is due when the timer fires.
 
-    Evaluation compares the build on trial with the baseline and votes on the rollout.
+    The work is list calls and queries to other gateways, outlier ejection, another try to send waiting
+    requests, gossip, and evaluation. Evaluation compares the build on trial with the baseline and votes on
+    the rollout.
     """
     state.timer_at = math.inf if state.now >= state.timer_at else state.timer_at
     if state.now >= state.endpoint_list.poll_at:
@@ -97,7 +100,7 @@
 class RolloutPolicy(State):
     """Decides where one gateway sends its requests and how it votes on rollouts.
 
-    `handle` takes each event and returns the actions that the gateway has to carry out.
+    The method `handle` takes one event and returns the actions that the gateway has to carry out.
     """
 
     def __init__(
@@ -108,10 +111,11 @@
         Args:
             settings: The settings that the platform gives a gateway when it starts.
             seed: The seed of all random decisions.
-            placements: The placement policy of each arm of an experiment; the first one is not used.
+            placements: The placement policy of each arm of an experiment. The entry of arm 0 is ignored,
+                because arm 0 places requests by this policy's own rules.
         """
         super().__init__(settings, seed)
-        # How long a request of the class with the shortest latency objective may wait for a server.
+        # Longest wait for a server, in ms, of a request whose class has the shortest latency objective.
         max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION
         interval_ms = admission.WAITING_POLL_INTERVAL_MS
         self.waiting_poll_interval_ms = min(interval_ms, max_wait_ms) or interval_ms
@@ -144,10 +148,13 @@
         return self.actions
 
     def _next_due_at(self) -> float:
-        """Return when the timer has to fire next; infinity while the gateway is idle, to use no CPU."""
+        """Return the time at which the timer fires next.
+
+        The time is infinity for an idle gateway, which then uses no CPU.
+        """
         idle_ms = OUTSTANDING_POLL_INTERVAL_MS if self.attempts else math.inf
         requests_at = self.now + (self.waiting_poll_interval_ms if self.waiting else idle_ms)
-        # Digests that were received become outdated, so they are evaluated even while there are no requests.
+        # Received digests become outdated, so the gateway evaluates them even while it has no requests.
         gossip_at = self.gossip_at if self.gossip.received else math.inf
         query_at = endpoint_list_confirmation.next_query_at(self)
         return min(self.evaluate_at, self.endpoint_list.poll_at, gossip_at, requests_at, query_at)
--- a/meadowpulley/policy/retry_budget.py
+++ b/meadowpulley/policy/retry_budget.py
@@ -1,8 +1,8 @@
 """The retry budget: limits retries to a fraction of requests, so that they do not prolong overloads.
 
 Each request that arrives at this gateway adds a fraction of a retry to the budget, even if the request is
-then shed. Each retry after an attempt has ended takes one from it. The first attempt that this gateway
-makes for an adopted request takes none.
+then shed. Each retry after an attempt has ended takes one retry from the budget. The first attempt that
+this gateway makes for an adopted request takes nothing from the budget.
 """
 
 from meadowpulley.state import State
@@ -24,5 +24,5 @@
 
 
 def spend(state: State) -> None:
-    """Subtract a retry that was sent from the budget."""
+    """Take one retry from the budget, after the retry was sent."""
     state.retry_budget -= RETRY_COST
--- a/meadowpulley/policy/retry_eligibility.py
+++ b/meadowpulley/policy/retry_eligibility.py
@@ -1,7 +1,8 @@
-"""Whether, where and until when a request may be executed again after attempts that may have run.
+"""Decides whether, at which servers and until when a request may be executed again.
 
-A request must not take effect twice. A non-idempotent request is therefore never repeated. A request with an
-idempotency key is repeated only at servers that drop duplicates of it, and only while they remember the key.
+The rules apply after an attempt that may have executed the request, as a request must not take effect twice.
+A non-idempotent request is therefore not repeated after such an attempt. A request with an idempotency key is
+repeated only at servers that drop duplicates of the request, and only while those servers remember the key.
 """
 
 import math
@@ -12,12 +13,12 @@
 
 
 def may_repeat(state: State, in_flight: InFlightRequest, server: Server) -> bool:
-    """Return whether the server may execute the request despite all attempts that may have executed it."""
+    """Return whether the server may execute the request even if any earlier attempt executed it."""
     return all([_may_follow(state, previous, server) for previous in in_flight.possible_executions])
 
 
 def _may_follow(state: State, previous: Attempt, server: Server) -> bool:
-    """Return whether the server may execute the request although `previous` may have executed it."""
+    """Return whether the server may execute the request even if the attempt `previous` executed it."""
     if state.now >= _repeatable_until(state, previous):
         return False
     request_class = previous.in_flight.request_class
@@ -34,9 +35,9 @@
 
 
 def _repeatable_until(state: State, previous: Attempt) -> float:
-    """Return the time until which a request may be executed again that `previous` may have executed.
+    """Return the time until which the request of the attempt `previous` may be executed again.
 
-    It is infinite for an idempotent request, and has always passed for a non-idempotent one.
+    The time is infinity for an idempotent request, and minus infinity for a non-idempotent request.
     """
     request_class = previous.in_flight.request_class
     if request_class.effect is Effect.IDEMPOTENT:
--- a/meadowpulley/policy/send_permission.py
+++ b/meadowpulley/policy/send_permission.py
@@ -1,11 +1,12 @@
 """Decides whether a request may be sent to a server now, and until when, or gives the reason why not.
 
-No other module decides this: `may_send` checks every attempt, whether it is the first of a request, a retry,
-one that follows a health probe, or one of an adopted request. The gateway checks again when it writes the
-request (`net/write_permission.py`), and refuses to write it after the time that `write_by` returned.
+Every attempt has to pass `may_send`: the first attempt of a request, a retry, an attempt after a health
+probe, and an attempt for an adopted request. No other module decides whether to send. The gateway checks
+again when it writes a request (`net/write_permission.py`), and writes nothing after the time that `write_by`
+returned.
 
-The checks here are strict rules. Sending nothing to an ejected server is only a preference:
-`server_selection` leaves such servers out beforehand.
+The checks here are strict rules. Avoiding ejected servers is only a preference, which `server_selection`
+applies before these checks.
 """
 
 from enum import Enum
@@ -18,10 +19,10 @@
 
 
 class SendRefusal(Enum):
-    """Why a request may not be sent to a server now; the value is the name of the reason's counter.
+    """Says why a request may not be sent to a server now. Each value is the name of a counter.
 
     To add a reason, define it here and check it in `send_refusal`, at its place in the order of the
-    checks. If it can arise between the decision to send and the write, also check it in `write_by` or
+    checks. If the reason can arise between the decision to send and the write, also check it in `write_by` or
     `net/write_permission.py`. The counter `send_refused.*` and the entry in `interval_metrics` are added
     automatically, but docs/on-call.md and the table of rules in docs/design.md have to be edited.
     """
@@ -83,7 +84,8 @@
 def write_by(state: State, in_flight: InFlightRequest, server: Server) -> float:
     """Return the time until which a request may be written to the server, in ms on the events' clock.
 
-    A request is sent when the policy decides to, but written only once a connection is available. Until then,
-    the lease on the endpoint list may end, or servers may cease to drop duplicates of the request.
+    The policy decides to send a request, but the gateway writes the request only when a connection is
+    available. Until the write, the lease on the endpoint list may end, or servers may cease
+    to drop duplicates of the request.
     """
     return min(usable_until(state, server), repeatable_until(state, in_flight))
