--- a/meadowpulley/policy/__init__.py
+++ b/meadowpulley/policy/__init__.py
@@ -1,4 +1,4 @@
-"""All decisions of meadowpulley; the settings, events and actions are in meadowpulley/interface.
+"""Makes all decisions of meadowpulley. Settings, events and actions are in meadowpulley/interface.
 
 The modules, in reading order, handle requests (`admission`, `concurrency_limit`, `routing` with
 `trial_assignment`, `server_selection`, `server_subset` and `health_probes`, `sending`, `outcomes`,
--- a/meadowpulley/policy/admission.py
+++ b/meadowpulley/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: load shedding on arrival, and queueing while no server may be sent to."""
+"""Admission of requests: load shedding on arrival, and queueing while no server is available."""
 
 from meadowpulley.interface import Effect, Request
 from meadowpulley.policy import concurrency_limit, retry_budget
--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -52,7 +52,7 @@
 
 
 def _highest_limit(state: State, outstanding: int) -> float:
-    """Return the upper bound that an overload sets to the limit: about twice the attempts in flight.
+    """Return the limit's upper bound during an overload: about twice the attempts in flight.
 
     A limit far above the attempts in flight would be decreased many times before it rejected any request,
     and the overload would go on meanwhile. The attempts in flight are the outstanding attempts or, if higher,
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -51,7 +51,7 @@
 
 
 def retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
-    """Draw the pause, in ms, between a failed call and the next one."""
+    """Draw the pause, in ms, between a failed list call and the next list call."""
     if kind is EndpointUpdateKind.TIMED_OUT:
         return 0.0  # no pause, as gateways detect timeouts late and at different times
     if not state.endpoint_list.consecutive_failures:
--- a/meadowpulley/policy/outcomes.py
+++ b/meadowpulley/policy/outcomes.py
@@ -1,6 +1,6 @@
 """Handles outcomes of attempts: records what they show, and decides what happens to the requests.
 
-After an outcome, the request ends, is retried or is given up. What is recorded concerns the health of the
+After an outcome, the request ends, is retried or is given up. The records concern the health of the
 server, the build, latencies and the concurrency limit.
 """
 
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -1,4 +1,4 @@
-"""The policy of one gateway: dispatches each event to its handler and keeps a single timer set."""
+"""The policy of one gateway: dispatches each event to its handler and sets the only timer."""
 
 import math
 from collections import defaultdict
--- a/meadowpulley/policy/retry_budget.py
+++ b/meadowpulley/policy/retry_budget.py
@@ -14,7 +14,7 @@
 
 
 def replenish(state: State) -> None:
-    """Add the budget for one request that arrived at this gateway."""
+    """Add the fraction of a retry that one arriving request contributes to the budget."""
     state.retry_budget = min(state.retry_budget + BUDGET_PER_REQUEST, MAX_BUDGET)
 
 
