--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -20,38 +20,40 @@
     State,
 )
 
-MIN_SAMPLES = 20  # minimum number of outcomes per build before an estimate from them is used
-MIN_FAILURE_RATE = 0.02  # lowest failure rate that the test assumes for any build
-MAX_BASELINE_FAILURE_RATE = 0.8  # highest failure rate that the test assumes for the baseline
-# Smallest increase of the failure rate that the test looks for, as a part of the baseline's rate.
+MIN_SAMPLES = 20  # minimum number of outcomes per build for a usable estimate
+MIN_FAILURE_RATE = 0.02  # lowest failure rate that the failure test assumes for any build
+MAX_BASELINE_FAILURE_RATE = 0.8  # highest failure rate that the failure test assumes for the baseline
+# Smallest increase of the failure rate that the failure test looks for, as a part of the baseline's rate.
 RELATIVE_FAILURE_INCREASE = 0.5
-FAILURE_INCREASE = 0.1  # smallest difference to the baseline's failure rate that the test looks for
-# Smallest such difference that the test looks for in the pooled outcomes of many gateways.
+# Smallest difference to the baseline's failure rate that the test looks for in this gateway's own outcomes.
+FAILURE_INCREASE = 0.1
+# Smallest difference to the baseline's failure rate that the test looks for in the outcomes of all gateways.
 POOLED_FAILURE_INCREASE = 0.04
-# Greatest failure rate that one broken server may explain in the platform's statistics, which do not say
-# which server failed. It is added to the expected failure rate.
+# The platform's statistics do not say which server failed, so one broken server may explain some failures.
+# The expected failure rate is raised by one server's part of the requests, but by at most this amount.
 MAX_SERVER_FAILURE_SHARE = 0.4
-# Log likelihood ratio that condemns a build, for a single gateway. A build reaches it with three failures
-# more than the baseline would have had.
+# Log likelihood ratio that condemns a build in a fleet of one gateway. A build reaches this value with three
+# more failures than the baseline would have had.
 REQUIRED_EVIDENCE = 4.0
 # Part of the required evidence that this gateway's own outcomes must exceed before the platform's statistics
 # count. Statistics alone prove nothing, as they include the timeouts of overloaded servers.
 MIN_OWN_EVIDENCE = 0.4
-# Limit on the evidence from one server of a build with many servers, as a part of the required evidence: at
-# least four servers must fail before the build is condemned.
+# Limit on the evidence from one server of a build with many servers, as a part of the required evidence.
+# With this limit, at least four servers must fail before the build is condemned.
 MIN_SERVER_EVIDENCE_LIMIT = 0.25
-# Limit on the evidence from one server of a build with a few servers, as a part of the required evidence: at
-# least two servers must fail before the build is condemned.
+# Limit on the evidence from one server of a build with a few servers, as a part of the required
+# evidence. With this limit, at least two servers must fail before the build is condemned.
 MAX_SERVER_EVIDENCE_LIMIT = 0.7
-# Number of failing servers that suffice to condemn a build of two to four servers. Divided by the number of
-# servers, it gives the limit on the evidence from one server, between the two limits above.
+# Number of failing servers that condemn a build of two to four servers. The limit on the evidence from one
+# server is this number divided by the number of servers, but at least MIN_SERVER_EVIDENCE_LIMIT and at most
+# MAX_SERVER_EVIDENCE_LIMIT.
 SERVERS_TO_CONDEMN = 2
-# Factor on the limit on the evidence from one server, while servers of the baseline are faulty too.
+# The limit on the evidence from one server is multiplied by this factor while the baseline is faulty too.
 FAULTY_BASELINE_FACTOR = 0.5
 FAILURE_RATE_EWMA_WEIGHT = 0.05  # weight of one outcome in the moving average of a failure rate
 # Greatest weight of a batch of outcomes in the moving average of a failure rate.
 MAX_FAILURE_RATE_EWMA_WEIGHT = 0.6
-UNKNOWN_RATE = -1.0  # stands for a failure rate that is not known, as no outcomes were counted yet
+UNKNOWN_RATE = -1.0  # value of a failure rate before any outcome was counted
 
 _OWN_BOUNDS = FailureTestBounds(
     (FAILURE_INCREASE,), MIN_FAILURE_RATE, MAX_BASELINE_FAILURE_RATE, RELATIVE_FAILURE_INCREASE
@@ -74,7 +76,8 @@
 ) -> float:
     """Return the evidence against a build of `server_count` servers, as a multiple of `required`.
 
-    The evidence from each server is limited, so that one broken server does not condemn a build of several.
+    The evidence from each server is limited, so that one broken server does not condemn a build of several
+    servers.
     """
     limit = 1.0
     if server_count > 1:
@@ -86,11 +89,11 @@
 
 
 def failure_evidence(state: State, build: int) -> float:
-    """Return the evidence that a build fails more often than its baseline; 1 condemns the build."""
+    """Return the evidence that a build fails more often than its baseline; 1 or more condemns the build."""
     baseline_rates = [server.failure_rate for server in state.servers.values() if server.build < build]
     server_count = len(state.servers) - len(baseline_rates)
     required = state.required_evidence
-    # The baseline counts as faulty if this gateway saw its failures, or if the pooled digests show them.
+    # The baseline counts as faulty if this gateway or the pooled digests counted failures of the baseline.
     reported_by_gossip = state.now < state.gossip.last_baseline_fault_at + RATE_MEMORY_MS
     baseline_faulty = max(baseline_rates, default=0.0) >= SERVER_FAULT_RATE or reported_by_gossip
     evidence = state.build_evidence[build]
@@ -106,7 +109,7 @@
 
 
 def record_outcomes(state: State, counts: OutcomeCounts) -> None:
-    """Count outcomes; those of the newest build are tested against the baseline's failure rate."""
+    """Count outcomes; compare the newest build's failures with the baseline's failure rate."""
     by_platform = counts.server == PLATFORM
     if not by_platform and state.gossip_at < math.inf:
         state.gossip.unpublished.append(counts)
@@ -127,8 +130,8 @@
 
 
 def _worst_baseline_rate(state: State, class_index: int, usual_rate: float) -> float:
-    """Return the baseline's highest recent failure rate, own or pooled from all gateways.
+    """Return the baseline's highest recent failure rate at this gateway or in the reports of all gateways.
 
-    Errors come in bursts, so the current rate may be too low to compare with.
+    Errors come in bursts, so the baseline's current failure rate may be too low for a comparison.
     """
     return max(usual_rate, *state.gossip.baseline_failure_rates[class_index], 0.0)
--- a/meadowpulley/policy/health_probes.py
+++ b/meadowpulley/policy/health_probes.py
@@ -1,7 +1,7 @@
 """Health probes of two servers before the first attempt of a request.
 
-A gateway with few requests in flight can't tell from them which server is loaded. It probes two candidates
-and sends the request to the first that answers, as this one has the shorter queue.
+A gateway with few requests in flight can't tell which server is loaded. The gateway probes two candidates and
+sends the request to the candidate that answers first, because that server probably has the shorter queue.
 """
 
 from meadowpulley.interface import Probe, ProbeResult, Result
@@ -10,7 +10,8 @@
 from meadowpulley.policy.server_selection import mean_load
 from meadowpulley.state import InFlightRequest, Server, State
 
-SPARSE_LOAD = 0.3  # candidates are probed while this gateway has fewer attempts in flight per server
+# Candidates are probed while this gateway has fewer attempts in flight per server than this number.
+SPARSE_LOAD = 0.3
 
 
 def should_probe(state: State, in_flight: InFlightRequest, candidates: list[Server]) -> bool:
--- a/meadowpulley/policy/latency_comparison.py
+++ b/meadowpulley/policy/latency_comparison.py
@@ -1,7 +1,7 @@
-"""Estimates by how much a build on trial raises the latency of all requests over the baseline's.
+"""Estimates of how much a build on trial raises the latency of all requests.
 
-The estimate is the mixed Differences-in-Q estimate of the paper (`state/estimation`), with its confidence
-interval and with the margin by which a build may be slower.
+The latency under the baseline is the reference. The method is the mixed Differences-in-Q estimate of
+`state/estimation`. An estimate has a confidence interval and the margin by which a build may be slower.
 """
 
 import math
@@ -23,25 +23,29 @@
     summarize,
 )
 
-MAX_HORIZON = 20  # greatest number of later requests whose costs are added to a request's own
-# Lower bound on the weight of latencies in the mix of latencies and queue lengths. The bound is higher for a
-# gateway with few requests in flight, because the queue lengths that it sees are of no use.
+# The cost of a request includes the costs of at most this number of later requests.
+MAX_HORIZON = 20
+# The estimate mixes the latencies of requests with the queue lengths at servers. This number is the lowest
+# weight of the latencies. The lowest weight is higher for a gateway with few requests in flight, because the
+# gateway then sees only queue lengths near 0, which don't show how loaded a server is.
 MIN_ALPHA = 0.5
 LATENCY_MARGIN = 0.25  # accepted slowdown, as a part of the baseline's mean latency
-# Standard deviation of the latency between servers of one machine kind, as a part of the mean latency: under
-# load, small differences in speed become large ones in latency.
+# Standard deviation of the latency between servers of one machine kind, as a part of the mean latency. Under
+# load, small differences in speed cause large differences in latency.
 SERVER_LATENCY_SPREAD = 0.5
 MIN_BLOCK_MS = 1000.0  # minimum length of the time blocks within which builds are compared
-# Mean number of requests to the build on trial for which a time block is long enough.
+# A time block lasts long enough for this mean number of requests to the build on trial.
 TRIALS_PER_BLOCK = 2.0
-MIN_TRIAL_RATE = 1e-6  # requests per ms; keeps blocks finite if the build on trial gets hardly any requests
+# Lowest request rate (requests per ms) from which the length of time blocks is computed. The limit keeps
+# blocks finite if the build on trial gets hardly any requests.
+MIN_TRIAL_RATE = 1e-6
 RECENT_SAMPLES = 8 * MIN_SAMPLES  # number of the newest attempts that show whether servers are slow now
 # Result of a comparison without any sample of the build on trial.
 NOT_COMPARABLE = Slowdown(-math.inf, math.inf, 0.0, 0)
 
 
 class _Load(NamedTuple):
-    """The rate of this gateway's requests and their mean number in flight."""
+    """The request rate of this gateway, and the mean number of requests in flight at each server."""
 
     request_rate: float  # requests per ms
     server_rate: float  # requests per ms to each server
@@ -83,8 +87,8 @@
 def _compare(state: State, samples: LatencySamples) -> QDifference:
     """Compare the costs of the requests in both arms.
 
-    The cost of a request includes those of the requests that follow it: as many as are in flight at a server
-    on average, rounded up, and at most `MAX_HORIZON`.
+    The cost of a request includes the costs of some later requests. Their number is the mean number of
+    requests in flight at a server, rounded up, and at most `MAX_HORIZON`.
     """
     load = _load(state)
     trial_rate = max(load.request_rate * state.trial_probability, MIN_TRIAL_RATE)
@@ -103,7 +107,7 @@
 def _warm_server_count(state: State, build: int) -> int:
     """Return how many servers of the build had warmed up one soak time ago, but at least 1.
 
-    The samples that are compared began about then.
+    The comparison uses samples from about that time on.
     """
     soak_ms = state.rollout_settings.soak_ms
     fractions = [state.slow_start_fraction(server, soak_ms) for server in state.servers_of(build)]
@@ -111,7 +115,7 @@
 
 
 def _total_error_ms(state: State, estimate: QDifference, baseline_mean_ms: float, warm_servers: int) -> float:
-    """Return the standard error of the estimate, with its own uncertainty and the spread of the servers.
+    """Return the standard error of the estimated slowdown, including differences between servers.
 
     A standard deviation that is estimated from m values has a relative error of 1 / sqrt(2 m). Here m is
     twice the size of the smaller arm. The spread of the servers is included because one or two slow servers
@@ -125,7 +129,7 @@
 
 
 def _overload_factor(state: State, estimate: QDifference, warm_servers: int) -> float:
-    """Return the requests per server of the build, relative to those per baseline server; at least 1.
+    """Return the load per server of the build, divided by that of the baseline; at least 1.
 
     Overloaded servers are slow whatever their build, so the margin grows with the relative load.
     """
@@ -135,7 +139,7 @@
 
 
 def is_slower_than_before(state: State, attempts: list[Attempt]) -> bool:
-    """Return whether the newest attempts are slower, by more than the margin, than before the build came."""
+    """Return whether latency has risen by more than the accepted margin since the build came."""
     costs = summarize([attempt.latency_cost(state.now) for attempt in attempts[-RECENT_SAMPLES:]])
     limit_ms = (1 + LATENCY_MARGIN) * state.baseline_latency_ms
     return costs.size >= MIN_SAMPLES and costs.lower_bound(state.confidence_z) > limit_ms > 0
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -1,8 +1,8 @@
 """Exchange of outcome digests between gateways.
 
 One gateway alone sees too few outcomes of a trial in time. Once a second, gateways send each other the
-outcomes of the newest build and of its baseline, and the servers that failed. Digests count only as evidence:
-caps, endpoint lists and votes stay each gateway's own.
+outcomes of the newest build and of its baseline, and the servers that failed. Digests are used only as
+evidence. Each gateway uses its own caps and endpoint list, and decides its own votes.
 """
 
 import math
@@ -13,13 +13,15 @@
 from meadowpulley.policy.outlier_detection import SERVER_FAULT_RATE, eject
 from meadowpulley.state import BuildEvidence, PooledOutcomes, State
 
-GOSSIP_INTERVAL_MS = 1000.0  # time between two digests of this gateway; received ones are read as often
-# Mean number of gateways that send a digest per interval while nothing fails. If all did, the number of
-# datagrams would grow with the square of the number of gateways.
+# Time between two digests that this gateway sends. Received digests are evaluated at the same interval.
+GOSSIP_INTERVAL_MS = 1000.0
+# Mean number of gateways that send a digest per interval while nothing fails. If all gateways sent one, the
+# number of datagrams would grow with the square of the number of gateways.
 GOSSIP_SENDERS = 40
-MAX_DIGESTS_PER_GATEWAY = 4  # digests kept per interval, on average over all gateways
-# Part of a bad build's requests that is assumed to time out; for a good build it is FAILURE_INCREASE. Paused
-# servers cause fewer timeouts than this.
+# Limit on the digests that a gateway keeps per interval, divided by the number of gateways in the fleet.
+MAX_DIGESTS_PER_GATEWAY = 4
+# Part of the requests to a bad build that the evidence test assumes to time out. Servers whose processes are
+# paused cause a smaller part of requests to time out. For a good build, the test assumes FAILURE_INCREASE.
 TIMEOUT_RATE = 0.5
 MIN_REPORTING_GATEWAYS = 2  # minimum number of gateways that report a server before it is ejected
 MIN_REPORTED_FAILURES = 2  # minimum number of reported failures per interval that ejects a server
@@ -28,7 +30,7 @@
 
 
 def handle_digest(state: State, event: GossipReceived) -> None:
-    """Accept a digest of another gateway; duplicates and malformed ones count as rejected."""
+    """Accept a digest of another gateway; count duplicate and malformed digests as rejected."""
     digest = decode(event.data)
     max_digests = MAX_DIGESTS_PER_GATEWAY * state.gateway_count
     own = event.sender == state.settings.gateway_index
@@ -47,7 +49,7 @@
 
 
 def _send_digest(state: State, build: int) -> None:
-    """Send a digest if a failure was seen; otherwise a random draw limits how many gateways send one."""
+    """Send a digest if a failure was seen; without failures, only some random gateways send one."""
     gossip = state.gossip
     drawn = state.rng.random() * state.gateway_count < GOSSIP_SENDERS
     if not (drawn or gossip.has_failures()):
@@ -60,9 +62,11 @@
 
 
 def _eject_reported_servers(state: State) -> None:
-    """Eject servers that, as several gateways report, fail a large share of requests and more than most do.
+    """Eject servers for which at least two gateways report many failed requests.
 
-    The share is taken of the requests that each server gets if those of all gateways are spread evenly.
+    A server is ejected if the reported failures are a large share of the requests to the server, and at least
+    FAILURES_OVER_MEAN times the mean over all servers. The number of requests per server is estimated by
+    dividing the requests of all gateways by the number of servers.
     """
     reports = state.gossip.failure_reports()
     requests = state.request_rate.value(state.now) * state.gateway_count * GOSSIP_INTERVAL_MS
@@ -76,9 +80,10 @@
 
 
 def _pool_digests(state: State, build: int) -> None:
-    """Add to the evidence the outcomes of both builds that all gateways saw in the last interval.
+    """Add the outcomes that all gateways saw in the last interval to the evidence on the build.
 
-    Failures that begin everywhere at once, in both builds, are not caused by the newest build.
+    The outcomes of the newest build and of the baseline are compared. Failures that begin in both builds at
+    once are not caused by the newest build.
     """
     pooled = state.gossip.take_pooled(build)
     evidence = state.build_evidence[build]
@@ -88,8 +93,8 @@
     servers = [server.id for server in state.servers_of(build)]
     for class_index in range(len(state.settings.classes)):
         rate = _observe_baseline(state, pooled, class_index, concurrent)
-        # While much of the baseline fails too, overload or slow start delays good responses but not errors,
-        # so the outcomes of one interval would show too many failures.
+        # Intervals in which much of the baseline fails are skipped. Overload or slow start then delays good
+        # responses but not errors, so the outcomes of one interval would show too many failures.
         if rate is not None and rate <= FAILURE_INCREASE:
             worst_rate = max(state.gossip.baseline_failure_rates[class_index])
             pooled.add_to(evidence.pooled_failures, class_index, servers, worst_rate)
@@ -107,11 +112,11 @@
 def _observe_baseline(
     state: State, pooled: PooledOutcomes, class_index: int, concurrent: bool
 ) -> float | None:
-    """Record the baseline's failure rate in a class and return it, or None if it can't be compared.
+    """Record and return the baseline's failure rate in a class, or return None if the rate is unusable.
 
-    It can't be compared with too few responses, or without ready servers of the baseline.
-    The digests read together may cover several seconds, so a build is compared with the highest of
-    the recent rates.
+    The rate is unusable if there are too few responses or no ready servers of the baseline. The digests that
+    are read together may cover several seconds, so a build is compared with the baseline's highest recent
+    rate.
     """
     outcomes = pooled.of_class(class_index)
     rate = outcomes.baseline_failed / max(outcomes.baseline_total, 1)
--- a/meadowpulley/policy/rollout_stage.py
+++ b/meadowpulley/policy/rollout_stage.py
@@ -6,22 +6,23 @@
 from meadowpulley.interface import Phase
 from meadowpulley.state import State
 
-# Greatest number of keys bound to builds. Beyond it, the keys bound to the oldest ready build and to earlier
-# ones are forgotten. No ready server needs them, as such a key allows all ready builds. Builds before the
-# oldest ready one get no more requests with a key.
+# Greatest number of keys that are stored with the build they are bound to. Requests with a bound key go only
+# to that build or to newer builds. If more keys are stored, keys that are bound to the oldest ready build or
+# to older builds are forgotten. This is safe because all ready builds may serve the forgotten keys.
+# Afterwards, builds older than the oldest ready build get no requests with a key.
 MAX_STICKY_KEYS = 8000
 ROLLBACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
 
 
 class TrialStage(NamedTuple):
-    """The stage of a build on trial, and the cap on its part of the requests (0 to 1)."""
+    """The stage of a build on trial, and the cap on the build's part of all requests (0 to 1)."""
 
     cap: float
     stage: int
 
 
 def is_on_trial(state: State, build: int) -> bool:
-    """Return whether a build is on trial; every build is while no rollout is known."""
+    """Return whether a build is on trial; without a known rollout, every build is on trial."""
     rollout = state.latest_rollout
     if rollout is None or build > rollout.build:
         return True
@@ -51,7 +52,7 @@
 def _limit_sticky_keys(state: State, oldest_ready_build: int) -> None:
     """Forget keys that no ready server needs, if too many keys are bound to builds.
 
-    These are the keys bound to the oldest ready build or an earlier one, which all ready builds may serve.
+    All ready builds may serve a key that is bound to the oldest ready build or to an older build.
     """
     if len(state.sticky_builds) > MAX_STICKY_KEYS and oldest_ready_build > state.oldest_sticky_build:
         state.forget_sticky_builds(oldest_ready_build)
--- a/meadowpulley/policy/routing.py
+++ b/meadowpulley/policy/routing.py
@@ -1,4 +1,4 @@
-"""Routing of one attempt: choose the arm, then two candidates in it, then the less loaded candidate."""
+"""Routing of one attempt: choose an arm, two candidate servers, and the less loaded candidate."""
 
 from statistics import fmean
 
@@ -30,10 +30,10 @@
 def _sample_size(state: State, choice: ArmChoice) -> int:
     """Return how many servers of the preferred arm are considered.
 
-    Usually these are all servers of the arm. With more than two servers per gateway, only two are considered
-    for a request that was randomly assigned to the trial build. If the slow start budgets of both are used
-    up, the request goes to the baseline. With fewer servers, all are considered, because a gateway's part of
-    a budget may be less than a whole request.
+    Usually all servers of the arm are considered. If there are more than two servers per gateway, only two
+    are considered for a request that was randomly assigned to the build on trial. If the slow start budgets
+    of both servers are used up, the request goes to the baseline. If there are fewer servers per gateway, all
+    are considered, because a gateway's part of a slow start budget may be less than a whole request.
     """
     spill_over = choice.randomized and choice.to_trial and 2 * state.gateway_count < state.peak_ready_servers
     return CHOICE_SIZE if spill_over else len(choice.preferred)
--- a/meadowpulley/policy/server_selection.py
+++ b/meadowpulley/policy/server_selection.py
@@ -1,7 +1,7 @@
 """Choice of a server: the one with the shorter queue of two from a random sample.
 
 This is the power of two choices (M. Mitzenmacher, 2001). The queue of a server is the number of this
-gateway's own attempts in flight there, as nothing that servers report is more recent.
+gateway's own attempts in flight at the server, because reports from servers are less recent.
 """
 
 from meadowpulley.interface import Placement
@@ -11,10 +11,10 @@
 from meadowpulley.state import InFlightRequest, Server, State
 
 CHOICE_SIZE = 2  # number of candidates whose queues are compared
-TIE_BREAK_LOAD = 0.5  # requests; mean of the random load added to each queue to break ties
-# To compare queues, each is divided by a power of its server's capacity. The exponent is this number minus
-# the mean load (0 to 1), so that idle servers are chosen in proportion to the square of their capacity, and
-# busy ones by their queue relative to their capacity.
+TIE_BREAK_LOAD = 0.5  # mean of the random number of requests that is added to each queue length to break ties
+# To compare queue lengths, each is divided by a power of the server's capacity. The exponent is this number
+# minus the mean load (0 to 1). Idle servers are thus chosen in proportion to the square of their capacity.
+# Busy servers are compared by the ratio of queue length to capacity.
 IDLE_CAPACITY_EXPONENT = 2.0
 
 
@@ -23,8 +23,8 @@
 ) -> list[Server]:
     """Return the servers of the group that are candidates for the next attempt of the request.
 
-    These are two servers of a random sample; servers without an earlier attempt of the request are preferred,
-    and among them those in the subset. If the request's arm has a placement, the only candidate is the first
+    Usually two servers of a random sample are returned. Servers that the request has not tried are preferred,
+    and servers in the subset next. If the request's arm has a placement, the only candidate is the first
     server in the placement's order that may get the request.
     """
     placement = state.placements.get(in_flight.request.arm)
@@ -38,7 +38,7 @@
 def _placed(
     state: State, in_flight: InFlightRequest, group: list[Server], placement: Placement
 ) -> list[Server]:
-    """Return the servers that an experiment's placement policy lists, in its order."""
+    """Return the servers that an experiment's placement policy lists, in the policy's order."""
     candidates = [state.as_candidate(server) for server in group]
     order = placement(state.now, in_flight.request, candidates)
     return [group[index] for index in order]
@@ -47,7 +47,7 @@
 def _allowed(
     state: State, in_flight: InFlightRequest, drawn: list[Server], subset: dict[int, float], limit: int
 ) -> list[Server]:
-    """Return up to `limit` servers that may get the request; attempted ones only if there is no other."""
+    """Return up to `limit` servers that may get the request, preferably without an earlier attempt."""
     attempted = in_flight.attempted_servers
     allowed: list[Server] = []
     for server in sorted(drawn, key=lambda server: (server.id in attempted, server.id not in subset)):
--- a/meadowpulley/policy/server_subset.py
+++ b/meadowpulley/policy/server_subset.py
@@ -9,16 +9,17 @@
 
 from meadowpulley.state import Server, State
 
-# Part of the subset that is in the gateway's own zone. A greater part would overload the servers of a zone
-# that gets more than an even share of the requests.
+# Part of the subset that is in the gateway's own zone. Zones may get unequal numbers of requests, and a
+# greater part would overload the servers of a zone with many requests.
 LOCAL_ZONE_FRACTION = 0.5
 
 
 def server_subset(state: State, group: list[Server]) -> dict[int, float]:
-    """Return the ids of the servers in the subset, with this gateway's weight at each.
+    """Return this gateway's weight at each server in the subset, by server id.
 
-    A weight is the gateway's share of a server, as a multiple of the share that it would have if all gateways
-    used all servers. The result is empty if the gateway uses all servers of the group.
+    The weight is the expected number of requests from this gateway to the server, divided by the number that
+    would be expected if all gateways used all servers. The result is empty if this gateway uses all servers
+    of the group.
     """
     subset: dict[int, float] = {}
     if state.subset_size >= len(group):
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -14,23 +14,28 @@
 from meadowpulley.policy.latency_comparison import LATENCY_MARGIN, MIN_BLOCK_MS, is_slower_than_before
 from meadowpulley.state import RATE_MEMORY_MS, Attempt, State
 
-# The traffic to the build on trial is paused only if it is at least this part of all requests. With less
-# traffic, the build can hardly slow all servers.
+# The traffic to the build on trial is paused only if the build gets at least this part of all requests. A
+# build with less traffic can hardly slow all servers.
 MIN_PAUSE_PROBABILITY = 0.1
-# Number of soak times after a pause within which a slowdown that returns with the traffic counts as the same.
+# A slowdown that returns within this number of soak times after a traffic pause counts as the same slowdown.
 PAUSE_MEMORY_SOAKS = 2.0
-MAX_PAUSES = 2  # pauses in succession; a third slowdown shows that the build is the cause
+# Greatest number of traffic pauses in succession. A third slowdown shows that the build is the cause.
+MAX_PAUSES = 2
 MIN_PAUSE_MS = 2 * MIN_BLOCK_MS  # shortest pause of the traffic to the build on trial
 MAX_SLOW_SOAKS = 3.0  # a build without a baseline is rolled back after being slow for this many soak times
-# Multiple of the baseline latency after which an attempt is compared. By then it has a response, or is slow.
+# Multiple of the baseline latency after which an attempt is compared. By then the attempt has a response or
+# counts as slow.
 SETTLED_LATENCIES = 2.0
-# Attempts older than this are ignored without a baseline, so that a past overload doesn't count as slowness.
+# While a build has no baseline, attempts sent longer ago than this time (ms) are ignored. Otherwise a past
+# overload would count as slowness of the build.
 OVERLOAD_MEMORY_MS = 2 * RATE_MEMORY_MS
-# Relative growth of the request rate above which the additional requests explain slowness.
+# Relative growth of the request rate since before the build came. Above this growth, the additional requests
+# explain why servers are slow.
 MAX_REQUEST_GROWTH = 2 * LATENCY_MARGIN
 UNATTRIBUTABLE_WINDOW = 2 * MIN_SAMPLES  # number of the newest attempts that are searched for an overload
-# Greatest number of these attempts whose latency can't be attributed to their build, usually because they got
-# no response. More of them show an overload, which hides any other cause of slowness.
+# An attempt is unattributable if its latency says nothing about its build, usually because it got no
+# response. More unattributable attempts than this number, among the newest ones, show an overload. An
+# overload hides any other cause of slowness.
 MAX_UNATTRIBUTABLE = MIN_SAMPLES / 2
 
 
@@ -42,7 +47,7 @@
 
 
 def suspect_shared_slowdown(state: State, build: int, released: bool) -> bool:
-    """Return whether a build may slow all servers; pause its traffic or roll it back if needed.
+    """Return whether a build may slow all servers; pause the build's traffic or roll the build back.
 
     Args:
         state: The policy's state; its traffic pause, baseline latency and rollback build may change.
@@ -66,7 +71,7 @@
 def _check_without_baseline(state: State, build: int) -> bool:
     """Roll back a build that stays slow for longer than faults of other causes last.
 
-    It is not rolled back while more requests or an overload explain the slowness.
+    The build is not rolled back while an overload or a higher request rate explains the slowness.
     """
     pause = state.traffic_pause
     settled = _settled_attempts(state, OVERLOAD_MEMORY_MS)
@@ -84,7 +89,7 @@
 
 
 def _is_explained_by_load(state: State, attempts: list[Attempt]) -> bool:
-    """Return whether there are far more requests than before the build came, or an overload."""
+    """Return whether an overload or a far higher request rate explains that servers are slow."""
     request_limit = (1 + MAX_REQUEST_GROWTH) * state.baseline_request_rate
     if state.request_rate.value(state.now) > request_limit:
         return True
@@ -93,7 +98,7 @@
 
 
 def _check_with_baseline(state: State, build: int) -> bool:
-    """Compare the baseline's latency with that before the build came; begin or end a pause accordingly."""
+    """Return whether a build may slow all servers; begin or end a pause of the build's traffic."""
     pause = state.traffic_pause
     settled = _settled_attempts(state, math.inf)
     of_baseline = [
@@ -102,7 +107,7 @@
     slower = is_slower_than_before(state, of_baseline)
     has_enough_samples = len(of_baseline) >= MIN_SAMPLES
     recovered = has_enough_samples and not slower
-    # With so little traffic, the build on trial does not slow the servers of other builds.
+    # A build that gets less than half of MIN_PAUSE_PROBABILITY of all requests does not slow other servers.
     if recovered and state.trial_probability < MIN_PAUSE_PROBABILITY / 2:
         state.baseline_latency_ms = fmean([attempt.latency_cost(state.now) for attempt in of_baseline])
     elif not pause.active and slower and state.trial_probability >= MIN_PAUSE_PROBABILITY:
@@ -114,7 +119,7 @@
 
 
 def _begin_pause(state: State, build: int) -> None:
-    """Pause the traffic to the build, or roll the build back if this is the third pause in succession."""
+    """Pause the traffic to the build; roll the build back at the third pause in succession."""
     pause = state.traffic_pause
     pause.begin(state.now, PAUSE_MEMORY_SOAKS * state.rollout_settings.soak_ms)
     if pause.count > MAX_PAUSES:
--- a/meadowpulley/policy/slow_start_budget.py
+++ b/meadowpulley/policy/slow_start_budget.py
@@ -2,16 +2,18 @@
 
 A server in slow start fails and stays down if all gateways together send it a certain multiple of its
 capacity for the length of an overload window. The window is divided into slots, and in each slot a gateway
-sends at most its part of that load.
+sends a server at most the gateway's part of that load.
 """
 
 from meadowpulley.policy.rollout_stage import is_on_trial
 from meadowpulley.policy.server_subset import server_subset
 from meadowpulley.state import Server, State
 
-BUDGET_MARGIN = 0.6  # part of the budget that is used, as capacity is only estimated and work is random
-# Number of slots in an overload window. Each slot has its own budget, so that no burst of requests can use up
-# the budgets of two windows at once.
+# Part of the slow start budget that is used. The rest is a margin, as the capacity of a server is only
+# estimated and the work per request is random.
+BUDGET_MARGIN = 0.6
+# Number of slots in an overload window. Each slot has a separate budget, so that no burst of requests can use
+# up the budgets of two windows at once.
 SLOTS_PER_WINDOW = 4
 
 
--- a/meadowpulley/policy/trial_assignment.py
+++ b/meadowpulley/policy/trial_assignment.py
@@ -1,32 +1,33 @@
 """Assignment of requests to arms: at random, unless a request's key binds it to a build.
 
-The paper's experiment assigns requests with equal odds. Here the probability of the build on trial is in
-proportion to the capacity of its servers, and stays below the cap on its exposure.
+The paper on Differences-in-Q estimates assigns requests with equal odds. Here the probability of the build on
+trial is proportional to the capacity of the build's servers, and stays below the cap on the build's exposure.
 """
 
 from meadowpulley.interface import Phase
 from meadowpulley.policy.rollout_stage import trial_stage
 from meadowpulley.state import InFlightRequest, Server, State
 
-# Part of the cap up to which requests are assigned at random. The rest of the cap is left for requests that
-# their key binds to the build on trial, or that no other server may get.
+# Part of the cap up to which requests are randomly assigned to the build on trial. The rest of the cap is
+# left for requests whose key is bound to the build on trial, and for requests that no other server may get.
 TRIAL_CAP_FRACTION = 0.8
 # Utilization of the baseline's servers up to which a build that is being rolled back gets no requests.
 ROLLBACK_UTILIZATION = 0.75
 EVALUATION_INTERVAL_MS = 400.0  # time between two evaluations of a build
-# Weight of the newest request in the moving average of the share of requests that a key binds to the build on
-# trial.
+# Weight of one request in a moving average. The average is the share of requests whose key is bound to the
+# build on trial.
 STICKY_EWMA_WEIGHT = 0.02
-# Lower bound on the share of requests that no key binds to the build on trial. What the bound requests leave
-# of the build's part of all requests is spread over this share.
+# Lower bound on the share of requests whose key is not bound to the build on trial. Random assignment spreads
+# the build's remaining part of all requests over this share, so the share must not be 0.
 MIN_UNBOUND_SHARE = 0.01
-# Exponent of the slow start fraction in the capacity of a server. With a value above 1, servers in slow start
-# get less than their capacity allows, as they are slow at any load.
+# The capacity of a server in slow start is multiplied by a power of its slow start fraction. An exponent
+# above 1 gives the server fewer requests than its capacity allows, because a server in slow start is slow at
+# any load.
 SLOW_START_POWER = 2
 
 
 class ArmChoice:
-    """The servers of the chosen arm, those of the other as a fallback, and whether the choice was random."""
+    """The servers of the chosen arm, the other arm's servers as a fallback, and how the arm was chosen."""
 
     def __init__(
         self, preferred: list[Server], fallback: list[Server], to_trial: bool, randomized: bool
@@ -52,7 +53,7 @@
 
 
 def _trial_probability(state: State) -> float:
-    """Return the probability that a request goes to the trial build, if its key binds it to no build."""
+    """Return the probability that a request whose key is bound to no build goes to the build on trial."""
     if state.now >= state.trial_probability_valid_until:  # cached, as capacities change slowly
         state.trial_probability_valid_until = state.now + EVALUATION_INTERVAL_MS
         state.trial_probability = _capacity_share(state)
@@ -64,8 +65,8 @@
 def _is_paused(state: State) -> bool:
     """Return whether the traffic to the build on trial pauses.
 
-    It does not pause if the trial build has as many servers as the baseline or more, because the baseline
-    could not serve all requests.
+    The traffic does not pause if the build on trial has at least as many servers as the baseline, because the
+    baseline could not serve all requests.
     """
     return state.traffic_pause.active and len(state.trial_servers) < len(state.baseline_servers)
 
@@ -73,7 +74,8 @@
 def _capacity_share(state: State) -> float:
     """Return the trial build's part of all requests, in proportion to its capacity and below the cap.
 
-    A build that is being rolled back gets only what exceeds the capacity of the baseline's servers.
+    A build that is being rolled back gets only the requests that exceed the capacity of the baseline's
+    servers.
     """
     cap = trial_stage(state, state.trial_servers[0].build).cap
     trial_capacity = state.capacity(state.trial_servers, SLOW_START_POWER)
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -3,7 +3,8 @@
 The rules apply in this order. A build that was condemned once is rolled back. A build is rolled back for
 failures, for latency, or for a slowdown of all servers. With a timer gate, a stage is held while the build
 looks slow. With any other gate, the vote is to advance if the samples show that the build is within the
-margin, or if the fallback deadline allows it; gateways of a large fleet may vote before that deadline.
+latency margin, or if the fallback deadline has passed. Gateways of a large fleet may vote before the
+deadline.
 """
 
 from meadowpulley.interface import BuildRejected, Phase, RollbackReason, RolloutUpdate, StageGate, Verdict
@@ -12,16 +13,18 @@
 from meadowpulley.policy.shared_slowdown import roll_back, suspect_shared_slowdown
 from meadowpulley.state import Slowdown, State
 
-MAX_ADVANCE_EVIDENCE = 0.5  # evidence ratio at and above which there is no vote to advance
+MAX_ADVANCE_EVIDENCE = 0.5  # a gateway votes to advance only while the evidence ratio is below this value
 REQUIRED_EVIDENCE_RATIO = 1.0  # evidence ratio that condemns a build
-# Time, in ms, from the latest start of a server of the build, or from the start of the stage if that is
-# later, to the fallback deadline.
+# After the fallback deadline, a gateway may vote to advance although the samples don't show that the build is
+# within the latency margin. The deadline is this time (ms) after the start of the stage or after the latest
+# start of a server of the build, whichever is later.
 FALLBACK_MS = 4000.0
-# Gateways of a large fleet vote at most this long before the fallback deadline.
+# The gateways of a large fleet spread their votes over at most this time before the fallback deadline.
 MAX_FALLBACK_LEAD_MS = FALLBACK_MS / 2
-UNSPREAD_VOTES_S = 2.0  # votes are not spread if the platform can take them all within this many seconds
+# Votes are not spread over time if the platform can take the votes of all gateways within this time (s).
+UNSPREAD_VOTES_S = 2.0
 MAX_HOLD_MS = 3000.0  # longest time for which a stage is held under a timer gate
-# Part of the latency margin above which a slowdown holds a stage under a timer gate.
+# Under a timer gate, a stage is held while the slowdown is above this part of the latency margin.
 HOLD_MARGIN_FRACTION = 0.5
 MS_PER_S = 1000
 
@@ -33,8 +36,8 @@
     if state.rollback_build == rollout.build:
         return Verdict.ROLL_BACK
     _reject_if_worse(state, rollout, slowdown, evidence_ratio)
-    # The check also runs for a build that was rejected just now, as it updates the state of the traffic pause
-    # and may give a second reason to roll back.
+    # The check for a shared slowdown also runs for a build that was rejected just now. The check updates the
+    # traffic pause, and may report a second reason to roll back.
     suspected = suspect_shared_slowdown(state, rollout.build, rollout.phase is Phase.RELEASED)
     if state.rollback_build == rollout.build:
         return Verdict.ROLL_BACK
@@ -55,7 +58,7 @@
 
 
 def _reject_if_worse(state: State, rollout: RolloutUpdate, slowdown: Slowdown, evidence_ratio: float) -> None:
-    """Roll back a build that is proven to fail more than its baseline or, while on trial, to be slower."""
+    """Roll back a build that fails more than its baseline, or a build on trial that is slower."""
     if evidence_ratio >= REQUIRED_EVIDENCE_RATIO:
         roll_back(state, BuildRejected(rollout.build, RollbackReason.FAILURES, evidence_ratio=evidence_ratio))
         return
@@ -82,7 +85,7 @@
 
 
 def _past_fallback_deadline(state: State, rollout: RolloutUpdate) -> bool:
-    """Return whether a stage is old enough for a vote to advance without enough outcomes.
+    """Return whether a stage is old enough to advance without proof that the build is fast enough.
 
     The platform takes a limited number of votes per second. The gateways of a large fleet therefore vote one
     after another before the deadline, the last of them at the deadline.
--- a/meadowpulley/policy/voting.py
+++ b/meadowpulley/policy/voting.py
@@ -9,7 +9,7 @@
 from meadowpulley.state import State
 
 MIN_VOTE_INTERVAL_MS = 200.0  # shortest time between two votes of this gateway
-STAGE_VERDICTS = (Verdict.ADVANCE, Verdict.HOLD)  # these concern one stage, the others the whole build
+STAGE_VERDICTS = (Verdict.ADVANCE, Verdict.HOLD)  # verdicts on one stage; other verdicts concern the build
 
 
 def evaluate_rollout(state: State) -> None:
@@ -40,7 +40,7 @@
     votes = state.vote_state
     last = votes.last_vote
     if vote.verdict is Verdict.NONE and (last == vote or last.build != vote.build):
-        return False  # there is no vote on this build that would have to be withdrawn
+        return False  # no earlier vote on the build needs to be withdrawn
     if state.now < max(votes.sent_at + MIN_VOTE_INTERVAL_MS, votes.backoff_until):
         return False
     if last != vote:
@@ -63,7 +63,7 @@
 def _handle_vote_reply(state: State, result: Result) -> None:
     """Record a reply to a vote.
 
-    If the platform rejected the vote because it got too many, the next one is sent after a random delay.
+    If the platform rejected the vote because of too many votes, the next vote is sent after a random delay.
     """
     state.vote_state.acknowledge(result, state.now + state.rollout_settings.vote_ttl_ms)
     if result is Result.REJECTED:
