--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -67,7 +67,7 @@
 
 
 def new_build_evidence(memory_ms: float) -> BuildEvidence:
-    """Return empty evidence on a build; attempts at it count towards the exposure cap for `memory_ms`."""
+    """Return empty evidence on a build; each attempt counts towards the exposure cap for `memory_ms`."""
     return BuildEvidence(SequentialFailureTest(_OWN_BOUNDS), SequentialFailureTest(_POOLED_BOUNDS), memory_ms)
 
 
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -20,8 +20,8 @@
 GOSSIP_SENDERS = 40
 # Limit on the digests that a gateway keeps per interval, divided by the number of gateways in the fleet.
 MAX_DIGESTS_PER_GATEWAY = 4
-# Part of the requests to a bad build that the evidence test assumes to time out. Servers whose processes are
-# paused cause a smaller part of requests to time out. For a good build, the test assumes FAILURE_INCREASE.
+# Part of the requests to a bad build that is assumed to time out. Servers whose processes are
+# paused cause a smaller part of requests to time out. For a good build, FAILURE_INCREASE is assumed.
 TIMEOUT_RATE = 0.5
 MIN_REPORTING_GATEWAYS = 2  # minimum number of gateways that report a server before it is ejected
 MIN_REPORTED_FAILURES = 2  # minimum number of reported failures per interval that ejects a server
@@ -101,7 +101,7 @@
 
 
 def _add_timeouts(pooled: PooledOutcomes, evidence: BuildEvidence) -> None:
-    """Count timeouts as evidence against the build, if the baseline has few of them."""
+    """Count timeouts as evidence against the build, if the baseline has few timeouts."""
     timeouts = pooled.timeouts()
     responses = pooled.responses()
     few_timeouts = timeouts.baseline <= FAILURE_INCREASE * responses.baseline_succeeded
--- a/meadowpulley/policy/outlier_detection.py
+++ b/meadowpulley/policy/outlier_detection.py
@@ -72,8 +72,8 @@
     Attempts in flight at an ejected server are not retried, as retries would make an overload worse.
     """
     for attempt in list(state.attempts.values()):
-        # The latency objective of the request's own class is used, as those of two classes may differ by a
-        # factor of 100.
+        # The latency objectives of two classes may differ by a factor of 100, so the objective of the
+        # request's own class is used.
         objective_ms = attempt.in_flight.request_class.latency_objective_ms
         usual_limit_ms = max(UNRESPONSIVE_LATENCIES * state.mean_latency_ms, objective_ms / 2)
         timeout_ms = min(usual_limit_ms, objective_ms)
--- a/meadowpulley/policy/server_selection.py
+++ b/meadowpulley/policy/server_selection.py
@@ -1,4 +1,4 @@
-"""Choice of a server: the one with the shorter queue of two from a random sample.
+"""Choice of a server: of two random servers, the server with the shorter queue is chosen.
 
 This is the power of two choices (M. Mitzenmacher, 2001). The queue of a server is the number of this
 gateway's own attempts in flight at the server, because reports from servers are less recent.
@@ -47,7 +47,7 @@
 def _allowed(
     state: State, in_flight: InFlightRequest, drawn: list[Server], subset: dict[int, float], limit: int
 ) -> list[Server]:
-    """Return up to `limit` servers that may get the request, preferably without an earlier attempt."""
+    """Return up to `limit` allowed servers; servers of earlier attempts only if no others are allowed."""
     attempted = in_flight.attempted_servers
     allowed: list[Server] = []
     for server in sorted(drawn, key=lambda server: (server.id in attempted, server.id not in subset)):
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -1,9 +1,9 @@
 """Detection of builds that slow the servers of all builds, which a comparison of arms can't show.
 
-While the baseline's servers are slow too, the traffic to the build on trial pauses. If latency recovers
-during the pause and rises again after it, twice in succession, the build is the cause and is rolled back. A
-slowdown caused by a dependency recovers independently of the pauses, and the rollout goes on. Without a
-baseline to compare with, a build is rolled back if it stays slow for longer than faults of other causes last.
+While the baseline's servers are slow, the traffic to the build on trial pauses. If latency recovers during
+two pauses in succession and rises again after each, the build is the cause and is rolled back. A slowdown
+caused by a dependency recovers independently of the pauses, and the rollout goes on. A build without a
+baseline is rolled back if the build stays slow for longer than faults of other causes last.
 """
 
 import math
--- a/meadowpulley/policy/trial_assignment.py
+++ b/meadowpulley/policy/trial_assignment.py
@@ -53,7 +53,7 @@
 
 
 def _trial_probability(state: State) -> float:
-    """Return the probability that a request whose key is bound to no build goes to the build on trial."""
+    """Return the probability of the build on trial, for requests whose key is not bound to the build."""
     if state.now >= state.trial_probability_valid_until:  # cached, as capacities change slowly
         state.trial_probability_valid_until = state.now + EVALUATION_INTERVAL_MS
         state.trial_probability = _capacity_share(state)
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -30,7 +30,7 @@
 
 
 def decide_verdict(state: State, rollout: RolloutUpdate) -> Verdict:
-    """Return the verdict that this gateway votes for now."""
+    """Return the verdict that this gateway currently votes for."""
     slowdown = estimate_slowdown(state, rollout.build)
     evidence_ratio = failure_evidence(state, rollout.build)
     if state.rollback_build == rollout.build:
