--- a/meadowpulley/ledger/disk.py
+++ b/meadowpulley/ledger/disk.py
@@ -46,7 +46,8 @@
     boot of the machine (empty: read it from the kernel).
 
     Raises:
-        LedgerUnusableError: the folder is missing, or does not hold a usable ledger.
+        LedgerUnusableError: the folder can't be opened, read or written; it does not hold a usable ledger;
+            or its ledger belongs to another installation or was created with another value of `sync`.
     """
 
     def __init__(
--- a/meadowpulley/ledger/log_generations.py
+++ b/meadowpulley/ledger/log_generations.py
@@ -72,7 +72,7 @@
         except FileNotFoundError:
             return None
         if self.list_generations()[-1:] != [generation]:
-            os.close(fd)  # it has just ended, or a delayed process has linked it again
+            os.close(fd)  # this generation has just ended, or a delayed process has linked it again
             return None
         return fd
 
--- a/meadowpulley/ledger/member_table.py
+++ b/meadowpulley/ledger/member_table.py
@@ -120,7 +120,8 @@
     ) -> list[Member]:
         """Return the members whose lease has newly expired, or whose process has ended.
 
-        A lease has expired if a poll that started after the end of the term saw no renewal. This is checked
+        A lease has expired if no renewal was seen by a poll that started late enough to have seen one: at
+        least one term, plus a margin for clock drift, after the last renewal was observed. This is checked
         only for the watched members, since only their renewals are read at every poll.
         """
         expired = list[Member]()
--- a/meadowpulley/ledger/transactions.py
+++ b/meadowpulley/ledger/transactions.py
@@ -97,7 +97,8 @@
     COMMITTED = "won"
     CONFLICT = "lost"  # a write conflicted with the present state, so nothing was changed
     FENCED = "sealed"  # the committing incarnation has ended, so nothing was changed
-    UNKNOWN = "unknown"  # no answer in time: the transaction may have been applied, or may still be applied
+    # The store failed or did not answer in time: the transaction may have been applied, or may still be.
+    UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/takeover/__init__.py
+++ b/meadowpulley/takeover/__init__.py
@@ -1,7 +1,11 @@
-"""Takeover: requests in flight survive the loss of their gateway; one other gateway adopts each.
+"""Takeover: another gateway claims each journaled request of a lost gateway.
 
-Takeover is off unless the environment variable MEADOWPULLEY_TAKEOVER is set. Each request is journaled in
-the ledger. The modules, in a sensible reading order:
+The gateway that claims a request either adopts it, or records its final state if it may not be executed
+again or too little time remains. If that gateway is lost too, another one may claim the request, up to a
+maximum number of owners; a request has one owner at a time.
+
+Takeover is off unless the environment variable MEADOWPULLEY_TAKEOVER is set. Requests are journaled in the
+ledger. The modules, in a sensible reading order:
 
 - `records` (the stored formats), `errors`, `messages` (events and actions), `settings`, `settings_reader`
   (reads the settings from the environment);
--- a/meadowpulley/takeover/journaled_request.py
+++ b/meadowpulley/takeover/journaled_request.py
@@ -55,7 +55,8 @@
     """A write in progress, and the changes that take effect once it is committed."""
 
     created_at_ms: float
-    key_prefixes: tuple[str, ...] = ()  # of the written keys, in order; empty if the write is only a lookup
+    # Prefixes of the keys to write, in order; empty if the transaction only looks up the request id.
+    key_prefixes: tuple[str, ...] = ()
     covered_attempts: frozenset[int] = frozenset()  # attempts whose grants are part of the write
     final_response: FinalResponse | None = None
     releases: bool = False
@@ -80,7 +81,8 @@
     response_version: int = 0
     write_uncertain: bool = False  # a write with an unknown outcome may have been committed
     inherited_grants: tuple[AttemptGrant, ...] = ()  # attempts of earlier owners that may have been executed
-    grants: dict[int, AttemptGrant] = field(default_factory=dict)  # this owner's, by policy attempt number
+    # Grants of the attempts of this owner, keyed by policy attempt number.
+    grants: dict[int, AttemptGrant] = field(default_factory=dict)
     attempt_count: int = 0  # including the attempts of earlier owners
     pending_sends: dict[int, PendingSend] = field(default_factory=dict)  # keyed by policy attempt number
     dispatched_attempts: list[int] = field(default_factory=list)  # policy attempt numbers, in sending order
@@ -103,7 +105,7 @@
 
     @property
     def needs_write(self) -> bool:
-        """Whether the record has to be written again."""
+        """Whether the record was never written, or a change waits to be written to it."""
         return bool(
             self.pending_sends
             or self.final_response
--- a/meadowpulley/takeover/ledger_view.py
+++ b/meadowpulley/takeover/ledger_view.py
@@ -147,7 +147,10 @@
     def _grants_not_before_ms(
         self, record: RequestRecord, version: int, previous: ObservedRequest | None
     ) -> tuple[float, ...]:
-        """Return the earliest commit time of each grant; reuse the times from the previous observation."""
+        """Return the earliest time at which each grant can have been committed; -inf if unknown.
+
+        These are lower bounds. Those that are known from the previous observation are reused.
+        """
         known_times_ms: dict[int, float] = {}
         if previous is not None:
             previous_grants = zip(previous.record.grants, previous.grants_not_before_ms, strict=True)
--- a/meadowpulley/takeover/orphan_claims.py
+++ b/meadowpulley/takeover/orphan_claims.py
@@ -25,7 +25,8 @@
 
 MAX_FINISHED_PER_TURN = 64  # maximum number of orphans that each claim step finishes per event
 FULL_RECHECK_MS = 20.0  # ms between checks while the limit `max_adopted` is reached
-MIN_RECHECK_MS = 1.0  # minimum delay in ms before orphans that may be claimed already are checked again
+# Minimum delay in ms until the next check of orphans that may be claimed but wait for a slot or the budget.
+MIN_RECHECK_MS = 1.0
 
 
 class OrphanClaims:
--- a/meadowpulley/takeover/pending_claims.py
+++ b/meadowpulley/takeover/pending_claims.py
@@ -155,7 +155,10 @@
         )
 
     def _change_target(self, builder: TransactionBuilder, claim: Claim, target_state: RequestState) -> None:
-        """Write another state for a request that was claimed for adoption: finish it, or release it."""
+        """Finish a request that was claimed for adoption, or release it as if it had not been claimed.
+
+        A release does not count this gateway as an owner of the request.
+        """
         self.begin(
             builder, claim.as_observed(self.incarnation, target_state), target_state, claim.deadline_ms
         )
--- a/meadowpulley/takeover/request_intake.py
+++ b/meadowpulley/takeover/request_intake.py
@@ -89,7 +89,11 @@
             self.journal.forward(request)
 
     def on_ledger_recovered(self) -> None:
-        """Expect repeats of unjournaled requests for the longest deadline of a non-idempotent class."""
+        """Expect repeats until every client of a request that was served unjournaled has given up.
+
+        Clients give up after the deadline of the request, so this is the longest deadline of all classes that
+        are not idempotent.
+        """
         unrepeatable = [
             request_class for request_class in self.classes if request_class.effect is not Effect.IDEMPOTENT
         ]
--- a/meadowpulley/takeover/request_journal.py
+++ b/meadowpulley/takeover/request_journal.py
@@ -138,7 +138,7 @@
             self.answers.answer_once(entry, Fail(entry.request.request))
             self._withdraw(entry)
         elif record.was_never_executed and entry.final_response is None:
-            entry.record_version = found.version  # an id that was never executed may be used again
+            entry.record_version = found.version  # a client may repeat a request that was never executed
             self.flush(entry)
         else:
             self._lose_ownership(entry)
--- a/meadowpulley/takeover/response_cache.py
+++ b/meadowpulley/takeover/response_cache.py
@@ -114,7 +114,10 @@
                 self._remove(builder, entry)
 
     def _read_inherited(self, builder: TransactionBuilder, entry: CachedResponse) -> None:
-        """Read the versions of the response and of the content, in this order."""
+        """Read the versions of an inherited entry's response and content records, in this order.
+
+        The records can be removed only once these versions are known.
+        """
         self.reading_inherited[entry.request_id] = entry
         for prefix in (RESPONSE_PREFIX, CONTENT_PREFIX):
             key = prefix + entry.request_id
--- a/meadowpulley/takeover/server_locations.py
+++ b/meadowpulley/takeover/server_locations.py
@@ -27,7 +27,10 @@
                 del self.servers[entry.server]
 
     def grant_for(self, server: int) -> AttemptGrant:
-        """Return the grant of an attempt at this server; an unknown server gets location 0."""
+        """Return the grant of an attempt at this server.
+
+        For an unknown server, the build, zone and cell are 0, which means that none is known.
+        """
         entry = self.servers.get(server)
         if entry is None:
             return AttemptGrant(server, build=0, zone=0, cell=0)
--- a/meadowpulley/takeover/stage.py
+++ b/meadowpulley/takeover/stage.py
@@ -164,7 +164,10 @@
         return self.intake.is_journaled_class(class_index, body_bytes)
 
     def is_journaled(self, request: int) -> bool:
-        """Return whether the response to this request has to pass through this stage."""
+        """Return whether a request is in the journal, so that its response has to pass through this stage.
+
+        A request that this gateway no longer owns stays in the journal until all its attempts have ended.
+        """
         return request in self.journal.table.by_request
 
     def continues_without_client(self, request: int) -> bool:
