--- a/meadowpulley/lending/allocator.py
+++ b/meadowpulley/lending/allocator.py
@@ -1,9 +1,10 @@
-"""Decide who may admit what: the elected allocator answers every demand report with a grant.
+"""Divide the capacity between gateways, by answering every demand report with a grant.
 
-The invariant: at every moment the floors and all grants that any gateway may still use (`reservations`) add
-up to the capacity at most. So a grant rises only by what is free; what is lowered is free once its gateway
-acknowledged that; what expired is free once a record says that it was reclaimed. The next allocator finds
-the same sum in the records.
+The gateway that is elected as the allocator runs this code. Invariant: at every moment, the floors and all
+grants that any gateway may still use (`reservations`) add up to at most the capacity. A grant is therefore
+raised only by capacity that is free. When a grant is lowered, the difference is free once its gateway has
+acknowledged the lower grant. An expired grant is free once a record states that it was reclaimed. A newly
+elected allocator computes the same sum from the records.
 """
 
 from __future__ import annotations
@@ -18,13 +19,15 @@
 from meadowpulley.lending.records import DemandReport, QuotaGrant
 from meadowpulley.lending.reservations import CapacityReservations, ObservedReport, Reservation
 
-RATE_TOLERANCE = 1e-9  # units per second, when sums are compared
-SPARE_FRACTION = 0.5  # of what nobody demands is granted to all alike; the rest is for the next reports
+RATE_TOLERANCE = 1e-9  # units per second; absorbs rounding errors when sums are compared
+# Fraction of the undemanded capacity that is granted to all gateways in equal parts. The rest stays free for
+# the next reports.
+SPARE_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class GrantWrite:
-    """A grant to write in place of the record's version `replaced_version` (0: there is none yet)."""
+    """Hold a grant to write over version `replaced_version` of its record (0: no record yet)."""
 
     gateway_index: int
     grant: QuotaGrant
@@ -33,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What one waiting gateway is entitled to, and what is reserved for it already."""
+    """Hold what a gateway that waits for an answer should get, and what is reserved for it already."""
 
     gateway_index: int
     reservation: Reservation
@@ -41,22 +44,23 @@
 
 
 class Allocator:
-    """Turn observed reports and grants into new grants; does no I/O. Gateways are known by their indices."""
+    """Compute new grants from observed reports and grants, by gateway index, without I/O."""
 
     def __init__(self, plan: QuotaPlan) -> None:
         self.reservations = CapacityReservations(plan)
-        self.demand_by_place: dict[int, float] = {}  # of all gateways together
-        self.own_shortfalls: dict[int, float] = {}  # of owners at each gateway, at its last answer
+        self.demand_by_place: dict[int, float] = {}  # units per second at all gateways together
+        # By gateway: units per second within quotas that its last grant could not cover.
+        self.own_shortfalls: dict[int, float] = {}
 
     @property
     def plan(self) -> QuotaPlan:
-        """The plan by which capacity is divided."""
+        """Return the plan by which capacity is divided."""
         return self.reservations.plan
 
-    # What is observed
+    # Observed records
 
     def observe_report(self, now: float, gateway_index: int, report: DemandReport, version: int) -> None:
-        """Record a gateway's report, unless one at least as new is known."""
+        """Store a gateway's report, unless one at least as new is known."""
         replaced = self.reservations.reports.get(gateway_index)
         if not self.reservations.observe_report(now, gateway_index, report, version):
             return
@@ -65,11 +69,11 @@
         self._add_demand(report)
 
     def observe_grant(self, now: float, gateway_index: int, grant: QuotaGrant, version: int) -> None:
-        """Record a gateway's grant, unless one at least as new is known."""
+        """Store a gateway's grant, unless one at least as new is known."""
         self.reservations.observe_grant(now, gateway_index, grant, version)
 
     def update_plan(self, plan: QuotaPlan) -> None:
-        """Allocate by another plan from now on; demand by another plan's places no longer counts."""
+        """Allocate by a new plan; demand reported under another plan's version no longer counts."""
         self.reservations.plan = plan
         self.demand_by_place = {}
         for observed in self.reservations.reports.values():
@@ -87,12 +91,12 @@
         for place, rate in report.rates:
             self.demand_by_place[place] = self.demand_by_place.get(place, 0.0) - rate
 
-    # What is granted
+    # Grants
 
     def run_round(self, now: float) -> list[GrantWrite]:
-        """Answer all reports since the last round, and reclaim what expired.
+        """Return grants that answer all reports since the last round and reclaim expired grants.
 
-        The caller must have these written, or give up its lease, before it calls again.
+        Before the next call, the caller must have written these grants or given up its lease.
         """
         waiting = [
             gateway_index
@@ -114,7 +118,7 @@
         return report.round_number > observed_grant.grant.round_number
 
     def _is_fresh(self, now: float, observed: ObservedReport) -> bool:
-        """Return whether a report is recent and its gateway not shut down, so that its demand counts."""
+        """Return whether the demand counts: the report is recent and its gateway has not shut down."""
         return not observed.report.released and now < observed.observed_at + self.plan.term_ms
 
     def _reclaim_expired(self, now: float, gateway_indices: Iterable[int]) -> list[GrantWrite]:
@@ -141,7 +145,7 @@
         return Claim(gateway_index, reservation, entitlement)
 
     def _grant_claim(self, now: float, claim: Claim, fractions: GrantedFractions, free: float) -> GrantWrite:
-        """Grant what is reserved already and these fractions of the shortfalls, and note what is missing."""
+        """Grant what is reserved already plus these fractions of the shortfalls; store the remainder."""
         total = claim.entitlement.granted_total(fractions)
         self.own_shortfalls[claim.gateway_index] = max(claim.entitlement.own_beyond_floor - total, 0.0)
         floor = self._granted_floor(now, claim.gateway_index, free)
@@ -149,9 +153,9 @@
         return GrantWrite(claim.gateway_index, grant, self.reservations.grant_version(claim.gateway_index))
 
     def _granted_shortfalls(self, now: float, free: float, claims: list[Claim]) -> GrantedFractions:
-        """Return which fractions of all shortfalls can be granted: of owners' quotas, and of the rest.
+        """Return the fractions of all shortfalls that can be granted: within quotas, and borrowed.
 
-        Owners at other gateways that fell short at their last answer come before anyone borrows.
+        Shortfalls within quotas at other gateways, as of their last grants, take precedence over borrowing.
         """
         own_shortfall = math.fsum(claim.entitlement.own_shortfall for claim in claims)
         borrowed_shortfall = math.fsum(claim.entitlement.borrowed_shortfall for claim in claims)
@@ -163,7 +167,7 @@
         )
 
     def _shortfall_of_others(self, now: float, answered: set[int]) -> float:
-        """Return by how much owners fell short at gateways that are not answered in this round."""
+        """Return the shortfall within quotas at gateways that get no grant in this round."""
         return math.fsum(
             shortfall
             for gateway_index, shortfall in self.own_shortfalls.items()
@@ -171,7 +175,7 @@
         )
 
     def _granted_floor(self, now: float, gateway_index: int, free: float) -> float:
-        """Return the floor to grant: the plan's, unless more than the capacity is reserved already."""
+        """Return the floor to grant; it is not raised while more than the capacity is reserved."""
         floor = self.reservations.reserved_floor(now, gateway_index)
         if free < -RATE_TOLERANCE:
             return floor
@@ -192,10 +196,10 @@
             rates=claim.entitlement.scaled_rates(total + report.floor_in_use),
         )
 
-    # How capacity is divided
+    # Division of the capacity
 
     def _allocate(self, now: float, pool: float) -> Allocation:
-        """Divide the pool, and the floors of the gateways that report, max-min over all demand."""
+        """Divide the pool plus the reporting gateways' floors max-min fairly between all demands."""
         self._forget_stale_demand(now)
         fresh = self._fresh_reports(now)
         capacity = pool + math.fsum(report.floor_in_use for report in fresh if report.rates)
@@ -218,7 +222,7 @@
         ]
 
     def _demanding_places(self) -> list[int]:
-        """Return the places of all tenants that demand anything, in the plan's order."""
+        """Return the places of all tenants with demand, in the order of the plan."""
         return sorted(place for place, rate in self.demand_by_place.items() if rate > RATE_TOLERANCE)
 
     def _forget_stale_demand(self, now: float) -> None:
@@ -238,5 +242,5 @@
 
 
 def _fraction_of(available: float, needed: float) -> float:
-    """Return which fraction of what is needed is available: 1 where nothing is needed."""
+    """Return the available fraction (0 to 1) of what is needed; 1 if nothing is needed."""
     return min(available / needed, 1.0) if needed > 0 else 1.0
--- a/meadowpulley/lending/allocator_election.py
+++ b/meadowpulley/lending/allocator_election.py
@@ -1,8 +1,8 @@
-"""Elect the one gateway that allocates, by a lease record that every grant's transaction depends on.
+"""Elect the one gateway that allocates, through a lease record that every grant's transaction checks.
 
-A gateway whose report stays unanswered for a while takes the lease over: it replaces the record, so that
-nothing its predecessor had in flight can still be written, reads all records anew, and allocates from there.
-Taking the lease over too early costs work and nothing else.
+A gateway whose report stays unanswered for too long takes over the lease. It replaces the lease record, so
+that transactions that its predecessor still has in flight fail, then reads all records again and allocates
+from them. Taking over too early is safe and costs only extra work.
 """
 
 from __future__ import annotations
@@ -46,46 +46,51 @@
     write_if_unchanged,
 )
 
-ELECTION_TIMEOUT_ROUNDS = 2.0  # without an answer, and up to one more at random, before an election
-COMMIT_TIMEOUT_ROUNDS = 4.0  # without a result of its own commit, after which a leader steps down
-PLAN_CHECK_INDEX = 1  # in a grant's transaction: a conflict there means another plan, not another leader
+# Rounds that a report stays unanswered before an election, plus up to one more round at random.
+ELECTION_TIMEOUT_ROUNDS = 2.0
+# Rounds to wait for the result of an own commit or scan before a leader or candidate steps down.
+COMMIT_TIMEOUT_ROUNDS = 4.0
+# Index of the plan's version check in a grant's transaction. A conflict there means that the plan has
+# changed, not the leader.
+PLAN_CHECK_INDEX = 1
 
 
 class LeaderState(Enum):
-    """A gateway's part in the election: it goes from each state to the next, and from any to FOLLOWER."""
+    """List the election states; each leads to the next one, and every state can lead to FOLLOWER."""
 
     FOLLOWER = 0
-    CANDIDATE = 1  # its replacement of the lease record is in flight
-    LOADING = 2  # it holds the lease and waits for the scan of all records
+    CANDIDATE = 1  # waiting for the commit that replaces the lease record
+    LOADING = 2  # holding the lease and waiting for the scan of all records
     LEADER = 3
 
 
 class AllocatorElection:
-    """One gateway's part in electing the allocator; while it leads, it runs the allocator's rounds."""
+    """Take part in electing the allocator, and run the allocator's rounds while leading."""
 
     def __init__(self, incarnation: Incarnation, plan: QuotaPlan, rng: Random) -> None:
         self.incarnation = incarnation
         self.plan = plan
         self.rng = rng
         self.state = LeaderState.FOLLOWER
-        self.lease_version = 0  # of the lease record; 0: none observed
+        self.lease_version = 0  # version of the lease record; 0: none observed
         self.leader: Incarnation | None = None
-        self.plan_version = 0  # of the plan's record; 0: none observed
+        self.plan_version = 0  # version of the plan record; 0: none observed
         self.allocator = Allocator(plan)
-        self.ticket = 0  # of the commit or scan in flight; 0: none
+        self.ticket = 0  # ticket of the commit or scan in flight; 0: none
         self.pending_since = -math.inf
         self.pending_grants: list[tuple[int, QuotaGrant]] = []
-        self.jitter = rng.random()  # rounds added to the election time-out
+        self.jitter = rng.random()  # rounds (0 to 1) added to the election timeout
         self.leader_changed_at = -math.inf
-        self.early_election_at = math.inf  # the leader's own lease has expired
+        # When to start an election because the leader's membership lease expired (infinity: it has not).
+        self.early_election_at = math.inf
 
     @property
     def needs_all_records(self) -> bool:
-        """Whether this gateway must observe every gateway's reports and grants."""
+        """Return whether this gateway must observe the reports and grants of all gateways."""
         return self.state in (LeaderState.LOADING, LeaderState.LEADER)
 
     def step_down(self, now: float) -> None:
-        """Become a follower; forget what was observed as the allocator."""
+        """Become a follower and discard the allocator's observations."""
         self.state = LeaderState.FOLLOWER
         self.ticket = 0
         self.pending_grants = []
@@ -95,7 +100,7 @@
         self.allocator = Allocator(self.plan)
 
     def update_plan(self, plan: QuotaPlan, version: int) -> None:
-        """Allocate by another plan, of that version of the ledger's record."""
+        """Use a new plan; `version` is the version of the plan record in the ledger."""
         self.plan = plan
         self.plan_version = version
         self.allocator.update_plan(plan)
@@ -108,7 +113,7 @@
     # Records
 
     def observe(self, now: float, record: Record) -> None:
-        """Process a changed record of this package."""
+        """Process a changed record whose key starts with `KEY_PREFIX`."""
         if record.key == ALLOCATOR_KEY:
             self._observe_lease(now, record)
         elif self.needs_all_records:
@@ -125,7 +130,8 @@
                 grant = decode_grant(record.value)
                 self.allocator.observe_grant(now, granted_gateway, grant, record.version)
         except RecordFormatError:
-            self.step_down(now)  # what can't be decoded can't be counted
+            # Without this record the capacity in use is unknown, so this gateway must not allocate.
+            self.step_down(now)
 
     def _observe_lease(self, now: float, record: Record) -> None:
         if record.version <= self.lease_version:
@@ -136,7 +142,10 @@
             self.step_down(now)
 
     def on_scanned(self, now: float, event: ScanCompleted) -> None:
-        """Process all records, read after the lease was won: no former leader can write any more."""
+        """Process the scan of all records that was read after taking the lease.
+
+        The records are complete, because former leaders can no longer write.
+        """
         if self.state is not LeaderState.LOADING or event.ticket != self.ticket:
             return
         self.ticket = 0
@@ -151,9 +160,9 @@
     # Time
 
     def on_tick(self, now: float, unanswered_since: float, ticket: int) -> list[Commit]:
-        """Return what is to be committed now, under `ticket`.
+        """Return the commits to send now; they use the number `ticket`.
 
-        `unanswered_since` is when the first report that is still unanswered was sent (infinity: none is).
+        `unanswered_since` is when this gateway's oldest unanswered report was sent (infinity: there is none).
         """
         if self.ticket and now > self.pending_since + COMMIT_TIMEOUT_ROUNDS * self.plan.round_ms:
             self.step_down(now)
@@ -173,11 +182,11 @@
         self.pending_since = now
 
     def _election_due(self, now: float, unanswered_since: float) -> bool:
-        """Return whether to replace the lease: reports stay unanswered, or the leader's process is gone."""
+        """Return whether to replace the lease: a report is unanswered or the leader's lease expired."""
         if not self.plan_version:
             return False
         if not self.lease_version and unanswered_since < now:
-            return True  # nobody has ever led
+            return True  # there has been no leader so far
         time_out_ms = (ELECTION_TIMEOUT_ROUNDS + self.jitter) * self.plan.round_ms
         election_due_at = max(unanswered_since, self.leader_changed_at) + time_out_ms
         return now >= min(election_due_at, self.early_election_at)
@@ -192,7 +201,7 @@
         return [Commit(ticket, transactions, OWNER)]
 
     def _fenced_transaction(self, write: GrantWrite) -> Transaction:
-        """Write a grant on the condition that this gateway still leads, and by the same plan."""
+        """Return a transaction that writes a grant if the leader and the plan are unchanged."""
         key = record_key(GRANT_PREFIX, write.gateway_index)
         return Transaction(
             (
@@ -205,7 +214,7 @@
     # Results
 
     def on_committed(self, now: float, event: CommitCompleted) -> list[Scan]:
-        """Process the result of an own commit; others' are ignored."""
+        """Process the result of this gateway's pending commit; ignore all other results."""
         if not self.ticket or event.ticket != self.ticket:
             return []
         self.ticket = 0
@@ -237,7 +246,9 @@
             if result.outcome is TransactionOutcome.COMMITTED:
                 self.allocator.observe_grant(now, gateway_index, grant, result.version)
             elif not _met_another_plan(result):
-                self.step_down(now)  # it may yet be written: the next leader makes sure of that
+                # The grant may still be written later. The next leader rules that out when it replaces the
+                # lease, and then reads which grants exist.
+                self.step_down(now)
                 return
         if len(event.results) != len(pending):
             self.step_down(now)
--- a/meadowpulley/lending/config.py
+++ b/meadowpulley/lending/config.py
@@ -1,7 +1,7 @@
-"""Read the settings of lending: environment variables beside the tenants of the gateway's own settings.
+"""Build the quota plan from environment variables and the tenants in the gateway's settings.
 
-`read_plan` takes a mapping of names to text (an environment, or flags by the same names) and touches nothing
-else. All names begin with `MEADOWPULLEY_LENDING_`; `deploy/lending.env` lists them.
+`read_plan` takes a mapping of variable names to text (an environment, or flags with the same names) and reads
+nothing else. All names begin with `MEADOWPULLEY_LENDING_`; `deploy/lending.env` lists them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 from meadowpulley.lending.plan import DEFAULT_WEIGHT, Quota, QuotaPlan, validate_plan
 
 ENV_PREFIX = "MEADOWPULLEY_LENDING_"
-NUMERIC_SETTINGS = {  # variable, and the plan's field
+# Maps each numeric variable (without the prefix) to the field of `QuotaPlan` that it sets.
+NUMERIC_SETTINGS = {
     "FLOOR": "floor",
     "TERM_MS": "term_ms",
     "FLOOR_TERM_MS": "floor_term_ms",
@@ -22,14 +23,16 @@
     "WORK_MS": "work_ms",
 }
 OTHER_SETTINGS = ("CAPACITY", "VERSION", "UNIT", "SHARES", "WEIGHTS")
-MIN_TERM_MS = 400.0  # a round is a fraction of it: with less, gateways would report all the time
-MAX_NAMES_IN_ERROR = 5  # of known tenants, in the text of an error
+# Shortest term of a grant. A round is a fraction of the term: with a shorter term, gateways would report all
+# the time.
+MIN_TERM_MS = 400.0
+MAX_NAMES_IN_ERROR = 5  # an error text lists at most this many known tenants
 
 
 def read_plan(settings: Settings, values: Mapping[str, str]) -> QuotaPlan | None:
-    """Return the plan of these settings; None where no capacity is named, and lending is off.
+    """Return the quota plan from the settings, or None if no lending variable is set and lending is off.
 
-    Raises `QuotaPlanError`, one line, for any setting that is invalid.
+    Raises `QuotaPlanError` with a one-line text if a setting is invalid.
     """
     given = {
         name.removeprefix(ENV_PREFIX): value
@@ -40,9 +43,9 @@
         return None
     if "CAPACITY" not in given:
         raise QuotaPlanError(
-            f"{ENV_PREFIX}CAPACITY is missing, though {ENV_PREFIX}{min(given)} is set: set it too"
+            f"{ENV_PREFIX}CAPACITY is missing although {ENV_PREFIX}{min(given)} is set: set it too"
         )
-    _refuse_unknown(given)
+    _check_setting_names(given)
     capacity_per_s = _parse_number(given, "CAPACITY", 0.0)
     by_work = _counts_work(given)
     plan = QuotaPlan(
@@ -54,19 +57,19 @@
         **_optional_numbers(given),
     )
     if plan.term_ms < MIN_TERM_MS:
-        raise QuotaPlanError(f"{ENV_PREFIX}TERM_MS is {plan.term_ms:g}: at least {MIN_TERM_MS:g}")
+        raise QuotaPlanError(f"{ENV_PREFIX}TERM_MS is {plan.term_ms:g}: use at least {MIN_TERM_MS:g}")
     return validate_plan(plan)
 
 
-def _refuse_unknown(given: Mapping[str, str]) -> None:
+def _check_setting_names(given: Mapping[str, str]) -> None:
     unknown = sorted(given.keys() - NUMERIC_SETTINGS.keys() - set(OTHER_SETTINGS))
     if unknown:
         known = ", ".join((*OTHER_SETTINGS, *NUMERIC_SETTINGS))
-        raise QuotaPlanError(f"{ENV_PREFIX}{unknown[0]}: no such setting: one of {known}")
+        raise QuotaPlanError(f"{ENV_PREFIX}{unknown[0]}: no such setting: use one of {known}")
 
 
 def _optional_numbers(given: Mapping[str, str]) -> dict[str, float]:
-    """Return the numbers that are set, by the plan's fields; the others keep the plan's defaults."""
+    """Return the numeric settings that are set, by field of the plan; others keep the plan's defaults."""
     numbers = {}
     for key, field in NUMERIC_SETTINGS.items():
         if key in given:
@@ -77,7 +80,7 @@
 def _counts_work(given: Mapping[str, str]) -> bool:
     unit = given.get("UNIT", "requests")
     if unit not in ("requests", "work"):
-        raise QuotaPlanError(f"{ENV_PREFIX}UNIT is '{unit}': requests or work")
+        raise QuotaPlanError(f"{ENV_PREFIX}UNIT is '{unit}': use requests or work")
     return unit == "work"
 
 
@@ -86,11 +89,11 @@
     try:
         return default if text is None else float(text)
     except ValueError:
-        raise QuotaPlanError(f"{ENV_PREFIX}{key} is '{text}', no number") from None
+        raise QuotaPlanError(f"{ENV_PREFIX}{key} is '{text}', which is not a number") from None
 
 
 def _parse_tenant_numbers(given: Mapping[str, str], key: str, names: set[str]) -> dict[str, float]:
-    """Parse `TENANT=NUMBER,...`."""
+    """Parse a setting of the form `TENANT=NUMBER,...` into numbers by tenant name."""
     numbers: dict[str, float] = {}
     for part in given.get(key, "").split(","):
         entry = part.strip()
@@ -98,10 +101,10 @@
             continue
         name, equals, text = entry.partition("=")
         if not equals or name in numbers:
-            raise QuotaPlanError(f"{ENV_PREFIX}{key}: '{entry}' is not one TENANT=NUMBER for each tenant")
+            raise QuotaPlanError(f"{ENV_PREFIX}{key}: '{entry}': list each tenant once as TENANT=NUMBER")
         if name not in names:
             raise QuotaPlanError(
-                f"{ENV_PREFIX}{key}: unknown tenant '{name}': the settings name {_abbreviate(names)}"
+                f"{ENV_PREFIX}{key}: unknown tenant '{name}': known tenants are {_abbreviate(names)}"
             )
         numbers[name] = _parse_number({key: text}, key, 0.0)
         if numbers[name] < 0:
@@ -117,15 +120,16 @@
 
 
 def _tenant_quotas(settings: Settings, given: Mapping[str, str], capacity_per_s: float) -> tuple[Quota, ...]:
-    """Return quotas as set here, else as the gateway's settings have them.
+    """Return the tenants' quotas from the SHARES and WEIGHTS variables.
 
-    There they are shares, else rates. Weights are as set here, else equal to the quotas; a tenant without a
-    quota gets the least of the others' weights.
+    Without SHARES, the quotas come from the gateway's settings: from the tenants' shares, or from their rates
+    if no share is set. A tenant without an entry in WEIGHTS has its quota's fraction as its weight; a tenant
+    without a quota gets the smallest nonzero fraction.
     """
     names = {tenant.name for tenant in settings.tenants}
     if not names:
         raise QuotaPlanError(
-            f"{ENV_PREFIX}CAPACITY is set, but the settings name no tenants: lending needs some"
+            f"{ENV_PREFIX}CAPACITY is set, but the settings name no tenants: lending needs at least one"
         )
     fractions = _parse_tenant_numbers(given, "SHARES", names)
     weights = _parse_tenant_numbers(given, "WEIGHTS", names)
@@ -141,7 +145,7 @@
 
 
 def _fractions_of_settings(settings: Settings, capacity_per_s: float) -> dict[str, float]:
-    """Return the tenants' shares; their rates as fractions of the capacity where no share is set."""
+    """Return the tenants' shares, or their rates as fractions of the capacity if no tenant has a share."""
     has_shares = any(tenant.share for tenant in settings.tenants)
     if not has_shares and capacity_per_s > 0:
         return {tenant.name: tenant.quota_per_s / capacity_per_s for tenant in settings.tenants}
--- a/meadowpulley/lending/demand_estimator.py
+++ b/meadowpulley/lending/demand_estimator.py
@@ -1,4 +1,4 @@
-"""Estimate the demand of tenants at one gateway: rates that follow clear changes quickly and noise hardly."""
+"""Estimate tenants' demand at one gateway, following clear changes quickly and smoothing noise."""
 
 from __future__ import annotations
 
@@ -9,23 +9,27 @@
 
 from meadowpulley.lending.plan import MAX_TENANTS, MS_PER_SECOND, QuotaPlan
 
-CLEAR_CHANGE_DEVIATIONS = 2.0  # standard deviations of Poisson arrivals that make a change clear
-MIN_TIME_CONSTANT = 0.2  # x `decay_ms`, right after a clear rise
-MAX_TIME_CONSTANT = 5.0  # x `decay_ms`, long after it
-HEADROOM_FACTOR = 1.15  # demanded, of the estimated rate: arrivals are uneven
-HEADROOM_ROOT_FACTOR = 0.5  # and so much of the rate's root: the fewer the arrivals, the more uneven
-MIN_RATE_PER_S = 0.02  # units per second; lower rates count as none
-HYSTERESIS_LOW = 0.85  # x the last demand reported: between these two that one is repeated for a while
+# A change is clear if it exceeds this many standard deviations of Poisson arrivals.
+CLEAR_CHANGE_DEVIATIONS = 2.0
+MIN_TIME_CONSTANT = 0.2  # smoothing time constant right after a clear rise, in multiples of `decay_ms`
+MAX_TIME_CONSTANT = 5.0  # smoothing time constant long after a clear rise, in multiples of `decay_ms`
+# The reported demand is the estimated rate times the first factor, plus the square root of (rate x mean cost)
+# times the second. Arrivals are uneven, and relatively more uneven the fewer they are.
+HEADROOM_FACTOR = 1.15
+HEADROOM_ROOT_FACTOR = 0.5
+MIN_RATE_PER_S = 0.02  # units per second; lower rates count as 0
+# A new demand between these two multiples of the last reported demand repeats the reported one for a while.
+HYSTERESIS_LOW = 0.85
 HYSTERESIS_HIGH = 1.06
-HYSTERESIS_DECAYS = 4  # times `decay_ms`, for which a reported demand may be repeated
-COST_SMOOTHING = 0.01  # weight of a new request in the mean cost
+HYSTERESIS_DECAYS = 4  # a reported demand may be repeated for this many times `decay_ms`
+COST_SMOOTHING = 0.01  # weight of the newest request in the moving average of the cost
 
 Value = TypeVar("Value")
 
 
 @dataclass(slots=True)
 class RateEstimate:
-    """A rate in units per second; its time constant grows with the time since the last clear rise."""
+    """Hold an estimated rate, whose smoothing gets slower with the time since its last clear rise."""
 
     per_s: float
     last_rise_at: float
@@ -33,17 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedDemand:
-    """A demand in units per second, and when it was first reported."""
+    """Hold a reported demand in units per second, and when it was first reported."""
 
     per_s: float
     since: float
 
 
 class DemandEstimator:
-    """Demand in units per second by tenant and class.
+    """Estimate demand in units per second, by tenant and class.
 
-    `decay_ms` is the time constant with which a rate that is no longer observed decays: an owner that comes
-    and goes keeps its part over pauses shorter than that.
+    `decay_ms` is the time constant with which the estimate decays when requests stop. A tenant with
+    intermittent traffic keeps its part of the capacity during pauses shorter than that.
     """
 
     def __init__(self, decay_ms: float) -> None:
@@ -55,7 +59,7 @@
         self.round_started_at = -math.inf
 
     def record_request(self, tenant: int, class_index: int, cost: float) -> None:
-        """Record a request, admitted or not; a client's retry is no further demand and not recorded."""
+        """Count a request, admitted or not; callers leave out client retries, which add no demand."""
         if tenant not in self.round_units:
             if len(self.round_units) > MAX_TENANTS:
                 return
@@ -64,11 +68,11 @@
         self.mean_cost += COST_SMOOTHING * (cost - self.mean_cost)
 
     def units_this_round(self, tenant: int) -> float:
-        """Return the units demanded in this round so far."""
+        """Return the units that a tenant has demanded in this round so far."""
         return sum(self.round_units.get(tenant, {}).values())
 
     def end_round(self, now: float) -> None:
-        """Update the rates with what was recorded in this round, and start the next one."""
+        """Update the rates with the requests counted in this round, and start the next round."""
         elapsed_ms = min(now - self.round_started_at, self.decay_ms)
         if elapsed_ms <= 0:
             return
@@ -92,7 +96,7 @@
     def _update_estimate(
         self, estimate: RateEstimate, observed_per_s: float, now: float, elapsed_ms: float
     ) -> None:
-        """Move an estimate towards the rate observed in one round, by exponential smoothing."""
+        """Move an estimate towards the rate observed in the last round, by exponential smoothing."""
         noise_per_s = self._noise_bound(estimate.per_s, elapsed_ms)
         if observed_per_s > estimate.per_s + noise_per_s:
             estimate.last_rise_at = now
@@ -104,7 +108,7 @@
         estimate.per_s += (observed_per_s - estimate.per_s) * weight
 
     def _noise_bound(self, rate_per_s: float, elapsed_ms: float) -> float:
-        """Return by how many units per second Poisson arrivals of a rate may differ from it by chance."""
+        """Return by how many units per second the rate of Poisson arrivals may deviate by chance."""
         deviation = math.sqrt(rate_per_s * self.mean_cost * elapsed_ms / MS_PER_SECOND)
         return (CLEAR_CHANGE_DEVIATIONS * deviation + self.mean_cost) * MS_PER_SECOND / elapsed_ms
 
@@ -116,10 +120,10 @@
         return by_tenant
 
     def demands(self) -> dict[int, float]:
-        """Return the units per second to demand, by tenant.
+        """Return the demand to report in units per second, by tenant.
 
-        A demand close to the one reported last is not renewed for a while: changes by chance would move
-        grants between gateways.
+        A demand close to the last reported one repeats that value for a while. Otherwise, random variation
+        would keep moving grants between gateways.
         """
         previous = self.reported
         self.reported = {}
@@ -134,13 +138,13 @@
         return {tenant: reported.per_s for tenant, reported in self.reported.items()}
 
     def _repeats(self, last: ReportedDemand, demand: float) -> bool:
-        """Return whether the demand reported last is recent, and close enough to be reported again."""
+        """Return whether to report the last demand again: it is recent and close to the new one."""
         is_recent = self.round_started_at < last.since + HYSTERESIS_DECAYS * self.decay_ms
         is_close = HYSTERESIS_LOW * last.per_s < demand < HYSTERESIS_HIGH * last.per_s
         return is_close and is_recent
 
     def remap_tenants(self, old_plan: QuotaPlan, new_plan: QuotaPlan) -> None:
-        """Keep the rates under the tenants' places in another plan; tenants not named there are dropped."""
+        """Move the rates to the tenants' places in the new plan; drop tenants that it does not name."""
         new_places = old_plan.places_in(new_plan)
         self.rates = _remapped(self.rates, new_places)
         self.round_units = _remapped(self.round_units, new_places)
--- a/meadowpulley/lending/entitlement.py
+++ b/meadowpulley/lending/entitlement.py
@@ -1,4 +1,4 @@
-"""What one gateway is entitled to: its tenants' fractions of the capacity, of the demand it reports."""
+"""Compute what one gateway is entitled to: the granted fractions of the demand in its report."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class GrantedFractions(NamedTuple):
-    """Which fractions (0 to 1) can be granted: of what falls within quotas, and of what is borrowed."""
+    """Hold the fractions (0 to 1) that can be granted: within tenants' own quotas, and borrowed."""
 
     own: float
     borrowed: float
@@ -21,27 +21,27 @@
 
 @dataclass(slots=True)
 class Allocation:
-    """The fractions of each tenant's demand that are granted, by its place in the plan."""
+    """Hold the granted fractions of each tenant's demand, by place in the plan, and the spare capacity."""
 
     granted_fractions: dict[int, GrantedFractions]
-    spare_per_gateway: float  # units per second that nobody demands
+    spare_per_gateway: float  # undemanded units per second that each gateway gets
 
 
 @dataclass(slots=True)
 class Entitlement:
-    """What one gateway should get, and how much of that is reserved for it already; units per second."""
+    """Hold what one gateway should get, and how much is reserved for it already (units per second)."""
 
     rates: list[GrantedRate]
     total_own: float
     total_borrowed: float
     own_beyond_floor: float
-    covered: float  # of all beyond the floor, by what is reserved already
+    covered: float  # part of the entitlement beyond the floor that is reserved already
     own_shortfall: float
     borrowed_shortfall: float
 
     @classmethod
     def for_report(cls, report: DemandReport, allocation: Allocation, reserved: float) -> Entitlement:
-        """Compute the entitlement behind one report, of which `reserved` is covered already."""
+        """Compute the entitlement for a report; `reserved` units per second are set apart for it already."""
         rates = _entitled_rates(report, allocation)
         total_own = math.fsum(own for _, own, _ in rates)
         total_borrowed = math.fsum(borrowed for _, _, borrowed in rates)
@@ -58,13 +58,13 @@
         )
 
     def granted_total(self, fractions: GrantedFractions) -> float:
-        """Return the units per second to grant when these fractions of the shortfalls can be."""
+        """Return the units per second to grant if these fractions of the shortfalls can be granted."""
         return (
             self.covered + fractions.own * self.own_shortfall + fractions.borrowed * self.borrowed_shortfall
         )
 
     def scaled_rates(self, total: float) -> tuple[GrantedRate, ...]:
-        """Scale the rates down to `total` units per second in all, the borrowed ones first."""
+        """Scale the rates down to a sum of `total` units per second, reducing borrowed rates first."""
         own_scale = 1.0
         if self.total_own > 0:
             own_scale = min(total / self.total_own, 1.0)
--- a/meadowpulley/lending/errors.py
+++ b/meadowpulley/lending/errors.py
@@ -1,4 +1,4 @@
-"""The errors of lending."""
+"""Define the exceptions that lending raises."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class LendingError(MeadowpulleyError):
-    """The base of all errors that lending raises."""
+    """Serve as the base class of all errors that lending raises."""
 
 
 class QuotaPlanError(LendingError, ValueError):
-    """Report an invalid plan in one line: what is wrong, where, and what to do."""
+    """Report an invalid quota plan in one line: what is wrong, where, and how to correct it."""
 
 
 class RecordFormatError(LendingError, ValueError):
-    """Report a record of the ledger that is not of this package's format."""
+    """Report a ledger record that can't be decoded in this package's format."""
--- a/meadowpulley/lending/max_min_fairness.py
+++ b/meadowpulley/lending/max_min_fairness.py
@@ -1,9 +1,10 @@
-"""Weighted max-min fair division of capacity: each tenant's own quota first, the rest by weight.
+"""Divide capacity by weighted max-min fairness: each tenant's own quota first, the rest by weight.
 
-Pure arithmetic on rates. An allocation is max-min fair by weight if no tenant can get more without another
-getting less that has as much or less already, relative to its weight; progressive ("water") filling finds
-it. Sources: Bertsekas and Gallager, Data Networks, 2nd ed. (1992), section 6.5.2; weights as in Demers,
-Keshav and Shenker, Analysis and Simulation of a Fair Queueing Algorithm (SIGCOMM 1989).
+This module is pure arithmetic on rates. An allocation is max-min fair by weight if no tenant can get more
+without taking from a tenant that has as much or less already, relative to its weight. Progressive filling
+("water filling") finds this allocation. Sources: Bertsekas and Gallager, Data Networks, 2nd ed. (1992),
+section 6.5.2; weights as in Demers, Keshav and Shenker, Analysis and Simulation of a Fair Queueing Algorithm
+(SIGCOMM 1989).
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Division(NamedTuple):
-    """What each tenant gets, in the units of the capacity: of its own quota, and borrowed."""
+    """Hold what each tenant gets from its own quota and what it borrows, in the units of the capacity."""
 
     own: list[float]
     borrowed: list[float]
@@ -22,8 +23,8 @@
 def water_fill(capacity: float, demands: Sequence[float], weights: Sequence[float]) -> list[float]:
     """Divide `capacity` max-min fairly by weight.
 
-    Each tenant gets min(demand, weight x level), with one level for all and a sum of at most `capacity`.
-    Tenants of weight 0 get what the others leave, evenly.
+    Each tenant gets min(demand, weight x level). The level is the same for all tenants, and the sum is at
+    most `capacity`. Tenants of weight 0 divide evenly what the others leave.
     """
     allocated = [0.0] * len(demands)
     demanding = [index for index, demand in enumerate(demands) if demand > 0]
@@ -39,7 +40,8 @@
 ) -> float:
     """Write into `allocated` what the tenants with these weights get; return what is left of `capacity`.
 
-    The tenant whose demand is least for its weight is filled first: what it leaves is shared by the others.
+    Tenants are served in the order of their demand relative to weight, lowest first: what one leaves unused
+    is divided among the rest.
     """
     remaining = capacity
     remaining_weight = sum(weights.values())
@@ -55,10 +57,10 @@
 def divide_capacity(
     capacity: float, demands: Sequence[float], quotas: Sequence[float], weights: Sequence[float]
 ) -> Division:
-    """Return what each tenant gets of its own quota, and what it borrows, in the units of `capacity`.
+    """Return what each tenant gets from its own quota and what it borrows, in the units of `capacity`.
 
-    What owners do not demand of their quotas is lent. Quotas that add up to more than `capacity` (a part of
-    the whole is reserved elsewhere) are scaled down by one factor.
+    The parts of quotas that their owners do not demand are lent. If the demand within quotas exceeds
+    `capacity` (because a part of the total is reserved elsewhere), it is scaled down by one common factor.
     """
     capacity = max(capacity, 0.0)
     own = [min(demand, quota) for demand, quota in zip(demands, quotas, strict=True)]
--- a/meadowpulley/lending/plan_agreement.py
+++ b/meadowpulley/lending/plan_agreement.py
@@ -1,7 +1,7 @@
-"""Which quota plan is in force: the ledger's record, and the plan of this gateway's own settings.
+"""Agree with the other gateways on one quota plan, through the plan record in the ledger.
 
-The plan of the greatest version wins. A gateway writes its own settings' plan where the ledger has none, or
-an older one, and gives it up once the ledger's is as new.
+The plan with the highest version wins. A gateway writes the plan from its own settings if the ledger has no
+plan or an older one, and drops it once the ledger has a plan with at least the same version.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class PlanAgreement:
-    """One gateway's part in agreeing on a plan through the ledger's record."""
+    """Propose this gateway's plan to the ledger until the ledger has one at least as new."""
 
     def __init__(self, proposed: QuotaPlan) -> None:
-        self.proposed: QuotaPlan | None = proposed  # of the settings, until the ledger's is as new
-        self.record_version = 0  # of the ledger's record; 0: none observed
-        self.ticket = 0  # of the write in flight; 0: none
+        self.proposed: QuotaPlan | None = proposed  # None once the ledger has a plan as new
+        self.record_version = 0  # version of the plan record observed last; 0: none observed
+        self.ticket = 0  # ticket of the write in flight; 0: none
 
     def propose(self, current: QuotaPlan, next_ticket: Callable[[], int]) -> list[Commit]:
-        """Write the settings' plan where the ledger has none, or an older one than that; `current` is it."""
+        """Write the proposed plan if the ledger has none or an older one; `current` is the plan in force."""
         if self.proposed is None or self.ticket:
             return []
         if self.record_version and self.proposed.version <= current.version:
@@ -33,9 +33,9 @@
         return [conditional_write(self.ticket, PLAN_KEY, value, self.record_version)]
 
     def on_committed(self, ticket: int) -> bool:
-        """Process the end of the write in flight; return whether this was one.
+        """Clear the write in flight if it has this ticket; return whether it had.
 
-        Its result comes as a change of the record.
+        The result of the commit is not needed: a plan that was written arrives as a change of the record.
         """
         if ticket != self.ticket:
             return False
@@ -43,7 +43,7 @@
         return True
 
     def drop_proposal(self, plan: QuotaPlan) -> list[QuotaPlanConflict]:
-        """Give up the settings' plan where the ledger's `plan` is as new; log where the two contradict."""
+        """Drop the proposed plan if the ledger's `plan` is as new; report a conflict between the two."""
         proposed = self.proposed
         if proposed is None or proposed.version > plan.version:
             return []
--- a/meadowpulley/lending/quota_client.py
+++ b/meadowpulley/lending/quota_client.py
@@ -1,7 +1,8 @@
-"""One gateway's own two records: it reports demand in rounds, and applies what it is granted.
+"""Report one gateway's demand in rounds, and apply the grants that answer the reports.
 
-A grant counts from the moment this gateway BEGAN the round that it answers, on its own clock: whoever counts
-the grant as expired observed it later than that, however slow or stopped anyone was in between.
+The term of a grant starts when this gateway began the round that the grant answers, on its own clock. The
+allocator counts the term from when it observed the grant. That is always later, however long a process was
+slow or paused in between, so the gateway stops using the grant first.
 """
 
 from __future__ import annotations
@@ -30,15 +31,19 @@
     record_key,
 )
 
-EARLY_REPORT_FRACTION = 0.25  # of a round, the least interval between reports that can't wait for the next
-LOWERED_RATE_FRACTION = 0.99  # of the previous rate: a grant below that is acknowledged at once
-MAX_REMEMBERED_ROUNDS = 32  # whose start is known; older ones have no grant that still counts
-REPORT_TIMEOUT_ROUNDS = 4  # after which a report without a result is given up
+# Shortest interval between two reports, as a fraction of a round, if one can't wait for the next round.
+EARLY_REPORT_FRACTION = 0.25
+# A grant that lowers the rate below this fraction of the previous rate is acknowledged at once.
+LOWERED_RATE_FRACTION = 0.99
+# Rounds whose start time is kept. A grant that answers an older round has expired.
+MAX_REMEMBERED_ROUNDS = 32
+# Rounds to wait for the result of a report's commit before sending another report.
+REPORT_TIMEOUT_ROUNDS = 4
 UNKNOWN_RESULT = TransactionResult(TransactionOutcome.UNKNOWN)
 
 
 class QuotaClient:
-    """Write one gateway's demand reports, and hand its grants to the enforcer."""
+    """Write one gateway's demand reports, and pass its grants to the enforcer."""
 
     def __init__(self, gateway_index: int, incarnation: Incarnation, enforcer: QuotaEnforcer) -> None:
         self.gateway_index = gateway_index
@@ -49,36 +54,38 @@
         self.round_number = 0
         self.acknowledged_round = 0
         self.round_started_at: dict[int, float] = {}
-        self.report_version = 0  # of the own report's record
-        self.ticket = 0  # of the report in flight; 0: none
+        self.report_version = 0  # version of this gateway's report record; 0: none known
+        self.ticket = 0  # ticket of the report in flight; 0: none
         self.reported_at = -math.inf
-        self.must_acknowledge = False  # a lower grant is applied, and others wait to hear that
+        # A lower grant was applied; its capacity is free for others only once a report acknowledges that.
+        self.must_acknowledge = False
         self.unanswered_since = math.inf
-        self.predecessor_floor = 0.0  # that an earlier incarnation may still use
+        self.predecessor_floor = 0.0  # units per second that an earlier incarnation may still use
         self.predecessor_floor_until = -math.inf
-        self.conflicting_incarnation: Incarnation | None = None  # of another name, with the same index
+        # Incarnation of a gateway with a different name that uses the same index.
+        self.conflicting_incarnation: Incarnation | None = None
         self.conflict_until = -math.inf
         self.reported_rates: dict[int, float] = {}
 
     @property
     def keys(self) -> tuple[str, str]:
-        """The keys of this gateway's report and grant."""
+        """Return the keys of this gateway's report and grant."""
         return self.report_key, self.grant_key
 
     def report_due(self, now: float, early: bool) -> bool:
-        """Return whether to report now; `early`: for a reason that can't wait for the next round."""
+        """Return whether to report now; `early` means that the report can't wait for the next round."""
         round_ms = self.enforcer.plan.round_ms
         if self.ticket:
             if now < self.reported_at + REPORT_TIMEOUT_ROUNDS * round_ms:
                 return False
-            self.ticket = 0  # no result: it may have been committed or not
+            self.ticket = 0  # without a result, the report may or may not have been committed
         interval_ms = round_ms * (EARLY_REPORT_FRACTION if early else 1.0)
         return now >= max(self.reported_at + interval_ms, self.conflict_until)
 
     def report(
         self, now: float, rates: dict[int, float], ticket: int, released: bool = False
     ) -> list[Commit]:
-        """Begin a round: report this demand, by place in units per second, and which grant is applied."""
+        """Begin a round by reporting demand (units per second by place) and the last applied grant."""
         self.round_number += 1
         self.reported_rates = rates
         self.ticket = ticket
@@ -103,18 +110,18 @@
         return [conditional_write(ticket, self.report_key, value, self.report_version)]
 
     def release(self, now: float, ticket: int) -> list[Commit]:
-        """Give back all that is granted, at a graceful shutdown."""
+        """Return the grant to the allocator in a graceful shutdown."""
         if not self.report_version:
             return []
         return self.report(now, {}, ticket, released=True)
 
     def on_ledger_lost(self) -> None:
-        """Give up the report in flight: it may have been committed or not."""
+        """Stop waiting for the report in flight, which may or may not have been committed."""
         self.ticket = 0
         self.unanswered_since = math.inf
 
     def on_committed(self, now: float, event: CommitCompleted) -> bool:
-        """Process the result of the report in flight; return whether this was one."""
+        """Process the result of the report in flight; return whether the event belongs to it."""
         if event.ticket != self.ticket or not self.ticket:
             return False
         self.ticket = 0
@@ -137,13 +144,13 @@
     # Records
 
     def observe(self, now: float, record: Record) -> None:
-        """Process one of this gateway's two records, as another gateway or incarnation wrote it."""
+        """Process a change of this gateway's report or grant record."""
         try:
             if record.key == self.report_key:
                 self._observe_report(now, record)
             else:
                 self._observe_grant(now, decode_grant(record.value))
-        except RecordFormatError:  # of a later format: it stays as it is until it is overwritten
+        except RecordFormatError:  # ignore a record in a later format until it is overwritten
             return
 
     def _observe_report(self, now: float, record: Record) -> None:
@@ -158,7 +165,7 @@
             self.conflict_until = now + plan.observer_term_ms(plan.term_ms)
 
     def _defer_floor(self, now: float, floor: float) -> None:
-        """Use no floor for the floor's term, for which an earlier incarnation may go on with its own."""
+        """Use no floor for one floor term, because an earlier incarnation may still use its own."""
         if floor > 0:
             plan = self.enforcer.plan
             self.predecessor_floor = max(self.predecessor_floor, floor)
@@ -172,7 +179,7 @@
             self._apply_grant(now, grant)
 
     def _is_usable(self, grant: QuotaGrant) -> bool:
-        """Return whether a grant is newer than the one applied, and of the plan in force."""
+        """Return whether a grant is newer than the applied one and was made under the plan in force."""
         return (
             grant.round_number > self.acknowledged_round
             and grant.round_number in self.round_started_at
--- a/meadowpulley/lending/quota_enforcer.py
+++ b/meadowpulley/lending/quota_enforcer.py
@@ -1,10 +1,11 @@
-"""What one gateway may admit now: token buckets whose rates and bursts follow from its floor and its grant.
-
-One bucket bounds the gateway: over any time it admits at most what its rates gave it in that time and the
-burst it may have saved (`QuotaEnforcer.burst`). Within it each tenant has a bucket for its own quota and one
-for what it borrows. What owners leave unused here fills the gateway's bucket, and any tenant may take from
-its top; a part below is kept for tenants that were granted something, and most of that for owners, whose
-arrivals are uneven (trunk reservation; Ross, Multiservice Loss Models, 1995).
+"""Decide what one gateway may admit now, by token buckets filled at the rates of its floor and grant.
+
+One bucket limits the whole gateway: in any period, it admits at most the tokens added in that period plus the
+burst that it may have saved up (`QuotaEnforcer.burst`). In addition, each tenant has one bucket for its own
+quota and one for what it borrows. Tokens that owners leave unused at this gateway fill the gateway's bucket,
+and any tenant may take from the top part of it. The part below is reserved for tenants that were granted
+capacity, and most of that for owners, because their arrivals are uneven (trunk reservation; Ross,
+Multiservice Loss Models, 1995).
 """
 
 from __future__ import annotations
@@ -18,17 +19,22 @@
 from meadowpulley.lending.records import QuotaGrant
 from meadowpulley.lending.tenant_buckets import TenantBuckets
 
-# Fractions of the gateway's bucket that remain after a request: above the first any tenant is admitted, above
-# the second those with borrowed tokens, below it only tenants within their own quotas.
+# Fractions of the gateway's bucket that must remain after a request is admitted. At or above the first, any
+# tenant is admitted; at or above the second, tenants with borrowed tokens; below the second, only tenants
+# within their own quotas.
 RESERVED_FOR_GRANTED = 0.85
 RESERVED_FOR_OWNERS = 0.65
-PRIORITY_FREE_FRACTION = 0.4  # above it every class is admitted, whatever its priority
-MIN_BURST_REQUESTS = 2.0  # of the greatest cost: with less no request would fit above the reserves
-MAX_RETRY_AFTER_TERMS = 2  # beyond now, up to which retries of a tenant are queued
+# While at least this fraction of the gateway's bucket remains, every class is admitted whatever its priority.
+PRIORITY_FREE_FRACTION = 0.4
+# The gateway's burst holds at least this many requests of the greatest cost seen. With a smaller burst, no
+# request would fit above the reserved fractions.
+MIN_BURST_REQUESTS = 2.0
+# Retries of a tenant's rejected requests are spaced out over at most this many grant terms from now.
+MAX_RETRY_AFTER_TERMS = 2
 
 
 class Admission(Enum):
-    """How a request was admitted: within the tenant's own quota, with borrowed capacity, or not at all."""
+    """State how a request was admitted: within the tenant's own quota, with borrowed capacity, or not."""
 
     OWN = "own"
     BORROWED = "borrowed"
@@ -38,14 +44,14 @@
 class QuotaEnforcer:
     """Admit or reject requests within this gateway's floor and grant.
 
-    Gateways without a grant have their floor only, and nothing until they are given one.
+    A gateway without a grant may use only its floor, and admits nothing until it has been granted a floor.
     """
 
     def __init__(self, plan: QuotaPlan) -> None:
         self.plan = plan
-        self.max_request_cost = 1.0  # so far
+        self.max_request_cost = 1.0  # greatest cost of a request so far, in units
         self.floor = 0.0
-        self.floor_until = -math.inf  # on this gateway's own clock, as `grant_until`
+        self.floor_until = -math.inf  # in ms on this gateway's own clock, like `grant_until`
         self.grant: QuotaGrant | None = None
         self.grant_until = -math.inf
         self.tokens = 0.0
@@ -54,12 +60,12 @@
 
     @property
     def rate(self) -> float:
-        """Units per second that may be admitted in the long run."""
+        """Return the units per second that may be admitted on average."""
         return self.floor + (self.grant.total if self.grant else 0.0)
 
     @property
     def burst(self) -> float:
-        """Units that may be saved up, at most."""
+        """Return the greatest number of units that the gateway's bucket may hold."""
         rate = self.rate
         if rate <= 0:
             return 0.0
@@ -68,7 +74,7 @@
     # Time
 
     def advance(self, now: float) -> None:
-        """Refill up to now; a grant or floor that ended in between counts up to its end."""
+        """Refill the bucket up to `now`; a grant or floor that expired meanwhile counts until it expired."""
         for end in sorted((self.grant_until, self.floor_until)):
             if self.refilled_at < end <= now:
                 self._refill(end)
@@ -106,39 +112,39 @@
     def _set_tenant_rates(
         self, buckets: TenantBuckets, place: int, granted_own_rate: float, borrowed_rate: float
     ) -> None:
-        """Set a tenant's rates as granted; its own is at least its quota of the floor."""
+        """Set a tenant's granted rates; its own rate is at least its quota's fraction of the floor."""
         own_rate = max(self.floor * self.plan.fraction(place), granted_own_rate)
         buckets.set_rates(own_rate, borrowed_rate, self.plan.burst_ms, self.max_request_cost)
 
     def apply_grant(self, now: float, grant: QuotaGrant, until: float) -> None:
-        """Use a newer grant in place of the previous one, until that moment."""
+        """Replace the current grant by a newer one that is valid until the time `until`."""
         self.advance(now)
         if until > now:
             self.grant_until = until
             self._apply(now, grant, self.floor)
 
     def set_floor(self, now: float, rate: float, until: float) -> None:
-        """Use a floor of `rate` units per second until that moment."""
+        """Use a floor of `rate` units per second until the time `until`."""
         self.advance(now)
         self.floor_until = until
         if rate != self.floor:
             self._apply(now, self.grant, rate)
 
     def revoke_grant(self, now: float) -> None:
-        """Use no grant any more; the floor stays."""
+        """Stop using the grant, and keep the floor."""
         self.advance(now)
         self.grant_until = -math.inf
         self._apply(now, None, self.floor)
 
     def revoke_all(self, now: float) -> None:
-        """Use neither a grant nor the floor any more."""
+        """Stop using both the grant and the floor."""
         self.advance(now)
         self.grant_until = -math.inf
         self.floor_until = -math.inf
         self._apply(now, None, 0.0)
 
     def update_plan(self, now: float, plan: QuotaPlan) -> None:
-        """Use other quotas at once; what is granted goes on under the tenants' names."""
+        """Use the quotas of a new plan at once; keep the grant, with rates matched by tenant name."""
         self.advance(now)
         new_places = self.plan.places_in(plan)
         new_places[len(self.plan.tenants)] = len(plan.tenants)
@@ -156,7 +162,7 @@
     # Requests
 
     def buckets_of(self, now: float, place: int) -> TenantBuckets:
-        """Return a tenant's buckets, refilled up to now."""
+        """Return a tenant's buckets, refilled up to `now`."""
         buckets = self.tenant_buckets.get(place)
         if buckets is None:
             return self._add_buckets(now, place)
@@ -164,7 +170,7 @@
         return buckets
 
     def _add_buckets(self, now: float, place: int) -> TenantBuckets:
-        """Start buckets for a tenant that asks here for the first time; it has saved up its own burst."""
+        """Create buckets for a tenant's first request here; the bucket of its own quota starts full."""
         buckets = self.tenant_buckets[place] = TenantBuckets(now)
         own_rate, borrowed_rate = self._granted_rates(place)
         self._set_tenant_rates(buckets, place, own_rate, borrowed_rate)
@@ -172,7 +178,7 @@
         return buckets
 
     def _granted_rates(self, place: int) -> tuple[float, float]:
-        """Return what a tenant is granted: of its own quota, and borrowed; units per second."""
+        """Return a tenant's granted rates in units per second: from its own quota, and borrowed."""
         granted = (0.0, 0.0)
         if self.grant is not None:
             for granted_place, own, borrowed in self.grant.rates:
@@ -181,7 +187,7 @@
         return granted
 
     def admit(self, now: float, place: int, class_index: int, cost: float) -> Admission:
-        """Decide on one request of that cost (units), and take its tokens if it is admitted."""
+        """Decide whether to admit a request that costs `cost` units, and take its tokens if so."""
         self.max_request_cost = max(self.max_request_cost, cost)
         self.advance(now)
         buckets = self.buckets_of(now, place)
@@ -196,7 +202,7 @@
     def _choose_bucket(
         self, buckets: TenantBuckets, class_index: int, cost: float, remaining: float
     ) -> Admission:
-        """Take the cost from one of a tenant's buckets, or from the top of the gateway's."""
+        """Take the cost from one of a tenant's buckets, or from the top part of the gateway's bucket."""
         burst = self.burst
         is_plentiful = remaining >= PRIORITY_FREE_FRACTION * burst
         if buckets.own_tokens >= cost and buckets.admits_class(class_index, is_plentiful):
@@ -213,7 +219,7 @@
     def retry_after_ms(self, now: float, place: int, cost: float) -> float:
         """Return after how many milliseconds a rejected request may be retried.
 
-        Retries of one tenant are spaced as its rate here allows, so that they do not come back all at once.
+        Retries of one tenant are spaced at its rate at this gateway, so that they do not arrive all at once.
         """
         buckets = self.buckets_of(now, place)
         rate = buckets.rate
@@ -231,7 +237,7 @@
         rates: Mapping[int, Mapping[int, float]],
         priority_weights: Mapping[int, float],
     ) -> None:
-        """Decide which fraction of each class of a tenant is admitted while its rates exceed its grant.
+        """Set the fraction of each class to admit for tenants whose rates exceed their grants.
 
         `rates` are units per second by place and class; see `TenantBuckets.prioritize_classes`.
         """
@@ -241,7 +247,7 @@
 
 
 def _move_rates(grant: QuotaGrant, new_places: Mapping[int, int]) -> QuotaGrant:
-    """Return a grant with its rates under new places; those of tenants without one are dropped."""
+    """Return a grant with its rates moved to new places; drop rates of tenants without a new place."""
     rates = []
     for place, own, borrowed in grant.rates:
         if place in new_places:
--- a/meadowpulley/lending/records.py
+++ b/meadowpulley/lending/records.py
@@ -1,14 +1,16 @@
-"""Records that gateways share through the ledger: demand reports, grants, and the allocator's lease.
+"""Encode and decode the records that gateways share through the ledger.
 
-Each record has one writer at a time, so that writes hardly ever conflict.
+Each record has one writer at a time, so that writes rarely conflict.
 
 - `lending/plan`: the quota plan (`plan.py`).
-- `lending/allocator`: the incarnation that allocates. Every grant is written on the condition that this
-  record is unchanged since its writer was elected: a former allocator that resumes can write nothing.
-- `lending/ask/N`: what gateway N demands, by round, and which grant it has applied.
-- `lending/grant/N`: what gateway N may admit, in answer to one round's report.
-
-Keys and encodings are stored formats. Rates are units per second, times are milliseconds.
+- `lending/allocator`: the allocator's lease, which names the incarnation that allocates. A grant is written
+  only if this record is unchanged since its writer was elected, so a former allocator that resumes after a
+  pause can't write any grant.
+- `lending/ask/N`: the demand report of gateway N: its round, its demand, and which grant it has applied.
+- `lending/grant/N`: the grant of gateway N: what it may admit, in answer to the report of one round.
+
+Keys and encodings are stored formats and must not change. Rates are in units per second, times in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -20,65 +22,76 @@
 from meadowpulley.ledger.model import Commit, Create, Incarnation, Replace, Transaction
 from meadowpulley.lending.errors import RecordFormatError
 
-OWNER = "lending"  # of this package's commits
+OWNER = "lending"  # owner of the commits and scans that this package sends
 KEY_PREFIX = "lending/"
 PLAN_KEY = KEY_PREFIX + "plan"
 ALLOCATOR_KEY = KEY_PREFIX + "allocator"
 REPORT_PREFIX = KEY_PREFIX + "ask/"
 GRANT_PREFIX = KEY_PREFIX + "grant/"
 
-RECORD_FORMAT = 1  # of reports and grants; records of another format are refused
-_REPORT_HEADER = struct.Struct("<BHIIIIIdd?")  # laid out as `_ReportHeader`
-_GRANT_HEADER = struct.Struct("<BHIIIIddddd")  # laid out as `_GrantHeader`
-_REPORT_RATE = struct.Struct("<Hf")  # a `DemandRate`
-_GRANT_RATE = struct.Struct("<Hff")  # a `GrantedRate`
+RECORD_FORMAT = 1  # format number of reports and grants; records in another format are rejected
+_REPORT_HEADER = struct.Struct("<BHIIIIIdd?")  # has the fields of `_ReportHeader`
+_GRANT_HEADER = struct.Struct("<BHIIIIddddd")  # has the fields of `_GrantHeader`
+_REPORT_RATE = struct.Struct("<Hf")  # has the fields of one `DemandRate`
+_GRANT_RATE = struct.Struct("<Hff")  # has the fields of one `GrantedRate`
 
-DemandRate: TypeAlias = tuple[int, float]  # the tenant's place in the plan; demanded
-GrantedRate: TypeAlias = tuple[int, float, float]  # place; of the tenant's own quota; borrowed
+# A tenant's place (index in the plan's list of tenants), and the units per second that it demands.
+DemandRate: TypeAlias = tuple[int, float]
+# A tenant's place, and the units per second granted to it: from its own quota, and borrowed.
+GrantedRate: TypeAlias = tuple[int, float, float]
 
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """A gateway's demand in one round, by the tenant's place in the plan."""
+    """Describe a gateway's demand in one round, by each tenant's place in the plan."""
 
     incarnation: Incarnation
-    round_number: int  # rises by one with each report of that incarnation
-    acknowledged_round: int  # whose grant it has applied; it uses no earlier one any more
-    plan_version: int  # that the tenants' places belong to
-    reserved_floor: float  # most that this gateway, or an earlier incarnation, admits beside grants
-    floor_in_use: float  # by this incarnation itself: its grant can be smaller by as much
-    released: bool = False  # it admits nothing any more: graceful shutdown
+    round_number: int  # rises by one with each report of this incarnation
+    # Round of the newest grant that the gateway has applied; it no longer uses any earlier grant.
+    acknowledged_round: int
+    plan_version: int  # version of the plan that defines the tenants' places
+    # Largest floor that this or an earlier incarnation may use in addition to grants (units per second).
+    reserved_floor: float
+    # Floor of this incarnation (units per second); its grant can be smaller by this amount.
+    floor_in_use: float
+    released: bool = False  # after a graceful shutdown the gateway admits nothing
     rates: tuple[DemandRate, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant:
-    """What a gateway may admit, for a term from the moment it began the round that is answered."""
+    """State what a gateway may admit for `term_ms` from when it began the round that is answered."""
 
     incarnation: Incarnation
     round_number: int
     plan_version: int
-    total: float  # beyond the floor, of all tenants, with what is assigned to none
-    reserved: float  # to be counted until this grant is applied or has ended: an earlier one may be in use
-    predecessor_reserved: float  # beside that, what earlier incarnations may still use
-    floor: float  # admitted in any case, for the floor's term; at most the plan's
+    # Units per second in addition to the floor, for all tenants, including capacity assigned to no tenant.
+    total: float
+    # Units per second that count as in use until this grant is applied or expires, because the gateway may
+    # still use an earlier, larger grant.
+    reserved: float
+    # Units per second that earlier incarnations may still use, in addition to `reserved`.
+    predecessor_reserved: float
+    # Units per second that may be admitted even without a grant, for the floor's term; the gateway uses at
+    # most the plan's floor.
+    floor: float
     term_ms: float
-    rates: tuple[GrantedRate, ...] = ()  # with what the floor covers
+    rates: tuple[GrantedRate, ...] = ()  # rates by tenant, including the part that the floor covers
 
 
 def encode_incarnation(incarnation: Incarnation) -> bytes:
-    """Encode the value of the allocator's lease."""
+    """Encode the value of the allocator's lease record."""
     return f"{incarnation.epoch} {incarnation.name}".encode()
 
 
 def decode_incarnation(value: bytes) -> Incarnation:
-    """Decode the value of the allocator's lease."""
+    """Decode the value of the allocator's lease record."""
     epoch, _, name = value.decode().partition(" ")
     return Incarnation(name, int(epoch))
 
 
 class _ReportHeader(NamedTuple):
-    """The fixed part of an encoded report; the gateway's name and the rates follow."""
+    """Hold the fixed-size part of an encoded report; the gateway's name and the rates follow it."""
 
     record_format: int
     name_length: int
@@ -93,7 +106,7 @@
 
 
 class _GrantHeader(NamedTuple):
-    """The fixed part of an encoded grant; the gateway's name and the rates follow."""
+    """Hold the fixed-size part of an encoded grant; the gateway's name and the rates follow it."""
 
     record_format: int
     name_length: int
@@ -109,7 +122,7 @@
 
 
 def encode_report(report: DemandReport) -> bytes:
-    """Encode a report: a fixed header, the gateway's name, and a row for each tenant."""
+    """Encode a report as a fixed-size header, the gateway's name, and one row for each tenant."""
     name = report.incarnation.name.encode()
     header = _ReportHeader(
         record_format=RECORD_FORMAT,
@@ -128,7 +141,7 @@
 
 
 def decode_report(value: bytes) -> DemandReport:
-    """Decode a report. Raises `RecordFormatError` for anything that is not a report of this format."""
+    """Decode a report; raise `RecordFormatError` if the value is not a report in this format."""
     try:
         header = _ReportHeader._make(_REPORT_HEADER.unpack_from(value))
         _check_format(value, header, _REPORT_HEADER.size + _REPORT_RATE.size * header.rate_count)
@@ -149,7 +162,7 @@
 
 
 def encode_grant(grant: QuotaGrant) -> bytes:
-    """Encode a grant: a fixed header, the gateway's name, and a row for each tenant."""
+    """Encode a grant as a fixed-size header, the gateway's name, and one row for each tenant."""
     name = grant.incarnation.name.encode()
     header = _GrantHeader(
         record_format=RECORD_FORMAT,
@@ -169,7 +182,7 @@
 
 
 def decode_grant(value: bytes) -> QuotaGrant:
-    """Decode a grant. Raises `RecordFormatError` for anything that is not a grant of this format."""
+    """Decode a grant; raise `RecordFormatError` if the value is not a grant in this format."""
     try:
         header = _GrantHeader._make(_GRANT_HEADER.unpack_from(value))
         _check_format(value, header, _GRANT_HEADER.size + _GRANT_RATE.size * header.rate_count)
@@ -191,7 +204,7 @@
 
 
 def _check_format(value: bytes, header: _ReportHeader | _GrantHeader, length_without_name: int) -> None:
-    """Raise `RecordFormatError` for another format or length than the header states."""
+    """Raise `RecordFormatError` if the format number is unknown or the length contradicts the header."""
     length = length_without_name + header.name_length
     if header.record_format != RECORD_FORMAT or len(value) != length:
         raise RecordFormatError(
@@ -205,22 +218,22 @@
 
 
 def conditional_write(ticket: int, key: str, value: bytes, version: int) -> Commit:
-    """Return the commit that writes one record if its version is unchanged (0: if it does not exist)."""
+    """Return a commit that writes a record if it still has this version (0: if it does not exist)."""
     return Commit(ticket, (Transaction((write_if_unchanged(key, value, version),)),), OWNER)
 
 
 def write_if_unchanged(key: str, value: bytes, version: int) -> Create | Replace:
-    """Return a write that takes effect if the record has this version (0: if it does not exist)."""
+    """Return a write that takes effect only if the record has this version (0: if it does not exist)."""
     return Replace(key, value, version) if version else Create(key, value)
 
 
 def record_key(prefix: str, gateway_index: int) -> str:
-    """Return the key of a gateway's report or grant; no key is the beginning of another."""
+    """Return the key of a gateway's report or grant, padded so that no key is a prefix of another."""
     return f"{prefix}{gateway_index:05d}"
 
 
 def gateway_index_of(prefix: str, key: str) -> int | None:
-    """Return whose report or grant a key names; None if it does not begin so or has no index."""
+    """Return the gateway index in a key, or None if the key lacks the prefix or an index."""
     suffix = key.removeprefix(prefix)
     if suffix == key or not suffix.isdecimal():
         return None
--- a/meadowpulley/lending/reservations.py
+++ b/meadowpulley/lending/reservations.py
@@ -1,8 +1,9 @@
-"""What each gateway may still use by its records, as the allocator has observed them.
+"""Track how much capacity each gateway may still use, from the records that the allocator observed.
 
-For each gateway the last grant counts and, until a report acknowledges it, whatever the gateway may have used
-before (`QuotaGrant.reserved`). A grant that is not renewed counts for a term (and the clocks' drift) from
-the moment the allocator first observed it, which is after its holder's term began.
+For each gateway, its last grant counts. Until a report acknowledges that grant, the larger amount that the
+gateway may have used before counts (`QuotaGrant.reserved`). A grant that is not renewed counts for one term,
+plus a margin for clock drift, from when the allocator first observed it. That is later than the start of the
+term on the gateway that holds the grant, so the holder stops first.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 @dataclass(slots=True)
 class ObservedGrant:
-    """A gateway's grant as the allocator observed it last."""
+    """Hold the newest grant of a gateway that the allocator has observed."""
 
     grant: QuotaGrant
     version: int
@@ -25,7 +26,7 @@
 
 @dataclass(slots=True)
 class ObservedReport:
-    """A gateway's report as the allocator observed it last."""
+    """Hold the newest report of a gateway that the allocator has observed."""
 
     report: DemandReport
     version: int
@@ -34,17 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Units per second that are set apart for one gateway already."""
+    """Hold the units per second that are reserved for one gateway already."""
 
-    usable: float  # by the incarnation that reports now
-    predecessors: float  # by earlier incarnations, which may still run
+    usable: float  # by the incarnation that sent the latest report
+    predecessors: float  # by earlier incarnations, whose processes may still be running
 
 
 NOTHING_RESERVED = Reservation(usable=0.0, predecessors=0.0)
 
 
 class CapacityReservations:
-    """The capacity that observed reports and grants set apart, by the gateways' indices.
+    """Compute the capacity that observed reports and grants reserve, by gateway index.
 
     Rates are in units per second, times in milliseconds on the allocator's clock.
     """
@@ -53,12 +54,13 @@
         self.plan = plan
         self.reports: dict[int, ObservedReport] = {}
         self.grants: dict[int, ObservedGrant] = {}
-        self.predecessors_until: dict[int, float] = {}  # when grants of earlier incarnations end
+        # By gateway: when the grants of its earlier incarnations have expired.
+        self.predecessors_until: dict[int, float] = {}
 
-    # What is observed
+    # Observed records
 
     def observe_report(self, now: float, gateway_index: int, report: DemandReport, version: int) -> bool:
-        """Record a gateway's report; return whether it is newer than the one known."""
+        """Store a gateway's report if it is newer than the one known; return whether it is."""
         known = self.reports.get(gateway_index)
         if known is not None and known.version >= version:
             return False
@@ -69,7 +71,7 @@
         return True
 
     def observe_grant(self, now: float, gateway_index: int, grant: QuotaGrant, version: int) -> None:
-        """Record a gateway's grant, unless one at least as new is known."""
+        """Store a gateway's grant, unless one at least as new is known."""
         known = self.grants.get(gateway_index)
         if known is not None and known.version >= version:
             return
@@ -78,22 +80,22 @@
             self.predecessors_until[gateway_index] = now + self.plan.observer_term_ms(grant.term_ms)
 
     def grant_version(self, gateway_index: int) -> int:
-        """Return the version of a gateway's grant record; 0 where none is known."""
+        """Return the version of a gateway's grant record; 0 if none is known."""
         observed = self.grants.get(gateway_index)
         return observed.version if observed is not None else 0
 
     # Grants
 
     def total_reserved(self) -> float:
-        """Return what is set apart for all gateways by their grants."""
+        """Return the units per second that grants reserve for all gateways together."""
         return math.fsum(self.reserved(gateway_index) for gateway_index in self.grants)
 
     def reserved(self, gateway_index: int) -> float:
-        """Return what is set apart for all incarnations of a gateway by the records."""
+        """Return the units per second that grants reserve for all incarnations of a gateway."""
         return self.usable_grant(gateway_index) + self.predecessor_reserved(gateway_index)
 
     def usable_grant(self, gateway_index: int) -> float:
-        """Return what the incarnation that was answered last may use."""
+        """Return the units per second that the holder of a gateway's last grant may use."""
         observed_grant = self.grants.get(gateway_index)
         observed_report = self.reports.get(gateway_index)
         if observed_grant is None:
@@ -103,19 +105,19 @@
         return observed_grant.grant.reserved
 
     def predecessor_reserved(self, gateway_index: int) -> float:
-        """Return what earlier incarnations may use: no report can release it for them."""
+        """Return what earlier incarnations may still use; no report can release it before it expires."""
         observed = self.grants.get(gateway_index)
         return observed.grant.predecessor_reserved if observed is not None else 0.0
 
     def expires_at(self, observed: ObservedGrant) -> float:
-        """Return when the holder of a grant has stopped using it, whatever its clock does."""
+        """Return when the holder must have stopped using a grant, for any clock rate within the drift."""
         return observed.observed_at + self.plan.observer_term_ms(observed.grant.term_ms)
 
     def split_by_incarnation(self, now: float, gateway_index: int) -> Reservation:
-        """Split what is reserved between the reporting incarnation and earlier ones.
+        """Split a gateway's reservation between the reporting incarnation and earlier ones.
 
-        An incarnation that was answered last and is not the one that reports is an earlier one: what it was
-        granted counts until it expires.
+        If the last grant went to a different incarnation than the one that reports now, that incarnation is
+        an earlier one, and its grant counts until it expires.
         """
         observed = self.grants.get(gateway_index)
         if observed is None:
@@ -134,10 +136,10 @@
         return Reservation(0.0, usable + predecessors)
 
     def reclaimed_grant(self, now: float, gateway_index: int) -> QuotaGrant | None:
-        """Return an expired grant marked as reclaimed; None if there is nothing to reclaim.
+        """Return the grant without its expired parts, to be written as reclaimed; None if none expired.
 
-        That is written before anyone else gets it, once and in one transaction, so that no later allocator
-        can count it as lent to two gateways.
+        The reclaimed grant is written once, in one transaction, before its capacity goes to other gateways.
+        Otherwise a later allocator could count the same capacity as lent to two gateways.
         """
         observed = self.grants[gateway_index]
         grant = observed.grant
@@ -159,7 +161,7 @@
     # Floors
 
     def reserved_floor(self, now: float, gateway_index: int) -> float:
-        """Return what a gateway may use beside grants, in any incarnation, even without the ledger."""
+        """Return the floor that any incarnation of a gateway may use, even without the ledger."""
         observed_report = self.reports.get(gateway_index)
         observed_grant = self.grants.get(gateway_index)
         term_ms = self.plan.observer_term_ms(self.plan.floor_term_ms)
@@ -173,7 +175,7 @@
         return max(floor, observed_grant.grant.floor)
 
     def reserved_floors(self, now: float) -> float:
-        """Return what all floors take: the plan's, and what gateways still use by an earlier plan."""
+        """Return the sum of the plan's floors, plus any excess still in use under an earlier plan."""
         beyond_plan = [
             max(self.reserved_floor(now, gateway_index) - self.plan.floor_per_s(gateway_index), 0.0)
             for gateway_index in self.reports.keys() | self.grants.keys()
--- a/meadowpulley/lending/stage.py
+++ b/meadowpulley/lending/stage.py
@@ -1,11 +1,13 @@
-"""The lending stage: it admits a request, or rejects it at once with a time to retry after.
+"""Implement the lending stage, which admits a request or rejects it at once with a retry time.
 
-It stands before the next stage as `handle(now, event) -> actions`. It reports demand in rounds, applies what
-it is granted, and starts an election of the allocator when the current one does not answer any more. It
-owns the timers of `TIMER_TOKEN` and the commits of owner "lending"; all else passes unchanged.
+The stage wraps the next stage and has the same interface, `handle(now, event) -> actions`. It reports demand
+in rounds, applies the grants that it gets, and starts an election if the current allocator stops answering.
+It handles timers with `TIMER_TOKEN` and commits of owner "lending" itself; all other events and actions pass
+unchanged.
 
-Whoever carries out its actions sends it the changes of all keys below `watched_prefixes()`, which may differ
-after every event, beginning with a snapshot (`Changes.is_snapshot`).
+The caller that executes the actions must send the stage all changes of keys that start with one of
+`watched_prefixes()`, beginning with a snapshot (`Changes.is_snapshot`). The prefixes may change after every
+event.
 """
 
 from __future__ import annotations
@@ -52,11 +54,14 @@
 from meadowpulley.lending.records import ALLOCATOR_KEY, KEY_PREFIX, OWNER, PLAN_KEY
 
 TIMER_TOKEN = 3
-TICKS_PER_ROUND = 4  # how soon changes are acted upon
-TIMER_LOSS_TICKS = 2  # after which a timer that did not fire is set anew
-MAX_WORK_FACTOR = 20.0  # x the plan's `work_ms`: greater estimates count as that, as buckets grow with them
-EARLY_REPORT_FACTOR = 1.3  # demand above so many times the reported one is reported before the round ends
-DEMAND_DECAY_TERMS = 0.5  # the estimator's decay time, in terms of a grant
+TICKS_PER_ROUND = 4  # timer ticks in a round; the stage acts on due work at each tick
+TIMER_LOSS_TICKS = 2  # a timer that has not fired after this many tick intervals is set again
+# Work estimates are capped at this multiple of the plan's `work_ms`, because the size of the buckets grows
+# with the greatest estimate.
+MAX_WORK_FACTOR = 20.0
+# Demand above this multiple of the reported demand is reported before the round ends.
+EARLY_REPORT_FACTOR = 1.3
+DEMAND_DECAY_TERMS = 0.5  # decay time constant of the demand estimator, in multiples of a grant's term
 
 LedgerEvent: TypeAlias = (
     CommitCompleted
@@ -72,25 +77,26 @@
 
 
 class WriteObstacle(Flag):
-    """Why this gateway writes no reports and no grants."""
+    """List the reasons why this gateway may not write reports and grants."""
 
-    LEDGER_UNREAD = auto()  # no snapshot was observed since the start
+    LEDGER_UNREAD = auto()  # no snapshot has been received since the start
     LEDGER_UNAVAILABLE = auto()
-    FENCED = auto()  # for good: this incarnation has ended in the ledger
-    SHUTTING_DOWN = auto()  # for good
+    FENCED = auto()  # permanent: the ledger has ended this incarnation
+    SHUTTING_DOWN = auto()  # permanent: the gateway stops
 
 
 class NextStage(Protocol):
-    """The stage that gets the events and requests which this one passes on."""
+    """Define the interface of the stage that receives the events that lending passes on."""
 
     def handle(self, now: float, event: StageEvent) -> list[StageAction]:
-        """Return the actions that follow from an event at `now` (ms)."""
+        """Return the actions to execute for an event at time `now` (ms)."""
 
 
 class LendingStage:
-    """One gateway's part in lending.
+    """Admit and reject one gateway's requests, and exchange reports and grants through the ledger.
 
-    `incarnation` is the one that the ledger registered for this gateway, `plan` the plan of its own settings.
+    `incarnation` is the incarnation under which the ledger registered this gateway. `plan` is the quota plan
+    from the gateway's own settings.
     """
 
     def __init__(
@@ -108,7 +114,8 @@
             index: request_class.priority_weight for index, request_class in enumerate(settings.classes)
         }
         self.tenant_places: dict[int, int] = {}
-        self.admissions: Counter[tuple[int, Admission]] = Counter()  # requests by place, since the start
+        # Requests since the start, by place and kind of admission.
+        self.admissions: Counter[tuple[int, Admission]] = Counter()
         self.last_ticket = 0
         self.write_obstacles = WriteObstacle.LEDGER_UNREAD
         self.conflict_logged = False
@@ -117,17 +124,17 @@
 
     @property
     def plan(self) -> QuotaPlan:
-        """The plan in force at this gateway."""
+        """Return the plan in force at this gateway."""
         return self.enforcer.plan
 
     def watched_prefixes(self) -> tuple[str, ...]:
-        """Return the prefixes of the keys whose changes this stage must be sent now."""
+        """Return the key prefixes whose changes this stage must receive now."""
         if self.election.needs_all_records:
             return (KEY_PREFIX,)
         return (PLAN_KEY, ALLOCATOR_KEY, *self.client.keys)
 
     def handle(self, now: float, event: StageEvent) -> list[StageAction]:
-        """Return the actions that follow from an event at `now` (ms), of this stage and the next ones."""
+        """Return the actions of this stage and the next ones for an event at time `now` (ms)."""
         if isinstance(event, Timer) and event.token == TIMER_TOKEN:
             return self._on_tick(now)
         if isinstance(event, CommitCompleted) and event.owner == OWNER:
@@ -144,21 +151,21 @@
         return actions if now < self.timer_due_at else actions + self._schedule_timer(now)
 
     def update_plan(self, now: float, plan: QuotaPlan) -> list[StageAction]:
-        """Propose the quotas of new settings to all gateways.
+        """Propose a new plan to all gateways.
 
-        Raises `QuotaPlanError`, and changes nothing, where the plan is invalid or its version is not above
-        the one in force.
+        Raises `QuotaPlanError` without changing anything if the plan is invalid, or if it differs from the
+        plan in force and its version is not higher.
         """
         validate_plan(plan)
         if plan.version <= self.plan.version and plan != self.plan:
             raise QuotaPlanError(
-                f"lending: version {plan.version} is not above {self.plan.version}: raise it"
+                f"lending: plan version {plan.version} is not above the current {self.plan.version}: raise it"
             )
         self.agreement.proposed = plan
         return self._propose_plan()
 
     def shut_down(self, now: float) -> list[StageAction]:
-        """Admit nothing more, and give back all that is granted, at a graceful shutdown."""
+        """Stop admitting requests and return the grant to the allocator, in a graceful shutdown."""
         self.write_obstacles |= WriteObstacle.SHUTTING_DOWN
         self.enforcer.revoke_all(now)
         self.election.step_down(now)
@@ -168,7 +175,7 @@
 
     def _on_request(self, now: float, request: Request) -> list[StageAction]:
         if request.adopted and (request.prior_attempts or request.prior_attempt_count):
-            # It was admitted at the gateway that had it before: it counts once, and may have run.
+            # Another gateway admitted this request before and may have executed it: it must count only once.
             return self.inner.handle(now, request)
         place = self.tenant_places.get(request.tenant, len(self.plan.tenants))
         cost = self._request_cost(request)
@@ -192,13 +199,13 @@
         return min(retry_after_ms, limits.max_retry_after_ms or math.inf)
 
     def _demand_rose(self, place: int) -> bool:
-        """Return whether a tenant demands so much more than was reported that it can't wait for a round."""
+        """Return whether a tenant's demand exceeds its last report so far that it must be reported early."""
         reported_units = self.client.reported_rates.get(place, 0.0) * self.plan.round_ms / MS_PER_SECOND
         threshold = EARLY_REPORT_FACTOR * reported_units + self.enforcer.max_request_cost
         return self.demand.units_this_round(place) > threshold
 
     def _request_cost(self, request: Request) -> float:
-        """Return what a request takes, in the plan's units."""
+        """Return the cost of a request in the plan's units."""
         if not self.plan.by_work:
             return 1.0
         default_cost = self.plan.work_ms
@@ -207,7 +214,7 @@
         return min(max(request.expected_work_ms, 0.0), MAX_WORK_FACTOR * default_cost)
 
     def _map_tenants(self) -> None:
-        """Map the tenants' numbers here to their places in the plan, which may list them in another order."""
+        """Map tenant numbers of the settings to places in the plan, which may use a different order."""
         places = self.plan.place_by_name()
         self.tenant_places = {
             number: places[tenant.name]
@@ -268,7 +275,8 @@
         elif isinstance(event, LedgerRecovered):
             self.write_obstacles &= ~WriteObstacle.LEDGER_UNAVAILABLE
         elif isinstance(event, Fenced):
-            # It can renew nothing. It may use its floor: the next incarnation waits for the end of that.
+            # A fenced gateway can't renew its grant. It may go on using its floor, because the next
+            # incarnation uses none until that floor's term has ended.
             self.write_obstacles |= WriteObstacle.FENCED
             self.election.step_down(now)
             self.enforcer.revoke_grant(now)
@@ -321,7 +329,7 @@
             return []
         if not self.client.on_committed(now, event):
             return [*self.election.on_committed(now, event)]
-        # A report of the shutdown that met another one's record is written once more.
+        # The final report of a shutdown is written again if it conflicted with a newer version of its record.
         is_shutting_down = WriteObstacle.SHUTTING_DOWN in self.write_obstacles
         if is_shutting_down and event.results[0].outcome is TransactionOutcome.CONFLICT:
             return [*self.client.release(now, self._next_ticket())]
--- a/meadowpulley/lending/tenant_buckets.py
+++ b/meadowpulley/lending/tenant_buckets.py
@@ -1,4 +1,4 @@
-"""One tenant's token buckets at one gateway: for its own quota, and for what it borrows."""
+"""Limit one tenant at one gateway by two token buckets: for its own quota, and for what it borrows."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 
 from meadowpulley.lending.plan import MS_PER_SECOND
 
-TENANT_BURSTS = 3.0  # how much a tenant may save up of its rate, in bursts: while it paused, others used it
-MIN_TENANT_BURST_REQUESTS = 6.0  # of the greatest cost fit into a tenant's bucket, however low its rate
+# A tenant's bucket holds this many times the plan's `burst_ms` of its rate, so that a tenant can make up for
+# a pause in which others used its capacity.
+TENANT_BURSTS = 3.0
+# A tenant's bucket holds at least this many requests of the greatest cost seen, however low the rate is.
+MIN_TENANT_BURST_REQUESTS = 6.0
 MIN_CLASSES_TO_PRIORITIZE = 2
 
 
 class TenantBuckets:
-    """One tenant's token buckets at one gateway; tokens in the plan's units, rates in units per second."""
+    """Hold a tenant's two buckets, with tokens in the plan's units and rates in units per second."""
 
     __slots__ = (
         "borrowed_burst",
@@ -29,28 +32,29 @@
 
     def __init__(self, now: float) -> None:
         self.refilled_at = now
-        self.retry_slot_at = now  # of the last rejected request that was told when to retry
+        self.retry_slot_at = now  # retry time given to the last rejected request
         self.own_tokens = self.own_rate = self.own_burst = 0.0
         self.borrowed_tokens = self.borrowed_rate = self.borrowed_burst = 0.0
-        self.class_fractions: dict[int, float] = {}  # of each class that is admitted, while not all can be
+        # Fraction (0 to 1) of each class to admit; empty while all classes fit into the rate.
+        self.class_fractions: dict[int, float] = {}
         self.class_credit: dict[int, float] = {}
 
     @property
     def rate(self) -> float:
-        """Units per second, own and borrowed."""
+        """Return the sum of the own and the borrowed rate, in units per second."""
         return self.own_rate + self.borrowed_rate
 
     def set_rates(
         self, own_rate: float, borrowed_rate: float, burst_ms: float, max_request_cost: float
     ) -> None:
-        """Refill at these rates (units per second) from now on."""
+        """Refill the buckets at these rates (units per second) from now on."""
         self.own_rate = own_rate
         self.borrowed_rate = borrowed_rate
         self.own_burst = _tenant_burst(own_rate, burst_ms, max_request_cost)
         self.borrowed_burst = _tenant_burst(borrowed_rate, burst_ms, max_request_cost)
 
     def refill(self, now: float) -> None:
-        """Add the tokens of the time since the last refill."""
+        """Add the tokens for the time since the last refill."""
         seconds = max(now - self.refilled_at, 0.0) / MS_PER_SECOND
         self.refilled_at = max(now, self.refilled_at)
         self.own_tokens = min(self.own_tokens + self.own_rate * seconds, self.own_burst)
@@ -59,8 +63,9 @@
     def admits_class(self, class_index: int, bucket_is_plentiful: bool) -> bool:
         """Return whether a request of a class may take tokens.
 
-        A class of which only a fraction is admitted collects credit with each request. While the gateway's
-        bucket holds plenty any class is admitted: a full bucket would lose tokens.
+        A class that is admitted only in part gains its fraction as credit with each request, and spends 1
+        credit for each request admitted. While the gateway's bucket is plentiful, every class is admitted,
+        because a full bucket would lose tokens.
         """
         fraction = self.class_fractions.get(class_index, 1.0)
         if fraction >= 1 or bucket_is_plentiful:
@@ -73,10 +78,10 @@
     def prioritize_classes(
         self, class_rates: Mapping[int, float], priority_weights: Mapping[int, float]
     ) -> None:
-        """Decide which fraction of each class is admitted while its rates exceed the tenant's.
+        """Set the fraction of each class to admit if the classes together exceed the tenant's rate.
 
-        Classes of the greatest weight come first; the first one that does not fit is admitted in part.
-        `class_rates` are units per second by class.
+        Classes are served by priority weight, highest first. The first class that does not fit completely is
+        admitted in part. `class_rates` are in units per second by class.
         """
         self.class_fractions = {}
         remaining = self.rate
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Lending by module: division, buckets, estimates, records, the stage's answers, invalid settings."""
+"""Test the modules of lending: division, buckets, estimates, records, the stage, and settings."""
 
 from __future__ import annotations
 
@@ -76,15 +76,15 @@
 ) -> None:
     demands, weights = [demand for demand, _ in tenants], [weight for _, weight in tenants]
     quotas = [capacity * w / sum(weights) for w in weights]
-    own, lent = divide_capacity(capacity, demands, quotas, weights)
-    assert sum(own) + sum(lent) == pytest.approx(min(capacity, sum(demands)), abs=1e-6)
-    for demand, quota, amount, borrowed in zip(demands, quotas, own, lent, strict=True):
+    own, borrowed_rates = divide_capacity(capacity, demands, quotas, weights)
+    assert sum(own) + sum(borrowed_rates) == pytest.approx(min(capacity, sum(demands)), abs=1e-6)
+    for demand, quota, amount, borrowed in zip(demands, quotas, own, borrowed_rates, strict=True):
         assert amount == pytest.approx(min(demand, quota))
         assert -1e-9 <= borrowed <= demand - amount + 1e-9
-    unmet = [n for n, demand in enumerate(demands) if own[n] + lent[n] < demand - 1e-6]
-    if unmet:  # nobody has more by its weight than one that would take more
-        level = min(lent[n] / weights[n] for n in unmet)
-        assert max(x / w for x, w in zip(lent, weights, strict=True)) <= level + 1e-6
+    unmet = [n for n, demand in enumerate(demands) if own[n] + borrowed_rates[n] < demand - 1e-6]
+    if unmet:  # relative to weight, no tenant has more than one whose demand is not met
+        level = min(borrowed_rates[n] / weights[n] for n in unmet)
+        assert max(x / w for x, w in zip(borrowed_rates, weights, strict=True)) <= level + 1e-6
 
 
 def grant(total: float, *rates: tuple[int, float, float], round_number: int = 1) -> QuotaGrant:
@@ -103,16 +103,16 @@
 
 def test_an_enforcer_admits_rate_and_burst_and_nothing_after_the_grant_ends() -> None:
     enforcer = QuotaEnforcer(PLAN)
-    assert admitted(enforcer, 0, 1000.0) == 0  # nothing granted yet
+    assert admitted(enforcer, 0, 1000.0) == 0  # there is no grant yet
     enforcer.apply_grant(1000.0, grant(20.0, (0, 20.0, 0.0)), 3000.0)
     assert 38 <= admitted(enforcer, 0, 9000.0, now=1000.0) <= 40 + enforcer.max_request_cost
     assert enforcer.rate == 0.0
     enforcer.apply_grant(20_000.0, grant(20.0, (0, 20.0, 0.0)), 30_000.0)
-    assert admitted(enforcer, 0, 20_050.0, now=20_000.0) <= 1  # what it did not use of an ended grant is gone
+    assert admitted(enforcer, 0, 20_050.0, now=20_000.0) <= 1  # unused tokens of an expired grant are lost
 
 
 def test_a_paused_enforcer_resumes_without_its_grant_and_keeps_its_floor() -> None:
-    """A process stands still until its grant has expired, and once more until its floor has."""
+    """Pause the process until its grant has expired, and again until its floor has expired."""
     enforcer = QuotaEnforcer(PLAN)
     enforcer.apply_grant(0.0, grant(95.0, (0, 95.0, 0.0)), 5000.0)
     enforcer.set_floor(0.0, 5.0, 60_000.0)
@@ -126,10 +126,12 @@
 def test_idle_capacity_is_used_by_others_and_owners_come_first() -> None:
     enforcer = QuotaEnforcer(PLAN)
     enforcer.apply_grant(0.0, grant(40.0, (0, 20.0, 0.0), (1, 10.0, 10.0)), math.inf)
-    alone = admitted(enforcer, 1, 4000.0, now=0.0)
-    assert alone > 0.85 * 40 * 4  # the owner is away: all of the rate is used, but what is saved
+    admitted_alone = admitted(enforcer, 1, 4000.0, now=0.0)
+    assert (
+        admitted_alone > 0.85 * 40 * 4
+    )  # the owner is idle: the other tenant gets all but the reserved part
     counts = [0, 0]
-    for step in range(4000):  # both ask for far more than there is
+    for step in range(4000):  # both tenants demand far more than the rate
         for place in (1, 0):
             if enforcer.admit(4000.0 + step, place, 0, 1.0) is not Admission.REJECTED:
                 counts[place] += 1
@@ -142,12 +144,12 @@
     enforcer.apply_grant(0.0, grant(20.0, (0, 20.0, 0.0)), math.inf)
     enforcer.admit(0.0, 0, 0, 1.0)
     enforcer.prioritize_classes(0.0, {0: {0: 15.0, 1: 30.0}}, {0: 9.0, 1: 1.0})
-    got = [0, 0]
+    admitted_by_class = [0, 0]
     for step in range(900):
         cls = 0 if step % 3 == 0 else 1
-        got[cls] += enforcer.admit(step * 22.0, 0, cls, 1.0) is not Admission.REJECTED
-    assert got[0] > 0.9 * 300
-    assert 0 < got[1] < 0.25 * 600
+        admitted_by_class[cls] += enforcer.admit(step * 22.0, 0, cls, 1.0) is not Admission.REJECTED
+    assert admitted_by_class[0] > 0.9 * 300
+    assert 0 < admitted_by_class[1] < 0.25 * 600
 
 
 def test_retries_of_rejected_requests_are_spaced() -> None:
@@ -171,7 +173,7 @@
     demand.end_round(now)
     settled = [end_round(10) for _ in range(20)][-1]
     assert settled == pytest.approx(20.0, rel=0.1)
-    assert end_round(12) == pytest.approx(settled, rel=0.05)  # chance
+    assert end_round(12) == pytest.approx(settled, rel=0.05)  # a random variation
     assert end_round(60) > 60.0  # a clear rise
     assert [end_round(0) for _ in range(40)][-1] < 1.0
 
@@ -186,17 +188,17 @@
     assert decode_plan(encode_plan(PLAN)) == PLAN
 
 
-DAMAGES = {
+DAMAGE_BY_NAME = {
     "empty": lambda value: b"",
     "of another format": lambda value: b"\x07" + value[1:],
     "cut short": lambda value: value[:-1],
-    "with a name that is no text": lambda value: value.replace(b"a", b"\xff", 1),
+    "with a name that is not UTF-8": lambda value: value.replace(b"a", b"\xff", 1),
 }
 
 
-@pytest.mark.parametrize("damage", DAMAGES.values(), ids=DAMAGES.keys())
+@pytest.mark.parametrize("damage", DAMAGE_BY_NAME.values(), ids=DAMAGE_BY_NAME.keys())
 def test_records_that_are_damaged_are_refused(damage: Callable[[bytes], bytes]) -> None:
-    """Another version, or a bug, wrote bytes that can't be counted. Callers see one error for all of them."""
+    """Raise one type of error for any record that another version or a bug wrote in a wrong form."""
     with pytest.raises(RecordFormatError, match="not a demand report: "):
         decode_report(damage(encode_report(REPORT)))
     with pytest.raises(RecordFormatError, match="not a grant: "):
@@ -225,11 +227,11 @@
     ("values", "message"),
     [
         ({"WEIGHTS": "x=1"}, "CAPACITY is missing"),
-        (CAPACITY | {"CAPACITY": "many"}, "no number"),
+        (CAPACITY | {"CAPACITY": "many"}, "not a number"),
         (CAPACITY | {"CAPACITY": "0"}, "above 0"),
         (CAPACITY | {"SHARES": "x=0.8,y=0.4"}, "add up to 1.2"),
         (CAPACITY | {"SHARES": "w=0.8"}, "unknown tenant 'w'"),
-        (CAPACITY | {"SHARES": "x=0.1,x=0.2"}, "not one TENANT=NUMBER"),
+        (CAPACITY | {"SHARES": "x=0.1,x=0.2"}, "list each tenant once as TENANT=NUMBER"),
         (CAPACITY | {"WEIGHTS": "x=-1"}, "is below 0"),
         (CAPACITY | {"TERM_MS": "10"}, "at least 400"),
         (CAPACITY | {"FLOOR": "2"}, "floor 2"),
@@ -283,14 +285,14 @@
         )
         == []
     )
-    assert lending.enforcer.tokens == tokens  # it was admitted, and counted, where it was taken first
+    assert lending.enforcer.tokens == tokens  # the first gateway admitted and counted it
     lending.handle(1000.0, request(100, client_retry=True))
-    assert lending.demand.units_this_round(0) == before  # a client's repeat is no further demand
+    assert lending.demand.units_this_round(0) == before  # a client retry adds no demand
     assert any(isinstance(a, Reject) for a in lending.handle(1000.0, request(101, adopted=True)))
 
 
-def test_a_fenced_gateway_has_only_its_floor_and_a_leaving_one_nothing() -> None:
-    """A gateway was stopped for longer than its lease and wakes fenced; then it is shut down."""
+def test_a_fenced_gateway_keeps_only_its_floor_and_one_shutting_down_admits_nothing() -> None:
+    """A gateway pauses for longer than its lease and is fenced when it resumes; then it shuts down."""
     lending = stage()
     lending.enforcer.set_floor(0.0, 2.0, 1e6)
     lending.handle(1000.0, Fenced())
@@ -329,13 +331,13 @@
 
 
 def test_an_invalid_plan_changes_nothing_in_a_running_gateway() -> None:
-    """New settings bring quotas above the capacity, then other quotas without a new version."""
+    """New settings have quotas above the capacity; the next have a different plan but the same version."""
     lending = stage()
-    for bad in (
+    for invalid_plan in (
         dataclasses.replace(PLAN, version=2, tenants=(Quota("x", 0.8), Quota("y", 0.3))),
         dataclasses.replace(PLAN, capacity_per_s=50.0),
     ):
         with pytest.raises(QuotaPlanError):
-            lending.update_plan(0.0, bad)
+            lending.update_plan(0.0, invalid_plan)
     assert lending.plan == PLAN
     assert lending.enforcer.rate == 10.0
