--- a/meadowpulley/lending/config.py
+++ b/meadowpulley/lending/config.py
@@ -89,7 +89,7 @@
     try:
         return default if text is None else float(text)
     except ValueError:
-        raise QuotaPlanError(f"{ENV_PREFIX}{key} is '{text}', which is not a number") from None
+        raise QuotaPlanError(f"{ENV_PREFIX}{key} has no numeric value: '{text}'") from None
 
 
 def _parse_tenant_numbers(given: Mapping[str, str], key: str, names: set[str]) -> dict[str, float]:
@@ -104,7 +104,7 @@
             raise QuotaPlanError(f"{ENV_PREFIX}{key}: '{entry}': list each tenant once as TENANT=NUMBER")
         if name not in names:
             raise QuotaPlanError(
-                f"{ENV_PREFIX}{key}: unknown tenant '{name}': known tenants are {_abbreviate(names)}"
+                f"{ENV_PREFIX}{key}: unknown tenant '{name}': the settings define {_abbreviate(names)}"
             )
         numbers[name] = _parse_number({key: text}, key, 0.0)
         if numbers[name] < 0:
--- a/meadowpulley/lending/plan.py
+++ b/meadowpulley/lending/plan.py
@@ -165,12 +165,12 @@
 def _tenant_list_problems(plan: QuotaPlan) -> Iterator[str]:
     names = [quota.name for quota in plan.tenants]
     if not names:
-        yield "no tenants: the plan must name at least one"
+        yield "no tenants: capacity is lent between tenants, so name at least one"
     if len(names) > MAX_TENANTS:
         yield f"{len(names)} tenants: a plan can name at most {MAX_TENANTS}"
     duplicate = next((name for name, times in Counter(names).items() if times > 1), None)
     if duplicate is not None:
-        yield f"tenant '{duplicate}' is listed more than once: name each tenant once"
+        yield f"tenant '{duplicate}' is listed twice: name each tenant once"
 
 
 def _number_problems(plan: QuotaPlan) -> Iterator[str]:
@@ -184,4 +184,4 @@
     if not 0 <= plan.drift < MAX_CLOCK_DRIFT:
         yield f"drift {plan.drift:g} is out of range: use at least 0 and less than {MAX_CLOCK_DRIFT:g}"
     if plan.floor_term_ms < plan.term_ms:
-        yield "the term of floors is shorter than the term of grants: raise the floors' term"
+        yield "the floor's term is shorter than the term of a grant: raise the floor's term"
