--- a/tests/test_lending_allocator.py
+++ b/tests/test_lending_allocator.py
@@ -1,4 +1,4 @@
-"""The allocator of lending: grants, acknowledgements and expiry, with the sum within the capacity."""
+"""Test the allocator: grants, acknowledgements, expiry, and a sum of grants within the capacity."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 A, B = Incarnation("a", 1), Incarnation("b", 1)
 PLAN = QuotaPlan(1, 100.0, 2, (Quota("x", 0.5), Quota("y", 0.3), Quota("z", 0.2)), floor=0.1, drift=0.0)
-LENDABLE = 90.0  # units per second: the capacity without the floors
+LENDABLE = 90.0  # units per second: the capacity minus the floors
 
 
 def demand_report(
@@ -25,7 +25,7 @@
 
 
 class AllocatorHarness:
-    """An allocator whose grants are all committed; versions rise by one."""
+    """Run an allocator whose grants are all committed; record versions rise by 1."""
 
     def __init__(self) -> None:
         self.allocator = Allocator(PLAN)
@@ -56,7 +56,7 @@
     assert lowered.total < 70.0
     assert lowered.reserved == pytest.approx(LENDABLE)
     harness.report(300.0, 1, demand_report(B, 2, 1, (1, 200.0)))
-    assert harness.run_round(300.0)[1].total == 0.0  # the first may not have seen it
+    assert harness.run_round(300.0)[1].total == 0.0  # gateway 0 may not have seen its lowered grant
     harness.report(400.0, 0, demand_report(A, 3, 2, (0, 200.0)))
     harness.run_round(400.0)
     harness.report(500.0, 1, demand_report(B, 3, 2, (1, 200.0)))
@@ -64,14 +64,15 @@
 
 
 def test_the_grant_of_a_dead_incarnation_is_reclaimed_once_after_its_term() -> None:
-    """A gateway holds all capacity and dies. Another asks for it before and after the grant's term."""
+    """A gateway holds all capacity and is killed. Another demands it before and after the grant expires."""
     harness = AllocatorHarness()
     harness.report(0.0, 0, demand_report(A, 1, 0, (0, 200.0)))
     harness.run_round(0.0)
     harness.report(4000.0, 1, demand_report(B, 1, 0, (1, 200.0)))
     assert harness.run_round(4000.0)[1].total == 0.0
     harness.report(5001.0, 1, demand_report(B, 2, 1, (1, 200.0)))
-    both = harness.run_round(5001.0)  # it is written as returned first, given away after
+    # The expired grant is reclaimed first, and its capacity is granted to others only in a later round.
+    both = harness.run_round(5001.0)
     assert both[0].reserved == 0.0
     assert both[1].total == 0.0
     harness.report(5100.0, 1, demand_report(B, 3, 2, (1, 200.0)))
@@ -80,7 +81,7 @@
 
 
 def test_a_new_incarnation_is_answered_at_once_beside_its_predecessors_grant() -> None:
-    """A gateway is killed and restarted. Its earlier process may be alive until the grant expires."""
+    """A gateway is killed and restarted; its old process may still run, so its grant counts until expiry."""
     harness = AllocatorHarness()
     harness.report(0.0, 0, demand_report(A, 1, 0, (0, 40.0)))
     harness.run_round(0.0)
--- a/tests/test_lending_formats.py
+++ b/tests/test_lending_formats.py
@@ -1,4 +1,4 @@
-"""Records of lending as version 0.4.0 stored them: read as they were, and written as the same bytes."""
+"""Check that records stored by version 0.4.0 can be read and are written as the same bytes."""
 
 from __future__ import annotations
 
