--- a/meadowpulley/lending/config.py
+++ b/meadowpulley/lending/config.py
@@ -89,7 +89,7 @@
     try:
         return default if text is None else float(text)
     except ValueError:
-        raise QuotaPlanError(f"{ENV_PREFIX}{key} has no numeric value: '{text}'") from None
+        raise QuotaPlanError(f"{ENV_PREFIX}{key} has no valid number: '{text}'") from None
 
 
 def _parse_tenant_numbers(given: Mapping[str, str], key: str, names: set[str]) -> dict[str, float]:
