--- a/meadowpulley/lending/allocator.py
+++ b/meadowpulley/lending/allocator.py
@@ -175,7 +175,10 @@
         )
 
     def _granted_floor(self, now: float, gateway_index: int, free: float) -> float:
-        """Return the floor to grant; it is not raised while more than the capacity is reserved."""
+        """Return the floor to grant: the larger of the reserved floor and the plan's floor.
+
+        While more than the capacity is reserved, the reserved floor is granted unchanged.
+        """
         floor = self.reservations.reserved_floor(now, gateway_index)
         if free < -RATE_TOLERANCE:
             return floor
--- a/meadowpulley/lending/allocator_election.py
+++ b/meadowpulley/lending/allocator_election.py
@@ -182,7 +182,13 @@
         self.pending_since = now
 
     def _election_due(self, now: float, unanswered_since: float) -> bool:
-        """Return whether to replace the lease: a report is unanswered or the leader's lease expired."""
+        """Return whether this follower should now try to take over the allocator's lease record.
+
+        This is due once the oldest unanswered report and the last change of leader are both at least 2 to 3
+        rounds old (the exact time is random), or 0 to 1 round after the leader's membership lease expired.
+        While no lease record is known, any unanswered report is enough. While no plan record is known, no
+        election starts.
+        """
         if not self.plan_version:
             return False
         if not self.lease_version and unanswered_since < now:
@@ -201,7 +207,7 @@
         return [Commit(ticket, transactions, OWNER)]
 
     def _fenced_transaction(self, write: GrantWrite) -> Transaction:
-        """Return a transaction that writes a grant if the leader and the plan are unchanged."""
+        """Return a transaction that writes a grant if the lease, plan and grant records are unchanged."""
         key = record_key(GRANT_PREFIX, write.gateway_index)
         return Transaction(
             (
--- a/meadowpulley/lending/config.py
+++ b/meadowpulley/lending/config.py
@@ -43,7 +43,7 @@
         return None
     if "CAPACITY" not in given:
         raise QuotaPlanError(
-            f"{ENV_PREFIX}CAPACITY is missing although {ENV_PREFIX}{min(given)} is set: set it too"
+            f"{ENV_PREFIX}CAPACITY is missing: it is required when {ENV_PREFIX}{min(given)} is set"
         )
     _check_setting_names(given)
     capacity_per_s = _parse_number(given, "CAPACITY", 0.0)
@@ -57,7 +57,7 @@
         **_optional_numbers(given),
     )
     if plan.term_ms < MIN_TERM_MS:
-        raise QuotaPlanError(f"{ENV_PREFIX}TERM_MS is {plan.term_ms:g}: use at least {MIN_TERM_MS:g}")
+        raise QuotaPlanError(f"{ENV_PREFIX}TERM_MS is {plan.term_ms:g}: it must be at least {MIN_TERM_MS:g}")
     return validate_plan(plan)
 
 
@@ -65,7 +65,7 @@
     unknown = sorted(given.keys() - NUMERIC_SETTINGS.keys() - set(OTHER_SETTINGS))
     if unknown:
         known = ", ".join((*OTHER_SETTINGS, *NUMERIC_SETTINGS))
-        raise QuotaPlanError(f"{ENV_PREFIX}{unknown[0]}: no such setting: use one of {known}")
+        raise QuotaPlanError(f"{ENV_PREFIX}{unknown[0]} is not a known setting: use one of {known}")
 
 
 def _optional_numbers(given: Mapping[str, str]) -> dict[str, float]:
@@ -89,7 +89,7 @@
     try:
         return default if text is None else float(text)
     except ValueError:
-        raise QuotaPlanError(f"{ENV_PREFIX}{key} has no valid number: '{text}'") from None
+        raise QuotaPlanError(f"{ENV_PREFIX}{key}: expected a number, got '{text}'") from None
 
 
 def _parse_tenant_numbers(given: Mapping[str, str], key: str, names: set[str]) -> dict[str, float]:
@@ -101,14 +101,18 @@
             continue
         name, equals, text = entry.partition("=")
         if not equals or name in numbers:
-            raise QuotaPlanError(f"{ENV_PREFIX}{key}: '{entry}': list each tenant once as TENANT=NUMBER")
+            raise QuotaPlanError(
+                f"{ENV_PREFIX}{key}: invalid entry '{entry}': use TENANT=NUMBER, with one entry per tenant"
+            )
         if name not in names:
             raise QuotaPlanError(
-                f"{ENV_PREFIX}{key}: unknown tenant '{name}': the settings define {_abbreviate(names)}"
+                f"{ENV_PREFIX}{key}: unknown tenant '{name}': the known tenants are {_abbreviate(names)}"
             )
         numbers[name] = _parse_number({key: text}, key, 0.0)
         if numbers[name] < 0:
-            raise QuotaPlanError(f"{ENV_PREFIX}{key}: tenant '{name}': {text} is below 0: use 0 or more")
+            raise QuotaPlanError(
+                f"{ENV_PREFIX}{key}: tenant '{name}' has {text}, which is below 0: use 0 or more"
+            )
     return numbers
 
 
@@ -129,7 +133,7 @@
     names = {tenant.name for tenant in settings.tenants}
     if not names:
         raise QuotaPlanError(
-            f"{ENV_PREFIX}CAPACITY is set, but the settings name no tenants: lending needs at least one"
+            f"{ENV_PREFIX}CAPACITY is set, but the settings define no tenants: define at least one"
         )
     fractions = _parse_tenant_numbers(given, "SHARES", names)
     weights = _parse_tenant_numbers(given, "WEIGHTS", names)
--- a/meadowpulley/lending/entitlement.py
+++ b/meadowpulley/lending/entitlement.py
@@ -10,7 +10,10 @@
 
 
 class GrantedFractions(NamedTuple):
-    """Hold the fractions (0 to 1) that can be granted: within tenants' own quotas, and borrowed."""
+    """Hold the fractions (0 to 1) of a tenant's demand, or of all shortfalls, that can be granted.
+
+    `own` is the fraction granted within the tenants' own quotas, `borrowed` the one granted beyond them.
+    """
 
     own: float
     borrowed: float
--- a/meadowpulley/lending/plan.py
+++ b/meadowpulley/lending/plan.py
@@ -75,15 +75,15 @@
         return self.capacity_per_s / (1 + self.drift)
 
     def fraction(self, place: int) -> float:
-        """Return the quota at a place as a fraction of the capacity; 0 for tenants that are not named."""
+        """Return a tenant's quota as a fraction of the capacity; 0 for tenants the plan does not list."""
         return self.tenants[place].fraction if place < len(self.tenants) else 0.0
 
     def quota_per_s(self, place: int) -> float:
-        """Return the quota at a place in units per second; 0 for tenants that are not named."""
+        """Return a tenant's quota in units per second; 0 for tenants that the plan does not list."""
         return self.fraction(place) * self.usable_per_s
 
     def weight(self, place: int) -> float:
-        """Return the weight at a place for borrowing; 0 for tenants that are not named."""
+        """Return a tenant's weight for borrowing capacity; 0 for tenants that the plan does not list."""
         return self.tenants[place].weight if place < len(self.tenants) else 0.0
 
     def places_in(self, other: QuotaPlan) -> dict[int, int]:
@@ -154,23 +154,23 @@
     yield from _number_problems(plan)
     total_fraction = math.fsum(quota.fraction for quota in plan.tenants)
     if total_fraction > 1 + FRACTION_TOLERANCE:
-        yield f"shares add up to {total_fraction:g}, which is more than 1: lower some"
+        yield f"shares add up to {total_fraction:g}, but at most 1 is allowed: lower some of them"
     for quota in plan.tenants:
         if not (0 <= quota.fraction <= 1 and 0 <= quota.weight < math.inf):
             numbers = f"share {quota.fraction:g} or weight {quota.weight:g}"
-            remedy = "use a share between 0 and 1, and a weight of 0 or more"
+            remedy = "use a share between 0 and 1, and a finite weight of 0 or more"
             yield f"tenant '{quota.name}': {numbers} is out of range: {remedy}"
 
 
 def _tenant_list_problems(plan: QuotaPlan) -> Iterator[str]:
     names = [quota.name for quota in plan.tenants]
     if not names:
-        yield "no tenants: capacity is lent between tenants, so name at least one"
+        yield "the plan has no tenants: define at least one, because capacity is lent between tenants"
     if len(names) > MAX_TENANTS:
-        yield f"{len(names)} tenants: a plan can name at most {MAX_TENANTS}"
+        yield f"the plan has {len(names)} tenants, but at most {MAX_TENANTS} are allowed"
     duplicate = next((name for name, times in Counter(names).items() if times > 1), None)
     if duplicate is not None:
-        yield f"tenant '{duplicate}' is listed twice: name each tenant once"
+        yield f"tenant '{duplicate}' is listed more than once: list each tenant once"
 
 
 def _number_problems(plan: QuotaPlan) -> Iterator[str]:
--- a/meadowpulley/lending/records.py
+++ b/meadowpulley/lending/records.py
@@ -208,8 +208,8 @@
     length = length_without_name + header.name_length
     if header.record_format != RECORD_FORMAT or len(value) != length:
         raise RecordFormatError(
-            f"format {header.record_format}, {len(value)} bytes: "
-            f"expected format {RECORD_FORMAT}, {length} bytes"
+            f"the record has format {header.record_format} and {len(value)} bytes; "
+            f"expected format {RECORD_FORMAT} and {length} bytes"
         )
 
 
--- a/meadowpulley/lending/reservations.py
+++ b/meadowpulley/lending/reservations.py
@@ -35,10 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Hold the units per second that are reserved for one gateway already."""
+    """Hold the capacity that is already reserved for one gateway, in units per second."""
 
-    usable: float  # by the incarnation that sent the latest report
-    predecessors: float  # by earlier incarnations, whose processes may still be running
+    usable: float  # reserved for the incarnation that sent the latest report
+    # Reserved for earlier incarnations of the gateway, whose processes may still be running.
+    predecessors: float
 
 
 NOTHING_RESERVED = Reservation(usable=0.0, predecessors=0.0)
--- a/meadowpulley/lending/stage.py
+++ b/meadowpulley/lending/stage.py
@@ -159,7 +159,7 @@
         validate_plan(plan)
         if plan.version <= self.plan.version and plan != self.plan:
             raise QuotaPlanError(
-                f"lending: plan version {plan.version} is not above the current {self.plan.version}: raise it"
+                f"lending: plan version {plan.version} must be above the current version {self.plan.version}"
             )
         self.agreement.proposed = plan
         return self._propose_plan()
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -227,16 +227,19 @@
     ("values", "message"),
     [
         ({"WEIGHTS": "x=1"}, "CAPACITY is missing"),
-        (CAPACITY | {"CAPACITY": "many"}, "no valid number"),
+        (CAPACITY | {"CAPACITY": "many"}, "CAPACITY: expected a number, got 'many'"),
         (CAPACITY | {"CAPACITY": "0"}, "above 0"),
         (CAPACITY | {"SHARES": "x=0.8,y=0.4"}, "add up to 1.2"),
         (CAPACITY | {"SHARES": "w=0.8"}, "unknown tenant 'w'"),
-        (CAPACITY | {"SHARES": "x=0.1,x=0.2"}, "list each tenant once as TENANT=NUMBER"),
+        (
+            CAPACITY | {"SHARES": "x=0.1,x=0.2"},
+            "invalid entry 'x=0.2': use TENANT=NUMBER, with one entry per tenant",
+        ),
         (CAPACITY | {"WEIGHTS": "x=-1"}, "is below 0"),
         (CAPACITY | {"TERM_MS": "10"}, "at least 400"),
         (CAPACITY | {"FLOOR": "2"}, "floor 2"),
         (CAPACITY | {"UNIT": "bytes"}, "requests or work"),
-        (CAPACITY | {"COLOUR": "red"}, "no such setting"),
+        (CAPACITY | {"COLOUR": "red"}, "COLOUR is not a known setting"),
     ],
 )
 def test_invalid_settings_are_refused_in_one_line(values: dict[str, str], message: str) -> None:
