--- a/meadowpulley/lending/allocator_election.py
+++ b/meadowpulley/lending/allocator_election.py
@@ -110,7 +110,7 @@
         if any(member.incarnation == self.leader for member in event.members):
             self.early_election_at = now + self.jitter * self.plan.round_ms
 
-    # Records
+    # Records read from the ledger
 
     def observe(self, now: float, record: Record) -> None:
         """Process a changed record whose key starts with `KEY_PREFIX`."""
@@ -157,7 +157,7 @@
         if self.state is LeaderState.LOADING:
             self.state = LeaderState.LEADER
 
-    # Time
+    # Periodic election checks and allocation rounds
 
     def on_tick(self, now: float, unanswered_since: float, ticket: int) -> list[Commit]:
         """Return the commits to send now; they use the number `ticket`.
@@ -217,7 +217,7 @@
             )
         )
 
-    # Results
+    # Results of this gateway's commits
 
     def on_committed(self, now: float, event: CommitCompleted) -> list[Scan]:
         """Process the result of this gateway's pending commit; ignore all other results."""
