--- a/meadowpulley/net/capture.py
+++ b/meadowpulley/net/capture.py
@@ -29,7 +29,7 @@
 MAX_SOURCE_CHARS = 80  # the gateway's name is cut to this length, since the header's length is fixed
 KEY_DIGEST_BYTES = 7  # 7 bytes: a hashed key stays below 2^56
 MS_DECIMALS = 3  # times are written in milliseconds, rounded to the microsecond
-HEADER_BYTES = 256  # of the first line, which is rewritten at the end with the number of dropped arrivals
+HEADER_BYTES = 256  # length of the first line, which is rewritten at the end with the dropped count
 
 
 # `run_in_thread(work, done)` runs `work` in a thread, then calls `done(failed)` in the reactor's thread.
@@ -206,7 +206,9 @@
     try:
         max_mb = float(text)
     except ValueError:
-        raise CaptureError(f"{ENV_MAX_MB}: {text!r} is no size in megabytes above 0 and up to 1e6") from None
+        raise CaptureError(
+            f"{ENV_MAX_MB} is {text!r}: expected a size in megabytes above 0 and up to 1e6"
+        ) from None
     if not 0 < max_mb <= MAX_MB:
-        raise CaptureError(f"{ENV_MAX_MB}: {max_mb:g} is no size in megabytes above 0 and up to 1e6")
+        raise CaptureError(f"{ENV_MAX_MB} is {max_mb:g}: expected a size in megabytes above 0 and up to 1e6")
     return max_mb
--- a/meadowpulley/net/config.py
+++ b/meadowpulley/net/config.py
@@ -39,7 +39,9 @@
     """A value is not an IPv4 address with a port."""
 
     def __init__(self, value: object) -> None:
-        super().__init__(f"{value!r} contains no IPv4 address with a port")
+        super().__init__(
+            f"{value!r} is not an IPv4 address with a port: expected for example '127.0.0.1:8080'"
+        )
         self.value = value
 
 
@@ -71,16 +73,16 @@
     """Read the file that the environment names; some variables override its keys. Raises ConfigError."""
     path = environ.get(protocol.ENV_CONFIG)
     if not path:
-        raise ConfigError(f"{protocol.ENV_CONFIG} is not set")
+        raise ConfigError(f"{protocol.ENV_CONFIG} is not set: set it to the path of the configuration file")
     try:
         with open(path, "rb") as file:
             raw = json.load(file)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: contains no valid JSON: {error}") from None
+        raise ConfigError(f"{path}: the file is not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: contains no JSON object")
+        raise ConfigError(f"{path}: the file must contain a JSON object")
     try:
         return _build_config(raw, environ)
     except (ConfigError, SettingsError) as error:
@@ -134,7 +136,7 @@
     discovery = _read_address(raw, "discovery")
     settings = read_settings(raw.get("settings"), "config")
     if not settings.classes:
-        raise ConfigError("'settings' name no request classes")
+        raise ConfigError("'settings': 'classes' must list at least one request class")
     config = Config(
         name=str(raw.get("name", "")),
         listen=listen,
@@ -165,14 +167,14 @@
 def _read_object(raw: JsonObject, key: str) -> JsonObject:
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"'{key}' is no JSON object")
+        raise ConfigError(f"'{key}' must be a JSON object")
     return value
 
 
 def _read_peers(raw: JsonObject) -> list[object]:
     peers = raw.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigError("'peers' is no list")
+        raise ConfigError("'peers' must be a list of IPv4 addresses with ports")
     return peers
 
 
@@ -190,7 +192,9 @@
 def _read_max_sockets(limits: JsonObject) -> int:
     max_sockets = limits.get("sockets", DEFAULT_SOCKETS)
     if not isinstance(max_sockets, int) or max_sockets < MIN_SOCKETS:
-        raise ConfigError(f"'limits': 'sockets' is {max_sockets!r}: at least {MIN_SOCKETS} are needed")
+        raise ConfigError(
+            f"'limits': 'sockets' is {max_sockets!r}: expected an integer of at least {MIN_SOCKETS}"
+        )
     return max_sockets
 
 
@@ -204,7 +208,7 @@
             return int(seed)
     except (ValueError, OverflowError):  # a string that is not hexadecimal, NaN, or an infinite number
         pass
-    raise ConfigError(f"'seed': {seed!r} is no finite or hexadecimal number")
+    raise ConfigError(f"'seed' is {seed!r}: expected a finite number or a string of hexadecimal digits")
 
 
 def _find_inconsistencies(config: Config, raw_settings: JsonObject) -> tuple[str, ...]:
--- a/meadowpulley/net/current_endpoint_list.py
+++ b/meadowpulley/net/current_endpoint_list.py
@@ -54,8 +54,8 @@
     def as_of_ms(self) -> float | None:
         """Return the time up to which the list in use includes all changes, once no call is open.
 
-        None means the present time: where lists are pushed, a discovery service that fails calls has notified
-        no gateway of any change.
+        None means the present time. It is returned unless the settings require polling: while calls to
+        discovery fail, discovery has notified no gateway of any change.
         """
         return self.confirmed_at if self._gateway.config.settings.must_poll else None
 
@@ -79,7 +79,7 @@
         """
         if endpoint_list.version < self.version and report.lists_applied_at_send < self.lists_applied:
             raise StaleListError(
-                f"list version {endpoint_list.version} arrived after {self.version}: fetch it again"
+                f"list version {endpoint_list.version} arrived after version {self.version} and may be stale"
             )
 
     def confirm(self, earliest_as_of_ms: float) -> None:
--- a/meadowpulley/net/deadlines.py
+++ b/meadowpulley/net/deadlines.py
@@ -44,7 +44,7 @@
         self.now = clock
         self._reactor = reactor
         self._report_failure = report_failure
-        self._heap: list[tuple[float, int, Deadline]] = []  # tuples, which heapq compares in C
+        self._heap: list[tuple[float, int, Deadline]] = []  # tuples: heapq compares them in C
         self._cancelled = 0  # number of heap entries whose deadline is cancelled
         self._last_sequence = 0  # orders deadlines with equal times by when they were set
         self._running = False
@@ -155,11 +155,11 @@
         self._arm_if_unarmed()
 
     def _arm_if_unarmed(self) -> None:
-        """Schedule the reactor call unless a callback that ran has scheduled it.
+        """Schedule the reactor call, unless running the due callbacks has scheduled it.
 
-        This is a separate function because mypyc assumes that an attribute set to None stays None until the
-        function that set it returns, even if a function called in between changes it. Within `_fire`, a
-        reactor call scheduled in between would raise a TypeError.
+        `_fire` sets `_reactor_call` to None, and mypyc then assumes that it stays None until `_fire` returns,
+        although `run_due` may store a new reactor call in it. If `_fire` read the attribute itself, the
+        compiled code would raise a TypeError for that value. This separate function makes no such assumption.
         """
         if self._reactor_call is None:
             self._arm()
--- a/meadowpulley/net/discovery_call.py
+++ b/meadowpulley/net/discovery_call.py
@@ -80,7 +80,7 @@
         """Handle the decoded JSON of the response."""
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Handle a call that failed, or whose response is no valid JSON."""
+        """Handle a call that failed, or whose response is not valid JSON."""
 
 
 class DiscoveryCall:
@@ -151,7 +151,7 @@
         try:
             raw = json.loads(message.body)
         except (ValueError, RecursionError):
-            self._fail("the response contains no valid JSON", connection, EndpointUpdateKind.BROKEN)
+            self._fail("the response is not valid JSON", connection, EndpointUpdateKind.BROKEN)
             return
         self._complete()
         if connection is not None and connection.is_open:
--- a/meadowpulley/net/discovery_client.py
+++ b/meadowpulley/net/discovery_client.py
@@ -46,13 +46,13 @@
             self.watch(True)
 
     def stop(self) -> None:
-        """Cancel all calls and close the idle connection."""
+        """Cancel all calls and close the idle connection, because the gateway stops."""
         self._watch.stop()
         self._fetch.cancel()
         self.idle_connection.discard()
 
     def address_changed(self) -> None:
-        """Restart the calls in progress at the address in the current configuration."""
+        """Restart the calls in progress at discovery's new address after a reload has changed it."""
         self.idle_connection.discard()
         self._watch.reset_backoff()
         self._fetch.restart()
--- a/meadowpulley/net/endpoint_watch.py
+++ b/meadowpulley/net/endpoint_watch.py
@@ -14,14 +14,15 @@
 
 LONG_POLL_MS = 10_000.0  # how long a call waits for changes, unless the settings set another interval
 MAX_LONG_POLL_MS = 60_000.0
-# How long the response to a long poll may take after its wait has ended. 2 s after the end of the wait,
-# discovery counts a change as notified even if the response never arrived, and by then the next call has to
-# be answered.
+# How long the response to a long poll may take after its wait has ended; later, the call counts as failed and
+# is retried. 2 s after the end of the wait, discovery assumes that this gateway knows of a change, even if
+# the response never arrived. This grace of 1.5 s leaves 0.5 s until then for the answer to the retry.
 LONG_POLL_GRACE_MS = 1_500.0
-# The backoff after a failed watch, where lists are pushed. As soon as discovery has recovered, it counts its
-# changes as notified, even at a gateway that still waits for its backoff to end. After the notification that
-# a server drains, requests may be sent to it only during the drain grace of the settings. The longest backoff
-# is therefore at most half of the drain grace, which leaves the other half for the call itself.
+# The backoff after a failed watch, unless the settings require polling. As soon as discovery has recovered,
+# it assumes that every gateway knows of its changes, even one that still waits for its backoff to end. Once a
+# gateway is assumed to know that a server drains, it may send requests to that server only during the drain
+# grace of the settings. The longest backoff is therefore at most half of the drain grace, which leaves the
+# other half for the call itself.
 FIRST_BACKOFF_MS = 500.0
 LONGEST_BACKOFF_MS = 4_000.0
 RETRY_JITTER = (0.5, 1.0)  # the backoff is multiplied by a factor drawn uniformly from this range
@@ -105,7 +106,7 @@
             if self._call is None:
                 self.call_failed(
                     CallFailure(
-                        "a fault of this gateway, not of discovery: the list was not applied",
+                        "an internal error of this gateway, not of discovery: the list was not applied",
                         EndpointUpdateKind.BROKEN,
                         report,
                     )
@@ -116,7 +117,7 @@
             self._open(self._long_poll_ms)
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Report the failure; where lists are pushed, schedule a retry of the watch."""
+        """Report a failed call, and schedule a retry of the watch unless the settings require polling."""
         self._call = None
         self._client.report_failure(failure)
         if self._call is not None or not self._enabled:  # the policy restarted or ended the watch
--- a/meadowpulley/net/extension.py
+++ b/meadowpulley/net/extension.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A final response. `headers` has end-to-end headers only: none on the connection or the length."""
+    """A final response. `headers` has only end-to-end headers, without the body length."""
 
     status: int
     headers: dict[str, str]
--- a/meadowpulley/net/gateway.py
+++ b/meadowpulley/net/gateway.py
@@ -54,11 +54,13 @@
 
     from meadowpulley.net.capture import Capture
 
-RESERVED_SOCKETS = 32  # for the process itself, the platform, discovery and closing connections
-# The fraction of the unreserved sockets that client connections may use. Client connections with a request
-# take a third of all sockets, and the rest of this fraction is for idle client connections.
+RESERVED_SOCKETS = 32  # sockets for the process itself, the platform, discovery and closing connections
+# The fraction of the unreserved sockets that client connections may use; the other 0.42 is for connections to
+# instances. Client connections with a request take a third of all sockets, and the rest of this fraction is
+# for idle client connections: of 1024 sockets, 575 are for clients, 341 for those with a request and 234 for
+# idle ones.
 CLIENT_SOCKET_FRACTION = 0.58
-DRAIN_ACCEPT_MS = 700.0  # connections still arrive after SIGTERM, and are accepted for this long
+DRAIN_ACCEPT_MS = 700.0  # new connections are accepted for this long after SIGTERM, since some still arrive
 TIMER_RETRY_MS = 1000.0  # delay until a timer event is repeated after the policy raised an exception
 
 # The argument is Any: each handler takes its own action type, which a dict's type can't express.
--- a/meadowpulley/net/json_fields.py
+++ b/meadowpulley/net/json_fields.py
@@ -24,5 +24,5 @@
         FieldError: the decoded JSON is not an object.
     """
     if not isinstance(raw, dict):
-        raise FieldError(f"{subject} is no JSON object")
+        raise FieldError(f"{subject} is not a JSON object")
     return raw
--- a/meadowpulley/net/log.py
+++ b/meadowpulley/net/log.py
@@ -10,7 +10,7 @@
 from structlog.typing import EventDict, FilteringBoundLogger, WrappedLogger
 
 UNEXPECTED_EXCEPTION_EVENT = "unexpected_exception"  # logged for a caught bug; the gateway goes on
-MAX_LINES_PER_SECOND = 20  # per event name; the next line written has the suppressed count
+MAX_LINES_PER_SECOND = 20  # lines per event name; the next line written says how many were suppressed
 UNLIMITED_EVENTS = ("request_trace",)  # never suppressed, since an operator asked for every line
 
 
--- a/meadowpulley/net/platform_messages.py
+++ b/meadowpulley/net/platform_messages.py
@@ -63,16 +63,16 @@
     try:
         message = json.loads(line)
     except (ValueError, RecursionError):
-        raise MalformedMessageError("a line contains no JSON object") from None
+        raise MalformedMessageError("a line from the platform is not a JSON object") from None
     if not isinstance(message, dict):
-        raise MalformedMessageError("a line contains no JSON object")
+        raise MalformedMessageError("a line from the platform is not a JSON object")
     return message
 
 
 def parse_rollout_update(raw: object, is_vote_reply: bool = False) -> RolloutUpdate:
     """Parse the newest build's rollout state from a notification, vote response or configuration."""
     try:
-        return _parse_rollout_fields(require_object(raw, "it"), is_vote_reply)
+        return _parse_rollout_fields(require_object(raw, "the value"), is_vote_reply)
     except FIELD_ERRORS as error:
         raise _malformed("rollout update", error) from None
 
@@ -147,7 +147,7 @@
 
     def _parse_statistics(self, raw: object) -> BuildStatistics:
         try:
-            return self._parse_statistics_fields(require_object(raw, "it"))
+            return self._parse_statistics_fields(require_object(raw, "the value"))
         except FIELD_ERRORS as error:
             raise _malformed("build statistics", error) from None
 
@@ -175,7 +175,7 @@
 
     def _parse_incorrect_response(self, raw: object) -> IncorrectResponse | None:
         try:
-            return self._parse_incorrect_response_fields(require_object(raw, "it"))
+            return self._parse_incorrect_response_fields(require_object(raw, "the value"))
         except FIELD_ERRORS as error:
             raise _malformed("incorrect response", error) from None
 
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -28,7 +28,7 @@
     vote_params,
 )
 
-DEFAULT_VOTE_TIMEOUT_MS = 5_000.0  # used if the settings set no time-out
+DEFAULT_VOTE_TIMEOUT_MS = 5_000.0  # time-out of a vote if the settings set none
 VOTE_RESULT_COUNTERS = {result: f"platform.vote_{result.name.lower()}" for result in Result} | {
     Result.NOT_SENT: "platform.vote_moot",  # the platform's error "moot": the vote no longer counts
 }
@@ -75,7 +75,7 @@
                 connection.abort()
 
     def address_changed(self) -> None:
-        """Connect to the platform at the address in the current configuration.
+        """Connect to the platform at its new address after a reload has changed it.
 
         Votes in flight are neither dropped nor sent twice: the old connection stays open until they are
         answered.
@@ -139,7 +139,11 @@
             self._complete(call, Result.TIMEOUT)
 
     def _complete(self, call: PendingCall, result: Result, update: RolloutUpdate | None = None) -> None:
-        """Dispatch the reply to a vote, once; dispatch the update of a later response as a notification."""
+        """Dispatch the reply to a vote, unless its reply was dispatched before, such as when it timed out.
+
+        If the platform's response to the vote arrives after that reply, the rollout state in the response is
+        dispatched as a notification instead.
+        """
         self.gateway.deadlines.cancel(call.timeout)
         if call.vote is None or call.completed:
             if update is not None:
@@ -170,7 +174,8 @@
             message = decode_line(line)
             if "method" not in message:
                 self._handle_response(connection, message)
-            elif not connection.retired:  # the new connection gets the same notifications
+            elif not connection.retired:
+                # Those on a retired connection are ignored, since the new connection receives the same ones.
                 self._handle_notification(message)
         except MalformedMessageError as error:
             self.protocol_error(connection, str(error))
@@ -204,7 +209,7 @@
     def _responded_call(self, connection: PlatformConnection, number: object) -> PendingCall:
         """Return the call that a response answers; complete skipped earlier calls as timed out."""
         if number not in [call.number for call in connection.pending_calls]:
-            raise MalformedMessageError("a response to no pending call")
+            raise MalformedMessageError("the id of a response matches no pending call")
         while connection.pending_calls[0].number != number:
             self._complete(connection.pending_calls.popleft(), Result.TIMEOUT)
         return connection.pending_calls[0]
--- a/tests/test_net_config.py
+++ b/tests/test_net_config.py
@@ -26,7 +26,7 @@
 VALID_CONFIG: dict[str, Any] = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:8", "settings": SETTINGS}
 CLASS_PATH = ("settings", "classes", 1)
 INVALID_VALUES: list[tuple[tuple[Any, ...], Any, str]] = [
-    (("seed",), float("inf"), "'seed': inf is no finite or hexadecimal number"),
+    (("seed",), float("inf"), "'seed' is inf: expected a finite number or a string of hexadecimal digits"),
     (("limits",), {"sockets": 5}, "'limits': 'sockets' is 5"),
     (("settings", "me"), float("inf"), "'me' is inf"),
     (("settings", "balancers"), float("nan"), "'balancers' is nan"),
@@ -87,14 +87,16 @@
     ],
 )
 def test_an_invalid_address_is_quoted_in_the_error(value: Any) -> None:
-    with pytest.raises(AddressError, match=re.escape(f"{value!r} contains no IPv4 address with a port")):
+    with pytest.raises(AddressError, match=re.escape(f"{value!r} is not an IPv4 address with a port")):
         parse_address(value)
 
 
 @pytest.mark.parametrize("max_mb", ["many", "0", "-1", "nan", "1e400"])
 def test_a_capture_with_an_invalid_size_limit_is_rejected(tmp_path: Path, max_mb: str) -> None:
     environ = {"MEADOWPULLEY_CAPTURE": str(tmp_path / "captured"), "MEADOWPULLEY_CAPTURE_MB": max_mb}
-    with pytest.raises(CaptureError, match=r"MEADOWPULLEY_CAPTURE_MB: .* is no size in megabytes above 0"):
+    with pytest.raises(
+        CaptureError, match=r"MEADOWPULLEY_CAPTURE_MB is .*: expected a size in megabytes above 0"
+    ):
         open_capture(environ, read_settings(SETTINGS, "test"), "n0", lambda: 0.0, lambda work, done: work())
 
 
