--- a/meadowpulley/fleet/__init__.py
+++ b/meadowpulley/fleet/__init__.py
@@ -1,7 +1,7 @@
 """Description of a fleet, shared by the emulator, the loopback test bed and the capacity planner.
 
 Reading order: `model` (the file format and its checks), `gateway_settings` (the settings object of a
-gateway of such a fleet, in the platform's format).
+gateway in the fleet, in the platform's format).
 """
 
 from meadowpulley.fleet.gateway_settings import gateway_settings, gateway_settings_object
--- a/meadowpulley/fleet/gateway_settings.py
+++ b/meadowpulley/fleet/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway of a described fleet, as the platform's settings object."""
+"""Derives the platform's settings object for a gateway from the description of its fleet."""
 
 from __future__ import annotations
 
@@ -98,5 +98,5 @@
 
 
 def gateway_settings(fleet: Fleet, gateway_index: int) -> Settings:
-    """Return the settings of a gateway, parsed as the gateway parses them."""
+    """Return the settings of a gateway, read by the same code that the gateway uses."""
     return read_settings(gateway_settings_object(fleet, gateway_index), f"gateway {gateway_index}")
--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -1,7 +1,7 @@
 """Description of a fleet: sites, machines, request classes, gateways and the services around them.
 
 Durations are milliseconds, work is milliseconds of one standard core (speed 1), shares run from 0 to 1. The
-keys of the file are a stored format; fields with another name in the code name their key.
+keys of the file are a stored format; a field that is named differently in the code states its key in `name`.
 """
 
 from __future__ import annotations
@@ -21,34 +21,34 @@
 PositiveShare = Annotated[float, Meta(gt=0, le=1)]
 PositiveInt = Annotated[int, Meta(ge=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$")]
-Range = Annotated[tuple[NotNegative, NotNegative], Meta(description="least and most")]
+Range = Annotated[tuple[NotNegative, NotNegative], Meta(description="minimum and maximum")]
 
 
 class FleetError(ValueError):
-    """An invalid input file. The text is one line: what, where, and what to do."""
+    """An invalid input file; the text is one line that says what is wrong, where, and how to fix it."""
 
 
 class Site(Struct, frozen=True, forbid_unknown_fields=True):
-    """A site and its part of the load, relative to the other sites'."""
+    """A site and the weight of its load."""
 
     name: Name
-    load: Positive = 1.0  # weight of this site's load against the other sites'
+    load: Positive = 1.0  # weight of this site's load, relative to the weights of the other sites
 
 
 class MachineKind(Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of machine. `slots` requests run at once and share the cores evenly; `queue` more may wait."""
+    """A kind of machine. `slots` requests run at once and share its cores evenly; `queue` more may wait."""
 
     name: Name
     cores: PositiveInt
     slots: PositiveInt
     queue: Annotated[int, Meta(ge=0)] = 0
     speed: Positive = 1.0
-    thrash: NotNegative = 0.0  # work lost per request and core beyond `thrash_at` requests per core
+    thrash: NotNegative = 0.0  # extra share of work per request and core beyond `thrash_at` requests per core
     thrash_at: Positive = 4.0
     slow_start_from: PositiveShare = field(
         default=1.0, name="cold_from"
-    )  # share of the capacity at the start
-    slow_start_ms: NotNegative = field(default=0.0, name="cold_ms")  # length of slow start
+    )  # share of the full capacity at the beginning of slow start
+    slow_start_ms: NotNegative = field(default=0.0, name="cold_ms")  # duration of slow start
     connections: PositiveInt = 10_000
     connect_work_ms: NotNegative = 0.0
     cancels_running: bool = False
@@ -65,7 +65,7 @@
 
 
 class RequestClass(Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of requests. `spread` is the coefficient of variation of its work."""
+    """A class of requests. `spread` is the coefficient of variation of lognormal work; 0 fixes the work."""
 
     name: Name
     share: Positive
@@ -81,7 +81,7 @@
 
 
 class GatewayGroup(Struct, frozen=True, forbid_unknown_fields=True):
-    """A number of equal gateways at one site."""
+    """A number of identical gateways at one site."""
 
     site: Name
     count: PositiveInt
@@ -90,46 +90,49 @@
     descriptors: PositiveInt = 1024
     reserved_descriptors: Annotated[int, Meta(ge=0)] = field(
         default=32, name="kept_back"
-    )  # file descriptors not used for requests
+    )  # file descriptors that are not available for requests
     client_descriptor_share: PositiveShare = (
         field(
             default=0.58, name="client_part"
-        )  # share of the other descriptors for clients; the rest is for servers
+        )  # share of the available descriptors for client connections; the rest is for servers
     )
     memory_mb: Positive = 192.0
-    base_mb: NotNegative = 28.0  # memory before the first request
+    base_mb: NotNegative = 28.0  # memory in use before the first request
     connection_kb: NotNegative = 12.0  # memory per connection
 
 
 class KeyModel(Struct, frozen=True, forbid_unknown_fields=True):
-    """Distribution of keys, and what servers save by remembering them."""
+    """Distribution of request keys, and the work that servers save by remembering keys."""
 
-    count: Annotated[int, Meta(ge=0)] = 0  # 0: requests have no key
+    count: Annotated[int, Meta(ge=0)] = 0  # number of different keys; with 0, requests have no key
     skew: NotNegative = 0.6  # exponent of Zipf's law
     memory_ms: NotNegative = 0.0  # how long a server remembers a key
     work_saved: Annotated[float, Meta(ge=0, lt=1)] = field(
         default=0.0, name="gain"
-    )  # share of the work saved for a remembered key
-    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum of remembered keys per server
+    )  # share of a request's work that a server saves if it remembers the key
+    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum number per server
 
 
 class ClientModel(Struct, frozen=True, forbid_unknown_fields=True):
-    """Retry behaviour of clients."""
+    """How clients retry requests."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 0
     backoff_ms: NotNegative = 100.0
     honours_retry_after: Share = field(default=0.7, name="honours_advice")
-    retries_failed: bool = False  # also requests that may have executed, where their class is idempotent
+    retries_failed: bool = False  # also retry requests that may have executed, unless their class is `unsafe`
 
 
 class NetworkModel(Struct, frozen=True, forbid_unknown_fields=True):
-    """One-way delays; each message takes up to `jitter` times more, exponentially distributed."""
+    """One-way delays of messages.
+
+    Each delay is longer by an exponentially distributed share of itself, with `jitter` as its mean.
+    """
 
     same_site_ms: NotNegative = 0.2
     cross_site_ms: NotNegative = 1.0
     client_ms: NotNegative = 0.5
     jitter: NotNegative = 0.1
-    handshakes: Annotated[int, Meta(ge=1, le=8)] = 1  # round trips of a new connection
+    handshakes: Annotated[int, Meta(ge=1, le=8)] = 1  # round trips needed to open a connection
     gossip_delay_ms: Range = field(default=(1.0, 30.0), name="peer_ms")
     gossip_loss: Share = field(default=0.0, name="peer_loss")
 
@@ -143,15 +146,16 @@
     )  # delay until any other change is listed
     update_interval_ms: Range = field(
         default=(190.0, 680.0), name="period_ms"
-    )  # interval of updates to one watch
+    )  # interval between updates to one watch
     timeout_ms: Positive = 2000.0
     long_poll_ms: Positive = field(default=10_000.0, name="wait_ms")  # longest wait of a long poll
     silence_timeout_ms: Positive = field(
         default=1500.0, name="silent_ms"
-    )  # beyond that wait, until a gateway gives up a silent poll
+    )  # time after the end of `wait_ms` until a gateway gives up a poll without a response
     presumed_known_ms: Range = field(
         default=(2000.0, 6000.0), name="told_ms"
-    )  # after wait and silence: missed changes count as known
+    )  # missed changes count as known from the later of two times: the first value after the wait of the poll
+    # has ended, the second after the watch became silent
     must_subscribe: bool = field(default=True, name="must_ask")
 
 
@@ -183,7 +187,7 @@
 
 
 class RuleModel(Struct, frozen=True, forbid_unknown_fields=True):
-    """Parameters of the rules, and features that the gateways may use."""
+    """Parameters of the rules, and optional features that gateways may use."""
 
     drain_grace_ms: Positive = 2000.0
     overload_multiple: Annotated[float, Meta(ge=1)] = field(default=2.0, name="fall_multiple")
@@ -199,7 +203,7 @@
 
 
 class Fleet(Struct, frozen=True, forbid_unknown_fields=True):
-    """A described fleet."""
+    """A complete description of a fleet."""
 
     version: int
     name: Name
@@ -216,7 +220,7 @@
     rules: RuleModel = RuleModel()
 
     def kind(self, name: str) -> MachineKind:
-        """Return the kind of machine with this name; KeyError for any other."""
+        """Return the kind of machine with this name. Raises KeyError if there is none."""
         return {k.name: k for k in self.kinds}[name]
 
     def site_indexes(self) -> dict[str, int]:
@@ -224,7 +228,7 @@
         return {site.name: n for n, site in enumerate(self.sites)}
 
     def machines(self) -> list[tuple[int, int]]:
-        """Return site and kind indexes of each server, in the order of the file."""
+        """Return the site index and kind index of each server, in the order of the file."""
         sites = self.site_indexes()
         kinds = {k.name: n for n, k in enumerate(self.kinds)}
         return [(sites[s.site], kinds[s.kind]) for s in self.servers for _ in range(s.count)]
@@ -239,11 +243,11 @@
         return [g for g in self.gateways for _ in range(g.count)]
 
     def capacity(self) -> float:
-        """Return the standard cores of all servers, warmed up."""
+        """Return the capacity of all servers after slow start, in standard cores."""
         return sum(s.count * self.kind(s.kind).cores * self.kind(s.kind).speed for s in self.servers)
 
     def mean_work_ms(self) -> float:
-        """Return the mean work of a request over the classes' shares, without savings by keys."""
+        """Return the mean work of a request (ms) by the classes' shares, without savings by keys."""
         total = sum(c.share for c in self.classes)
         return sum(c.share * c.work_ms for c in self.classes) / total
 
@@ -253,7 +257,7 @@
 
 def _check_finite(value: Any, path: str, file_name: str) -> None:
     if isinstance(value, float) and not math.isfinite(value):
-        raise FleetError(f"{file_name}: {path}: {value} is no finite number; give a figure")
+        raise FleetError(f"{file_name}: {path}: {value} is not a finite number; set a finite value")
     if isinstance(value, dict):
         for key, inner in value.items():
             _check_finite(inner, f"{path}.{key}" if path else str(key), file_name)
@@ -263,13 +267,18 @@
 
 
 def read_toml(raw: bytes, file_name: str, form: type[T]) -> T:
-    """Decode TOML into a checked value of type `form`; `file_name` is for messages. Raises `FleetError`."""
+    """Decode TOML into a checked value of type `form`.
+
+    Errors are raised as `FleetError`, whose text starts with `file_name`.
+    """
     try:
         loaded = tomllib.loads(raw.decode())
     except UnicodeDecodeError as error:
-        raise FleetError(f"{file_name}: byte {error.start} is no UTF-8; save it as UTF-8") from None
+        raise FleetError(
+            f"{file_name}: byte {error.start} is not valid UTF-8; save the file as UTF-8"
+        ) from None
     except tomllib.TOMLDecodeError as error:
-        raise FleetError(f"{file_name}: no TOML: {error}") from None
+        raise FleetError(f"{file_name}: not valid TOML: {error}") from None
     _check_finite(loaded, "", file_name)
     version = loaded.get("version")
     if version is None:
@@ -294,11 +303,16 @@
 
 def _check_known(name: str, known: list[str], path: str, file_name: str) -> None:
     if name not in known:
-        raise FleetError(f"{file_name}: {path}: '{name}' is not described; known are {', '.join(known)}")
+        raise FleetError(
+            f"{file_name}: {path}: '{name}' is not described; known names are {', '.join(known)}"
+        )
 
 
 def parse_fleet(raw: bytes, file_name: str) -> Fleet:
-    """Parse and check a fleet file; `file_name` is for messages. Raises `FleetError`."""
+    """Parse and check a fleet file.
+
+    Errors are raised as `FleetError`, whose text starts with `file_name`.
+    """
     fleet = read_toml(raw, file_name, Fleet)
     sites = [s.name for s in fleet.sites]
     kinds = [k.name for k in fleet.kinds]
@@ -314,28 +328,32 @@
         if request_class.deadline_ms < request_class.latency_objective_ms:
             raise FleetError(
                 f"{file_name}: classes[{index}].deadline_ms: {request_class.deadline_ms:g} "
-                "is under its aim_ms; raise it"
+                "is below its aim_ms; raise it"
             )
         if request_class.effect == "keyed" and not request_class.window_ms:
-            raise FleetError(f"{file_name}: classes[{index}].window_ms: a keyed class needs one above 0")
+            raise FleetError(
+                f"{file_name}: classes[{index}].window_ms: a keyed class needs a window above 0 ms"
+            )
         if request_class.effect == "keyed" and not fleet.keys.count:
             raise FleetError(
-                f"{file_name}: keys.count: class '{request_class.name}' is keyed, so it must be above 0"
+                f"{file_name}: keys.count: class '{request_class.name}' is keyed, so the count must be above 0"
             )
     rollout = fleet.rollout
     if not rollout.stages or len(rollout.stages) != len(rollout.caps):
         raise FleetError(
-            f"{file_name}: rollout.caps: {len(rollout.caps)} for {len(rollout.stages)} stages; give one each"
+            f"{file_name}: rollout.caps: "
+            f"{len(rollout.caps)} caps for {len(rollout.stages)} stages; set one cap per stage"
         )
     if list(rollout.stages) != sorted(rollout.stages) or list(rollout.caps) != sorted(rollout.caps):
         raise FleetError(
-            f"{file_name}: rollout.stages: stages and caps may not fall; put them in rising order"
+            f"{file_name}: rollout.stages: stages and caps must not decrease; list them in ascending order"
         )
     ranges = {"discovery": fleet.discovery, "rollout": fleet.rollout, "network": fleet.network}
     for section, model in ranges.items():
         for key, value in msgspec.to_builtins(model).items():
             if key.endswith("_ms") and isinstance(value, list | tuple) and value[0] > value[1]:
                 raise FleetError(
-                    f"{file_name}: {section}.{key}: least {value[0]:g} is above most {value[1]:g}; swap them"
+                    f"{file_name}: {section}.{key}: "
+                    f"minimum {value[0]:g} is above maximum {value[1]:g}; swap them"
                 )
     return fleet
--- a/meadowpulley/rules/__init__.py
+++ b/meadowpulley/rules/__init__.py
@@ -1,7 +1,9 @@
-"""The five rules as invariants over a trace, for the emulator, the loopback test bed and the model checker.
+"""Checks the five rules as invariants over a trace.
 
-Reading order: `trace` (the records), `parameters` (limits of the rules), `violations`, `observations` (what
-follows from the records), `checker` with `response_rule`, `effect_rule`, `endpoint_rule` and `exposure_rule`
+The emulator, the loopback test bed and the model checker use it.
+
+Reading order: `trace` (the records), `parameters` (limits of the rules), `violations`, `observations` (state
+derived from the records), `checker` with `response_rule`, `effect_rule`, `endpoint_rule` and `exposure_rule`
 (invariants of each gateway), `shared_state` (invariants across gateways that take over each other's
 requests), `errors`.
 """
--- a/meadowpulley/rules/checker.py
+++ b/meadowpulley/rules/checker.py
@@ -1,8 +1,8 @@
-"""Trace checker: reads a trace record by record and reports every violation of the five rules.
+"""Checks a trace record by record and reports every violation of the five rules.
 
-The rules are the users': responses (`response_rule`), effects (`effect_rule`), drains and cold servers
-(`endpoint_rule`), and exposure with monotonic keys (`exposure_rule`). The checker knows nothing of how a
-gateway decides; it derives its state from the trace alone.
+The rules state what users rely on: responses (`response_rule`), effects (`effect_rule`), drains and servers
+in slow start (`endpoint_rule`), and exposure with monotonic keys (`exposure_rule`). The checker does not use
+the decision logic of a gateway; it derives its state from the trace alone.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 )
 from meadowpulley.rules.violations import NO_GATEWAY, RuleName, Violation
 
-MAX_VIOLATIONS = 1000  # violations kept in full; the rest are only counted
+MAX_VIOLATIONS = 1000  # violations kept with their texts; later ones are only counted
 
 
 class TraceChecker:
@@ -48,7 +48,7 @@
         self.record_count = 0
         self._gateways: dict[int, GatewayState] = defaultdict(GatewayState)
         self._shared_state = SharedStateChecker(parameters.shared, self._report)
-        self._attempts_by_id: dict[str, list[ObservedAttempt]] = {}  # by request id, of all gateways
+        self._attempts_by_id: dict[str, list[ObservedAttempt]] = {}  # attempts of all gateways, by request id
         self._handlers = RecordHandlers()
         self._handlers.add(GatewayStarted, self._gateway_started)
         self._handlers.add(GatewayCrashed, self._gateway_crashed)
@@ -68,36 +68,38 @@
 
     @property
     def holds(self) -> bool:
-        """Whether no rule was violated so far."""
+        """Whether no rule has been violated so far."""
         return not self.counts
 
     def observe(self, record: Record) -> None:
-        """Check one record."""
+        """Check the next record of the trace."""
         self.record_count += 1
         self._handlers.handle(record)
         self._shared_state.observe(record)
 
     def finish(self, at: float) -> None:
-        """End the trace: requests past their deadline without a response are violations."""
+        """End the trace at `at` (ms), and report requests whose deadline passed without a response."""
         self._shared_state.finish(at)
         for gateway_number, gateway in self._gateways.items():
             for number, request in gateway.open_requests.items():
                 deadline = response_rule.response_deadline(self.parameters, request)
                 if at > deadline and not request.excused and deadline < gateway.paused_at:
-                    self._report("answers", deadline, gateway_number, f"request {number} got no final answer")
+                    self._report(
+                        "answers", deadline, gateway_number, f"request {number} got no final response"
+                    )
 
     def _report(self, rule: RuleName, at: float, gateway: int, text: str) -> None:
         self._report_violation(Violation(rule, at, gateway, text))
 
     def _report_violation(self, violation: Violation | None) -> None:
-        """Count a violation, if there is one."""
+        """Count a violation, and keep the first MAX_VIOLATIONS; None means that there is none."""
         if violation is None:
             return
         self.counts[violation.rule] += 1
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(violation)
 
-    # Gateways
+    # Records of gateways
 
     def _gateway_started(self, record: GatewayStarted) -> None:
         self._gateways[record.gateway] = GatewayState()
@@ -116,11 +118,11 @@
                 request.excused = True
         gateway.paused_at = math.inf
 
-    # Requests
+    # Records of requests
 
     def _request_received(self, record: RequestReceived) -> None:
         gateway = self._gateways[record.gateway]
-        violation = response_rule.check_not_taken_twice(record, gateway)
+        violation = response_rule.check_not_received_twice(record, gateway)
         if violation is not None:
             self._report_violation(violation)
             return
@@ -132,7 +134,11 @@
         return self._attempts_by_id.setdefault(request_id, [])
 
     def _adoption_started(self, record: AdoptionStarted) -> None:
-        """Track a request that was taken over: it adds no exposure and its client is elsewhere."""
+        """Track an adopted request.
+
+        It does not count as received for the exposure cap, and no response is due, because its client is
+        not connected to this gateway.
+        """
         received = RequestReceived(
             record.at,
             record.gateway,
@@ -159,7 +165,7 @@
         if self._shared_state.recorded(record.gateway, request.received.request_id):
             return
         for attempt in request.own_attempts.values():
-            # The client's next request counts as another one, even at this gateway.
+            # The ledger did not record the request, so a client retry is a new one, even at this gateway.
             attempt.gateway = NO_GATEWAY
 
     def _response_sent(self, record: ResponseSent) -> None:
@@ -173,7 +179,7 @@
             effect_rule.check_rejection(self.parameters, record, request, self._shared_state.recorded)
         )
 
-    # Attempts
+    # Records of attempts
 
     def _attempt_sent(self, record: AttemptSent) -> None:
         gateway = self._gateways[record.gateway]
@@ -205,7 +211,7 @@
         if attempt is not None and not record.executed:
             attempt.may_have_executed = False
 
-    # Servers and builds
+    # Records of servers and builds
 
     def _endpoint_listed(self, record: EndpointListed) -> None:
         endpoint_rule.record_listing(self._gateways[record.gateway], record)
--- a/meadowpulley/rules/effect_rule.py
+++ b/meadowpulley/rules/effect_rule.py
@@ -1,6 +1,7 @@
-"""The rule on effects: no request with an effect may run twice.
+"""Checks the rule on effects: a request with an effect must not be executed twice.
 
-Nor is one that may have run rejected, as if its client could safely send it again.
+A request that may have been executed must not be rejected either, because a rejection tells the client that
+it can safely send the request again.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 def possible_executions(
     gateway: int, request: OpenRequest, is_recorded: Callable[[int, str], bool]
 ) -> list[ObservedAttempt]:
-    """Return attempts that may have executed, here or at gateways that recorded the request.
+    """Return attempts that may have executed, by this gateway or by one that recorded the request.
 
-    `is_recorded` tells whether a gateway recorded the request with that id.
+    `is_recorded` returns whether a gateway recorded the request with a given id.
     """
     return [
         attempt
@@ -35,13 +36,13 @@
     request: OpenRequest,
     is_recorded: Callable[[int, str], bool],
 ) -> Violation | None:
-    """Check that no request is rejected that may have run, unless it may safely be sent again anywhere."""
+    """Report the rejection of a request that may have run, unless any server may safely repeat it."""
     if record.response != "refused":
         return None
     rules = parameters.classes[request.received.class_index]
     if _is_idempotent_everywhere(rules) or not possible_executions(record.gateway, request, is_recorded):
         return None
-    text = f"request {record.request} may have run and was refused"
+    text = f"request {record.request} was rejected although it may have been executed"
     return Violation("effects", record.at, record.gateway, text)
 
 
@@ -58,7 +59,11 @@
     server: KnownServer | None,
     is_recorded: Callable[[int, str], bool],
 ) -> Violation | None:
-    """Check that a request which may have run goes only where that run is known."""
+    """Report a retry that may repeat the effect of an earlier attempt.
+
+    After an attempt that may have executed, a request with an idempotency key may go only to servers that
+    remember the key, and a non-idempotent request to no server.
+    """
     rules = parameters.classes[request.received.class_index]
     if rules.effect is Effect.IDEMPOTENT:
         return None
@@ -66,18 +71,18 @@
     if not earlier_attempts:
         return None
     if rules.effect is Effect.NON_IDEMPOTENT:
-        text = f"request {record.request} may have run and was sent again"
+        text = f"request {record.request} was sent again although it may have been executed"
     elif all(_is_deduplicated(rules, record, server, earlier) for earlier in earlier_attempts):
         return None
     else:
-        text = f"keyed request {record.request} left those that know it"
+        text = f"keyed request {record.request} was sent to a server that may not know its idempotency key"
     return Violation("effects", record.at, record.gateway, text)
 
 
 def _is_deduplicated(
     rules: ClassRules, record: AttemptSent, server: KnownServer | None, earlier: ObservedAttempt
 ) -> bool:
-    """Return whether the server of a retry knows the key of an earlier attempt, and has not forgotten it."""
+    """Return whether the server of a retry still remembers the key of an earlier attempt."""
     if server is None or group_member(rules.group, earlier) != group_member(rules.group, server):
         return False
     return record.at - earlier.sent_at <= rules.window_ms
--- a/meadowpulley/rules/endpoint_rule.py
+++ b/meadowpulley/rules/endpoint_rule.py
@@ -1,6 +1,7 @@
-"""The rules on servers.
+"""Checks the rules on servers: on delisted servers, and on servers in slow start.
 
-None is sent a request long after it was delisted, and none is overloaded in slow start.
+No server is sent a request after the drain grace that follows its delisting, and none is overloaded in slow
+start.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def record_listing(gateway: GatewayState, record: EndpointListed) -> None:
-    """Record how a server is listed to a gateway from now on."""
+    """Record the state in which a server is now listed to a gateway."""
     known = gateway.servers.get(record.server)
     if known is not None and record.state != READY:
         known.removed_at = min(known.removed_at, record.at)
@@ -32,20 +33,20 @@
 def check_listed(
     parameters: RuleParameters, record: AttemptSent, server: KnownServer | None
 ) -> Violation | None:
-    """Check that an attempt goes to a server that is listed as ready, or was until shortly before."""
+    """Report an attempt at a server that was never listed or whose drain grace has ended."""
     if server is None:
-        text = f"request {record.request} went to server {record.server}, never listed"
+        text = f"request {record.request} was sent to server {record.server}, which was never listed"
         return Violation("drains", record.at, record.gateway, text)
     if record.at <= server.removed_at + parameters.drain_grace_ms + parameters.slack_ms:
         return None
     since_ms = record.at - server.removed_at
     text = (
-        f"request {record.request} went to server {record.server}, "
-        f"listed as {server.state} {since_ms:.0f} ms before"
+        f"request {record.request} was sent to server {record.server}, "
+        f"which is {server.state} and was delisted {since_ms:.0f} ms before"
     )
     return Violation("drains", record.at, record.gateway, text)
 
 
 def slow_start_overload(record: InstanceOverloaded) -> Violation:
-    """Return the violation by a server that was overloaded in slow start."""
+    """Return the violation for a server that was overloaded in slow start."""
     return Violation("cold", record.at, NO_GATEWAY, f"cold server {record.server} was pushed over")
--- a/meadowpulley/rules/errors.py
+++ b/meadowpulley/rules/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the rules: each is one line that says what is wrong and where."""
+"""Errors of this package; the text of each is one line that says what is wrong and where."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class RulesError(MeadowpulleyError):
-    """The base of this package's errors."""
+    """The base class of this package's errors."""
 
 
 class TraceFormatError(RulesError, ValueError):
-    """A line of a trace file is no record."""
+    """A line of a trace file cannot be decoded as a record."""
--- a/meadowpulley/rules/exposure_rule.py
+++ b/meadowpulley/rules/exposure_rule.py
@@ -1,6 +1,8 @@
-"""The rules on exposure: a build on trial gets a capped share of requests, and keys go to no older build.
+"""Checks the rules on exposure: caps for a build on trial, and monotonic keys.
 
-The caps count requests and attempts over a sliding window, of all classes together or of each class.
+A build on trial gets at most a capped share of the requests. A key that a newer build has answered is not
+sent to an older build. The caps compare attempts at the build with received requests over a sliding window,
+for all classes together or for each class.
 """
 
 from __future__ import annotations
@@ -23,29 +25,30 @@
 
 RELEASED = PHASE_NAMES[Phase.RELEASED]
 ROLLBACK_PHASES = (PHASE_NAMES[Phase.ROLLING_BACK], PHASE_NAMES[Phase.ROLLED_BACK])
-ALL_CLASSES = -1  # in place of a class, where all classes count together
-MIN_ROLLOUT_UPDATES = 2  # updates that are kept however old they are
-# Times of arrival are dropped in large pieces: each drop moves all that remain.
+ALL_CLASSES = -1  # class index under which all classes are counted together
+MIN_ROLLOUT_UPDATES = 2  # newest updates that are kept whatever their age
+# When MAX_ARRIVAL_TIMES is exceeded, the oldest DROPPED_ARRIVAL_TIMES are deleted in one block, because each
+# deletion at the front of a list moves all remaining items.
 MAX_ARRIVAL_TIMES = 200_000
 DROPPED_ARRIVAL_TIMES = 100_000
-ROUNDING_ATTEMPTS = 1e-6
+ROUNDING_ATTEMPTS = 1e-6  # excess over the cap that counts as a rounding error
 
 
 @dataclass(frozen=True, slots=True)
 class BindingCap:
     """A cap that may still apply to a build, and the stage that it comes from."""
 
-    cap: float  # share of requests
+    cap: float  # share of the received requests that the build may get
     stage: int
 
 
 def exposure_class(parameters: RuleParameters, class_index: int) -> int:
-    """Return the class under which requests of a class count."""
+    """Return the class index under which requests of a class are counted."""
     return class_index if parameters.per_class else ALL_CLASSES
 
 
 def record_arrival(parameters: RuleParameters, gateway: GatewayState, record: RequestReceived) -> None:
-    """Count a request."""
+    """Record when a request arrived, to count the requests within the exposure window."""
     times = gateway.received_at[exposure_class(parameters, record.class_index)]
     times.append(record.at)
     if len(times) > MAX_ARRIVAL_TIMES:
@@ -53,18 +56,18 @@
 
 
 def record_rollout_update(parameters: RuleParameters, gateway: GatewayState, record: RolloutUpdated) -> None:
-    """Record the phase of the newest build, and forget updates that can't apply any more."""
+    """Record the state of the newest build, and drop updates too old to affect later checks."""
     updates = gateway.rollout_updates
     updates.append(record)
     if record.phase in ROLLBACK_PHASES:
-        gateway.keys_by_build.pop(record.build, None)  # its keys may go anywhere
+        gateway.keys_by_build.pop(record.build, None)  # its keys may go to any build
     oldest = record.at - parameters.drain_grace_ms - parameters.window_ms
     while len(updates) > MIN_ROLLOUT_UPDATES and updates[1].at < oldest:
         updates.pop(0)
 
 
 def record_answered_key(gateway: GatewayState, record: KeyAnswered) -> None:
-    """Record that a build answered a key, unless it is the newest one and rolled back."""
+    """Record that a build answered a key, unless it is the newest build and is being rolled back."""
     newest = _newest_update(gateway)
     rolled_back = newest is not None and newest.build == record.build and newest.phase in ROLLBACK_PHASES
     if record.key and not rolled_back:
@@ -74,7 +77,7 @@
 def check_attempt(
     parameters: RuleParameters, record: AttemptSent, gateway: GatewayState, request: OpenRequest
 ) -> list[Violation]:
-    """Check an attempt against the exposure of its build; it counts if the build is on trial."""
+    """Check the key of an attempt and, if its build is on trial, the cap and the guarded stages."""
     violations = [_check_monotonic_key(parameters, record, gateway, request.received.key)]
     if _is_on_trial(record, gateway):
         caps = _binding_caps(parameters, gateway, record)
@@ -96,7 +99,10 @@
 
 
 def _binding_caps(parameters: RuleParameters, gateway: GatewayState, record: AttemptSent) -> list[BindingCap]:
-    """Return the caps that may still apply to a build; a lower cap binds after the drain grace."""
+    """Return the caps that may still apply to the build of an attempt.
+
+    A gateway may follow the previous cap for the drain grace, so a lower cap is binding only afterwards.
+    """
     first_cap = BindingCap(parameters.first_cap, 0)
     since = record.at - parameters.drain_grace_ms - parameters.slack_ms
     caps = list[BindingCap]()
@@ -118,7 +124,7 @@
     request: OpenRequest,
     cap: float,
 ) -> Violation | None:
-    """Count an attempt, and check those at its build against the cap, over the exposure window."""
+    """Count an attempt, and report it if its build exceeds the cap over the exposure window."""
     counted_class = exposure_class(parameters, request.received.class_index)
     window_start = record.at - parameters.window_ms
     sent_at = gateway.trial_attempts[record.build, counted_class]
@@ -131,33 +137,35 @@
     allowed = parameters.free_attempts + parameters.extra_attempts + share * received
     if len(sent_at) <= allowed + ROUNDING_ATTEMPTS:
         return None
-    text = f"{len(sent_at)} attempts at build {record.build}, {allowed:.1f} allowed for {received} requests"
+    text = (
+        f"{len(sent_at)} attempts at build {record.build}; {allowed:.1f} are allowed for {received} requests"
+    )
     return Violation("exposure", record.at, record.gateway, text)
 
 
 def _check_guarded_stage(
     parameters: RuleParameters, record: AttemptSent, request: OpenRequest, stage: int
 ) -> Violation | None:
-    """Check that no request with an effect goes to a build on trial in its first stages."""
+    """Report a request with an effect that is sent to a build on trial in a guarded stage."""
     effect = parameters.classes[request.received.class_index].effect
     if effect is Effect.IDEMPOTENT or stage >= parameters.guarded_stages:
         return None
-    text = f"request {record.request} has an effect, in a guarded stage"
+    text = f"request {record.request} has an effect and was sent to a build in a guarded stage"
     return Violation("exposure", record.at, record.gateway, text)
 
 
 def _check_monotonic_key(
     parameters: RuleParameters, record: AttemptSent, gateway: GatewayState, key: int
 ) -> Violation | None:
-    """Check that a key which a build answered goes to no older one, unless it is rolled back."""
+    """Report a request whose key a newer build has answered, unless that build was rolled back."""
     if not parameters.one_way or not key:
         return None
     newer_builds = [build for build in gateway.keys_by_build if build > record.build]
     for build in newer_builds:
         if key in gateway.keys_by_build[build] and not _was_rolled_back(gateway, build):
             text = (
-                f"request {record.request}: build {build} answered its key, "
-                f"and it went to build {record.build}"
+                f"request {record.request}: build {build} had answered its key, "
+                f"but the request was sent to build {record.build}"
             )
             return Violation("one-way", record.at, record.gateway, text)
     return None
--- a/meadowpulley/rules/observations.py
+++ b/meadowpulley/rules/observations.py
@@ -1,4 +1,4 @@
-"""What the trace checker observes: attempts, open requests, servers and gateway incarnations."""
+"""State derived from the trace: attempts, open requests, servers and gateway incarnations."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class ObservedAttempt:
-    """An attempt, with what is known of its execution."""
+    """An attempt, and whether the server may have executed it."""
 
     server: int
     build: int
     sent_at: float
-    may_have_executed: bool = True  # executed, may have executed, or is outstanding
+    may_have_executed: bool = True  # False once the attempt is known not to have executed
     cell: int = 0
     site: int = 0
     gateway: int = NO_GATEWAY
@@ -29,25 +29,26 @@
     """A request that has no final response yet."""
 
     received: RequestReceived
-    # Attempts of all gateways under the same id, and those of this gateway by number.
+    # `attempts` holds those of all gateways with the same request id, `own_attempts` those of this gateway by
+    # attempt number.
     attempts: list[ObservedAttempt] = field(default_factory=list)
     own_attempts: dict[int, ObservedAttempt] = field(default_factory=dict)
-    excused: bool = False  # its deadline passed while the gateway was paused
+    excused: bool = False  # no response in time is due: paused gateway, detached client, or adopted request
 
 
 @dataclass(slots=True)
 class KnownServer:
-    """A server as it was listed to a gateway."""
+    """A server as the endpoint lists describe it to a gateway."""
 
     state: str
     build: int
-    removed_at: float  # when it was first listed as no longer ready
+    removed_at: float  # when it was first listed as no longer ready (ms); infinite while it is ready
     cell: int
     site: int
 
 
 def group_member(group: DeduplicationScope, location: ObservedAttempt | KnownServer) -> int:
-    """Return the index of the group of servers that know the same idempotency keys."""
+    """Return the index of the deduplication group, whose servers know the same idempotency keys."""
     match group:
         case DeduplicationScope.ALL:
             return 0
@@ -58,15 +59,17 @@
 
 
 class GatewayState:
-    """What the trace says of one gateway incarnation."""
+    """State of one gateway incarnation, derived from the trace."""
 
     def __init__(self) -> None:
         self.open_requests: dict[int, OpenRequest] = {}
         self.finished: set[int] = set()
         self.finished_order: deque[tuple[float, int]] = deque()
-        self.paused_at = math.inf  # start of the current pause
+        self.paused_at = math.inf  # start of the current pause (ms); infinite while the gateway runs
         self.servers: dict[int, KnownServer] = {}
         self.rollout_updates: list[RolloutUpdated] = []
         self.received_at: dict[int, list[float]] = defaultdict(list)
         self.trial_attempts: dict[tuple[int, int], deque[float]] = defaultdict(deque)
-        self.keys_by_build: dict[int, dict[int, int]] = defaultdict(dict)  # build -> key -> 1
+        self.keys_by_build: dict[int, dict[int, int]] = defaultdict(
+            dict
+        )  # answered keys by build; each value is 1
--- a/meadowpulley/rules/parameters.py
+++ b/meadowpulley/rules/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of the rules: of the deployment, of the test bed, and of shared state."""
+"""Parameters of the rules, for the deployment, the test bed and shared state."""
 
 from __future__ import annotations
 
@@ -10,29 +10,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRules:
-    """The rules' view of a request class."""
+    """Properties of a request class that the rules depend on."""
 
     effect: Effect
     group: DeduplicationScope  # the servers that know the same idempotency keys
-    window_ms: float  # for which they know a key
+    window_ms: float  # how long those servers remember a key
 
 
 @dataclass(frozen=True, slots=True)
 class RuleParameters:
-    """Limits of the rules. On sockets all times are extended by `slack_ms`."""
+    """Limits of the rules.
+
+    In runs on sockets, `slack_ms` extends response deadlines and the drain grace.
+    """
 
     classes: tuple[ClassRules, ...]
-    drain_grace_ms: float  # for which a delisted server may still be sent requests
-    answer_slack_ms: float  # by which a final response may exceed its deadline
-    window_ms: float  # over which exposure is counted
-    free_attempts: float  # at a build on trial, whatever its cap
-    first_cap: float  # share of requests for a build of which no stage is known yet
-    per_class: bool  # whether the requests of each class are counted by themselves
-    guarded_stages: int  # first stages of a trial in which no request with an effect may go to the build
-    one_way: bool  # whether a key that a newer build answered may go to no older one
+    drain_grace_ms: float  # how long a delisted server may still be sent requests
+    answer_slack_ms: float  # how late after its deadline a final response may be
+    window_ms: float  # sliding window over which exposure is counted
+    free_attempts: float  # attempts that a build on trial may get whatever its cap
+    first_cap: float  # share of requests that a build may get before any of its stages is known
+    per_class: bool  # whether exposure is counted separately for each class
+    guarded_stages: int  # number of first stages in which a trial gets no request with an effect
+    one_way: bool  # whether a key that a newer build answered must not go to an older build
     slack_ms: float = 0.0
-    extra_attempts: float = 0.0  # attempts allowed beyond the cap
-    extra_share: float = 0.0  # share of requests allowed beyond the cap
+    extra_attempts: float = 0.0  # attempts allowed in addition to the cap
+    extra_share: float = 0.0  # share of requests that is allowed in addition to the cap
     shared: SharedStateParameters = NOT_SHARED
 
     @classmethod
--- a/meadowpulley/rules/record_handlers.py
+++ b/meadowpulley/rules/record_handlers.py
@@ -1,4 +1,4 @@
-"""Which method of a checker handles which type of record."""
+"""Dispatches trace records to the handlers of a checker."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class RecordHandlers:
-    """A handler by type of record; records of other types are ignored."""
+    """Maps record types to handlers; records of other types are ignored."""
 
     def __init__(self) -> None:
         self._handlers: dict[type, Callable[..., None]] = {}
 
     def add(self, record_type: type[RecordT], handler: Callable[[RecordT], None]) -> None:
-        """Handle all records of a type by `handler`."""
+        """Register the handler that receives all records of a type."""
         self._handlers[record_type] = handler
 
     def handle(self, record: Record) -> None:
-        """Call the handler of a record's type."""
+        """Call the handler registered for a record's type, if there is one."""
         handler = self._handlers.get(type(record))
         if handler is not None:
             handler(record)
--- a/meadowpulley/rules/response_rule.py
+++ b/meadowpulley/rules/response_rule.py
@@ -1,4 +1,4 @@
-"""The rule on responses: each request gets one final response, in time."""
+"""Checks the rule on responses: each request gets exactly one final response, in time."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from meadowpulley.rules.trace import AttemptSent, RequestReceived, ResponseSent
 from meadowpulley.rules.violations import Violation
 
-FINISHED_MEMORY_MS = 120_000.0  # how long a gateway's finished requests are remembered
-ROUNDING_MS = 1e-6  # a response that is late by no more is in time
+FINISHED_MEMORY_MS = 120_000.0  # how long (ms) finished requests are kept, to detect duplicates
+ROUNDING_MS = 1e-6  # a response at most this late counts as in time, because of rounding errors
 
 
 def response_deadline(parameters: RuleParameters, request: OpenRequest) -> float:
@@ -17,7 +17,7 @@
 
 
 def finish_request(gateway: GatewayState, number: int, at: float) -> OpenRequest | None:
-    """Record the end of a request, and return it; None if it is not open."""
+    """Record that an open request has finished and return it; return None if it is not open."""
     request = gateway.open_requests.pop(number, None)
     if request is None:
         return None
@@ -29,29 +29,29 @@
     return request
 
 
-def check_not_taken_twice(record: RequestReceived, gateway: GatewayState) -> Violation | None:
-    """Check that a request which arrives has a number that is new."""
+def check_not_received_twice(record: RequestReceived, gateway: GatewayState) -> Violation | None:
+    """Report a received request whose number is that of an open or recently finished request."""
     if record.request not in gateway.open_requests and record.request not in gateway.finished:
         return None
-    return Violation("answers", record.at, record.gateway, f"request {record.request} was taken twice")
+    return Violation("answers", record.at, record.gateway, f"request {record.request} was received twice")
 
 
 def unexpected_attempt(record: AttemptSent, gateway: GatewayState) -> Violation:
-    """Return the violation by an attempt for a request that is not open."""
+    """Return the violation for an attempt of a request that is not open."""
     finished = record.request in gateway.finished
-    problem = "after its final answer" if finished else "that the gateway never took"
+    problem = "after its final response" if finished else "although the gateway never received it"
     return Violation("answers", record.at, record.gateway, f"request {record.request} was sent {problem}")
 
 
 def unexpected_response(record: ResponseSent, gateway: GatewayState) -> Violation:
-    """Return the violation by a response to a request that is not open."""
+    """Return the violation for a response to a request that is not open."""
     finished = record.request in gateway.finished
-    problem = "a second answer" if finished else "an answer that nobody asked for"
+    problem = "a second final response" if finished else "a response although the gateway never received it"
     return Violation("answers", record.at, record.gateway, f"request {record.request} got {problem}")
 
 
 def check_in_time(parameters: RuleParameters, record: ResponseSent, request: OpenRequest) -> Violation | None:
-    """Check that a final response is not late."""
+    """Report a final response that was sent too late."""
     late_ms = record.at - response_deadline(parameters, request)
     if late_ms <= ROUNDING_MS or request.excused:
         return None
--- a/meadowpulley/rules/shared_state.py
+++ b/meadowpulley/rules/shared_state.py
@@ -1,9 +1,9 @@
-"""Rules on gateways that take over each other's requests, checked over the traces of all of them.
+"""Checks the rules on gateways that take over each other's requests, over the traces of all gateways.
 
-A recorded request is claimed only after it was released or its gateway was fenced, at most a given number
-of times, and adopted only by the gateway that claimed it. It ends in time while a gateway lives.
+A recorded request is claimed only after its owner released it or was fenced, at most a given number of
+times, and is adopted only by the gateway that claimed it. It ends in time as long as any gateway is alive.
 
-Requests with one id get the same response, or a failure. All gateways together admit no more than the
+Requests with the same id get the same response, or a failure. All gateways together admit no more than the
 capacity, and an experiment counts each request once.
 """
 
@@ -37,16 +37,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedStateParameters:
-    """Limits of the rules on shared state; 0 or infinity turns a check off."""
+    """Limits of the rules on shared state; the defaults turn the checks off.
 
-    end_ms: float = 0.0  # time after its deadline by which a recorded request has ended
-    max_incarnations: int = 0  # gateways that may own one request, one after the other
-    admissions_per_s: float = math.inf  # units per second, of all gateways
-    admission_burst: float = 0.0  # units beyond the rate within any time
+    `end_ms` and `max_incarnations` turn their check off with 0, `admissions_per_s` with infinity.
+    """
+
+    end_ms: float = 0.0  # how long after its deadline a recorded request may end
+    max_incarnations: int = 0  # gateway incarnations that may own one request in turn
+    admissions_per_s: float = math.inf  # capacity units that all gateways may admit per second
+    admission_burst: float = 0.0  # capacity units beyond the rate that may be admitted in any period
 
 
 MS_PER_SECOND = 1000.0
-ROUNDING_UNITS = 1e-6  # of a capacity
+ROUNDING_UNITS = 1e-6  # excess over the capacity that counts as a rounding error
 NOT_SHARED = SharedStateParameters()
 
 
@@ -54,30 +57,31 @@
 class _RecordedRequest:
     deadline: float
     owner: int
-    released: bool = False  # released, or its owner was fenced
+    released: bool = False  # whether its owner released it or was fenced
     outcome: str = ""
 
 
 class SharedStateChecker:
-    """Checks shared state: call `observe` with each record in order, then `finish`.
+    """Checks the rules on shared state: call `observe` with each record in order, then `finish`.
 
-    `report` receives violations.
+    Each violation is passed to `report`.
     """
 
     def __init__(self, parameters: SharedStateParameters, report: ReportViolation) -> None:
         self.parameters = parameters
         self._report = report
         self._requests: dict[str, _RecordedRequest] = {}
-        self._request_ids: dict[tuple[int, int], str] = {}  # by gateway and request number
-        # Gateways and requests that they sent themselves, not duplicates that wait for another's response.
+        self._request_ids: dict[tuple[int, int], str] = {}  # of waiting clients, by gateway and request
+        # Requests, as (gateway, number), of which that gateway sent an attempt. They do not include duplicates
+        # that only wait for the response to another request with the same id.
         self._sent_here: set[tuple[int, int]] = set()
-        self._served_content: dict[str, str] = {}  # response content by request id
+        self._served_content: dict[str, str] = {}  # content of the first served response, by request id
         self._alive: set[int] = set()  # gateways with a live incarnation
-        self._no_gateway_until = 0.0  # no gateway was alive before this time
-        self._level = 0.0  # of the leaky bucket that checks admissions
+        self._no_gateway_until = 0.0  # last start of a gateway while no other was alive (ms)
+        self._level = 0.0  # fill level (units) of the leaky bucket that checks admissions
         self._level_at = 0.0
         self._counted: set[tuple[str, str]] = set()
-        self._owners: dict[str, set[int]] = defaultdict(set)  # gateways that owned the request, by request id
+        self._owners: dict[str, set[int]] = defaultdict(set)  # all owners so far, by request id
         self._handlers = RecordHandlers()
         self._handlers.add(GatewayStarted, self._gateway_started)
         self._handlers.add(GatewayCrashed, self._gateway_crashed)
@@ -96,24 +100,24 @@
         self._handlers.add(OutcomeCounted, self._outcome_counted)
 
     def observe(self, record: Record) -> None:
-        """Check one record."""
+        """Check the next record of the trace."""
         self._handlers.handle(record)
 
     def finish(self, at: float) -> None:
-        """End the trace: recorded requests without an outcome past their limit are violations."""
+        """End the trace, and report recorded requests that have no outcome after their time limit."""
         for request_id, request in self._requests.items():
             if not request.outcome:
                 self._check_closed_in_time(request_id, request, at)
 
     def recorded(self, gateway: int, request_id: str) -> bool:
-        """Return whether a gateway recorded this request.
+        """Return whether a gateway recorded or claimed this request in the ledger.
 
-        A request that was never recorded, because the ledger was unavailable or the incarnation over, is
-        the gateway's own, as without a ledger: the client's next request counts as another one.
+        A request that was never recorded, because the ledger was unavailable or the gateway's incarnation
+        was over, belongs to that gateway alone, as without a ledger: a client retry is a new request.
         """
         return gateway in self._owners.get(request_id, ())
 
-    # Incarnations
+    # Records of gateway incarnations
 
     def _gateway_started(self, record: GatewayStarted) -> None:
         if not self._alive:
@@ -134,7 +138,7 @@
             if request.owner == record.gateway:
                 request.released = True
 
-    # Requests
+    # Records of requests
 
     def _request_received(self, record: RequestReceived) -> None:
         if record.request_id:
@@ -144,12 +148,12 @@
         self._sent_here.add((record.gateway, record.request))
 
     def _client_left(self, record: ClientDetached | RequestAbandoned) -> None:
-        self._request_ids.pop((record.gateway, record.request), None)  # responses from now on reach nobody
+        self._request_ids.pop((record.gateway, record.request), None)  # no client gets a later response
 
     def _request_recorded(self, record: RequestRecorded) -> None:
         known = self._requests.get(record.request_id)
         if known is not None and known.outcome in ("served", "failed"):
-            text = f"{record.request_id} has its end, and was begun again"
+            text = f"{record.request_id} was recorded again although it already had an outcome"
             self._report("takeover", record.at, record.gateway, text)
         self._requests[record.request_id] = _RecordedRequest(record.deadline, record.gateway)
         self._owners[record.request_id].add(record.gateway)
@@ -157,14 +161,16 @@
     def _request_claimed(self, record: RequestClaimed) -> None:
         request = self._requests.get(record.request_id)
         if request is None or request.outcome:
-            text = f"{record.request_id} was claimed, and there is nothing to take over"
+            text = f"{record.request_id} was claimed, but was not recorded or already had an outcome"
             self._report("takeover", record.at, record.gateway, text)
             return
         if not request.released:
-            text = f"{record.request_id} was claimed from gateway {request.owner}, whose life is not over"
+            text = f"{record.request_id} was claimed from gateway {request.owner}, which still owns it"
             self._report("takeover", record.at, record.gateway, text)
         if self.parameters.max_incarnations and record.incarnations > self.parameters.max_incarnations:
-            text = f"{record.request_id} was taken over for the {record.incarnations - 1}th time"
+            text = (
+                f"{record.request_id} was taken over {record.incarnations - 1} times, more often than allowed"
+            )
             self._report("takeover", record.at, record.gateway, text)
         request.owner = record.gateway
         request.released = False
@@ -176,10 +182,10 @@
             request.released = True
 
     def _adoption_started(self, record: AdoptionStarted) -> None:
-        # Its response reaches no client, so the request's number gets no id at this gateway.
+        # The response of an adopted request reaches no client here, so no id is stored for its number.
         request = self._requests.get(record.request_id)
         if request is None or request.owner != record.gateway or request.outcome:
-            text = f"{record.request_id} was begun without a claim that holds"
+            text = f"{record.request_id} was adopted by a gateway that has no valid claim on it"
             self._report("takeover", record.at, record.gateway, text)
 
     def _request_closed(self, record: RequestClosed) -> None:
@@ -187,7 +193,9 @@
         if request is None:
             return
         if self._is_outcome_reported(record.request_id, request) and request.outcome != record.outcome:
-            text = f"{record.request_id} was {request.outcome}, and is {record.outcome} now"
+            text = (
+                f"{record.request_id} was closed as {request.outcome}, and is now closed as {record.outcome}"
+            )
             self._report("answers", record.at, record.gateway, text)
         request.outcome = record.outcome
         self._check_closed_in_time(record.request_id, request, record.at)
@@ -195,7 +203,8 @@
     def _is_outcome_reported(self, request_id: str, request: _RecordedRequest) -> bool:
         """Return whether a client may have received the outcome.
 
-        A gateway that did not learn of its commit may record another outcome until then.
+        Until a client has, a gateway that does not know whether its commit succeeded may record another
+        outcome.
         """
         if request.outcome == "served":
             return request_id in self._served_content
@@ -204,39 +213,45 @@
     def _check_closed_in_time(self, request_id: str, request: _RecordedRequest, at: float) -> None:
         limit = max(request.deadline, self._no_gateway_until) + self.parameters.end_ms
         if self.parameters.end_ms and at > limit and (self._alive or request.outcome):
-            problem = f"ended {at - limit:.0f} ms late" if request.outcome else "was never ended"
+            problem = (
+                f"ended {at - limit:.0f} ms late"
+                if request.outcome
+                else "had no outcome within its time limit"
+            )
             self._report("written", limit, request.owner, f"{request_id} {problem}")
 
     def _response_sent(self, record: ResponseSent) -> None:
-        handle = (record.gateway, record.request)
-        request_id = self._request_ids.pop(handle, "")
-        sent_here = handle in self._sent_here
-        self._sent_here.discard(handle)
+        request_key = (record.gateway, record.request)
+        request_id = self._request_ids.pop(request_key, "")
+        sent_here = request_key in self._sent_here
+        self._sent_here.discard(request_key)
         if not request_id or (sent_here and not self.recorded(record.gateway, request_id)):
             return
         if record.response == "served":
             first_content = self._served_content.setdefault(request_id, record.content)
             if first_content != record.content:
-                self._report("answers", record.at, record.gateway, f"{request_id} was answered in two ways")
+                self._report(
+                    "answers", record.at, record.gateway, f"{request_id} got two different responses"
+                )
         request = self._requests.get(request_id)
         if request is not None and request.outcome and record.response not in (request.outcome, "failed"):
-            text = f"{request_id} was {request.outcome}, and is answered {record.response}"
+            text = f"{request_id} was closed as {request.outcome}, but its response was {record.response}"
             self._report("answers", record.at, record.gateway, text)
 
-    # Capacity and experiments
+    # Records of capacity and experiments
 
     def _capacity_used(self, record: CapacityUsed) -> None:
-        """Check admissions by a leaky bucket with the capacity as its rate."""
+        """Check admissions with a leaky bucket that drains at the rate of the capacity."""
         leaked = self.parameters.admissions_per_s * (record.at - self._level_at) / MS_PER_SECOND
         self._level = max(self._level - leaked, 0.0) + record.units
         self._level_at = record.at
         excess = self._level - self.parameters.admission_burst
         if self._level > self.parameters.admission_burst + ROUNDING_UNITS:
-            text = f"{excess:.1f} more than the capacity was admitted"
+            text = f"{excess:.1f} units more than the capacity were admitted"
             self._report("admissions", record.at, record.gateway, text)
 
     def _outcome_counted(self, record: OutcomeCounted) -> None:
         if (record.experiment, record.request_id) in self._counted:
-            text = f"{record.request_id} was counted twice by '{record.experiment}'"
+            text = f"{record.request_id} was counted twice by experiment '{record.experiment}'"
             self._report("counts", record.at, record.gateway, text)
         self._counted.add((record.experiment, record.request_id))
--- a/meadowpulley/rules/trace.py
+++ b/meadowpulley/rules/trace.py
@@ -1,8 +1,8 @@
-"""Trace records of a run: one record an event, in order, encoded as JSON lines.
+"""Trace records of a run: one record per event, in order, encoded as JSON lines.
 
-`at` is milliseconds on the run's clock. Gateways, servers and classes are indexes; request numbers are
-unique within a gateway incarnation. The encoded names are a stored format and do not follow the names of
-the classes.
+`at` is the time in milliseconds on the run's clock. Gateways, servers and classes are given by their
+indexes; request numbers are unique within a gateway incarnation. The encoded names are a stored format, so
+they stay when a class is renamed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 StateName: TypeAlias = Literal["ready", "draining", "gone"]
 PhaseName: TypeAlias = Literal["trial", "going_back", "released", "withdrawn"]
-# Names in the trace format, which do not follow the names of the enums' members.
+# Names in the trace format. They are a stored format, so they stay when an enum's members are renamed.
 STATE_NAMES: dict[ServerState, StateName] = {
     ServerState.READY: "ready",
     ServerState.DRAINING: "draining",
@@ -40,21 +40,21 @@
 
 
 class GatewayCrashed(Struct, frozen=True, tag="died"):
-    """A gateway crashed; it owes nothing for the requests that it had."""
+    """A gateway crashed; its open requests no longer require a response from it."""
 
     at: float
     gateway: int
 
 
 class GatewayPaused(Struct, frozen=True, tag="stopped"):
-    """A gateway was suspended, as by SIGSTOP; it cannot meet deadlines until it is resumed."""
+    """A gateway was suspended, for example by SIGSTOP; it cannot meet deadlines until it resumes."""
 
     at: float
     gateway: int
 
 
 class GatewayResumed(Struct, frozen=True, tag="woke"):
-    """A gateway continues, and learns late of what happened meanwhile."""
+    """A suspended gateway continues; it learns late of events that happened during the pause."""
 
     at: float
     gateway: int
@@ -68,13 +68,13 @@
     request: int
     class_index: int = field(name="cls")
     key: int
-    deadline: float  # when the client's time is over
-    # The client's id, the same for each of its retries; empty without shared state.
+    deadline: float  # when the client stops waiting (ms)
+    # The id that the client gave the request, the same for each client retry; empty without shared state.
     request_id: str = field(default="", name="id")
 
 
 class AttemptSent(Struct, frozen=True, tag="sent"):
-    """A gateway sent an attempt; `build` is the one last listed for the server."""
+    """A gateway sent an attempt; `build` is the build that was last listed for the server."""
 
     at: float
     gateway: int
@@ -85,7 +85,7 @@
 
 
 class AttemptEnded(Struct, frozen=True, tag="outcome"):
-    """An attempt ended; `executed` is False only where it is known not to have executed."""
+    """An attempt ended; `executed` is False only if it is known not to have executed."""
 
     at: float
     gateway: int
@@ -95,17 +95,17 @@
 
 
 class ResponseSent(Struct, frozen=True, tag="answered", omit_defaults=True):
-    """A gateway sent the final response of a request."""
+    """A gateway sent the final response to a request."""
 
     at: float
     gateway: int
     request: int
     response: Literal["served", "refused", "failed"] = field(name="answer")
-    content: str = ""  # distinguishes served responses
+    content: str = ""  # tells different served responses apart
 
 
 class RequestAbandoned(Struct, frozen=True, tag="gone"):
-    """The client disconnected before its response."""
+    """The client disconnected before its response, and the request ended without one."""
 
     at: float
     gateway: int
@@ -113,7 +113,7 @@
 
 
 class EndpointListed(Struct, frozen=True, tag="listed"):
-    """A gateway learned the state of a server; `gone` also where a full list lacks it."""
+    """A gateway learned the state of a server; `gone` also if a full list does not contain it."""
 
     at: float
     gateway: int
@@ -136,7 +136,7 @@
 
 
 class KeyAnswered(Struct, frozen=True, tag="key_answered"):
-    """A server of `build` answered a request with this key through this gateway."""
+    """A server that runs `build` answered a request with this key through this gateway."""
 
     at: float
     gateway: int
@@ -151,11 +151,11 @@
     server: int
 
 
-# Shared state
+# Records of shared state
 
 
 class ClientDetached(Struct, frozen=True, tag="left"):
-    """The client disconnected and its request continues; no response is owed any more."""
+    """The client disconnected, but its request continues; no response is due any more."""
 
     at: float
     gateway: int
@@ -163,14 +163,14 @@
 
 
 class GatewayFenced(Struct, frozen=True, tag="sealed"):
-    """The ledger fenced the gateway's incarnation, whatever its process still does."""
+    """The ledger fenced the gateway's incarnation, even if its process is still running."""
 
     at: float
     gateway: int
 
 
 class RequestRecorded(Struct, frozen=True, tag="written"):
-    """The ledger has a client's request; it must end whatever happens to this gateway."""
+    """The ledger recorded a client's request, which must end even if this gateway fails."""
 
     at: float
     gateway: int
@@ -179,7 +179,7 @@
 
 
 class RequestClaimed(Struct, frozen=True, tag="claimed"):
-    """Another gateway claimed the request; `incarnations` counts those that have owned it."""
+    """Another gateway claimed the request; `incarnations` counts the owners so far, including it."""
 
     at: float
     gateway: int
@@ -196,7 +196,7 @@
 
 
 class RequestClosed(Struct, frozen=True, tag="closed"):
-    """The ledger has the outcome of the request."""
+    """The ledger recorded the outcome of the request."""
 
     at: float
     gateway: int
@@ -205,7 +205,7 @@
 
 
 class AdoptionStarted(Struct, frozen=True, tag="adopted"):
-    """A gateway started a request that it took over, under a number of its own, without a client."""
+    """A gateway started an adopted request, under a new request number and without a client."""
 
     at: float
     gateway: int
@@ -217,7 +217,7 @@
 
 
 class CapacityUsed(Struct, frozen=True, tag="admitted"):
-    """A gateway used units of the capacity that tenants share."""
+    """A gateway admitted requests that use units of the capacity shared by tenants."""
 
     at: float
     gateway: int
@@ -263,7 +263,7 @@
 
 
 def trace_line(record: Record) -> bytes:
-    """Encode one record as a JSON line without its line end."""
+    """Encode one record as a JSON line without the trailing newline."""
     return _encode(record)
 
 
@@ -271,7 +271,7 @@
     """Decode the records of a trace file.
 
     Raises:
-        TraceFormatError: a line is no record; the text names the first such line.
+        TraceFormatError: a line cannot be decoded as a record; the text names the first such line.
     """
     for number, line in enumerate(lines, 1):
         try:
--- a/meadowpulley/rules/violations.py
+++ b/meadowpulley/rules/violations.py
@@ -1,4 +1,4 @@
-"""Violations of the rules, as the checkers report them."""
+"""Violations of the rules, in the form in which the checkers report them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,16 @@
     "admissions",
     "counts",
 ]
-NO_GATEWAY = -1  # in place of a gateway's number, where no single gateway caused a violation
+NO_GATEWAY = -1  # gateway number where a violation or attempt belongs to no single gateway
 MS_PER_SECOND = 1000.0
-ReportViolation: TypeAlias = Callable[[RuleName, float, int, str], None]  # rule, time, gateway, text
+ReportViolation: TypeAlias = Callable[
+    [RuleName, float, int, str], None
+]  # arguments: rule, time (ms), gateway, text
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One violation of a rule, by a gateway or by NO_GATEWAY; `at` is in milliseconds."""
+    """A violation of a rule, with its gateway or NO_GATEWAY; `at` is the time in milliseconds."""
 
     rule: RuleName
     at: float
@@ -33,6 +35,6 @@
     text: str
 
     def __str__(self) -> str:
-        """Return the violation in one line."""
+        """Return the violation as one line of text."""
         origin = f" gateway {self.gateway}" if self.gateway >= 0 else ""
         return f"{self.at / MS_PER_SECOND:.3f} s{origin}: {self.rule}: {self.text}"
--- a/meadowpulley/simulator_adapter/__main__.py
+++ b/meadowpulley/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input and writes a reply to each on standard output until the input ends."""
+"""Reads batches from standard input and writes each reply to standard output, until the input ends."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def main() -> int:
-    """Answer each batch until the input ends; return the exit code, 2 for a malformed frame."""
+    """Reply to each batch until the input ends, and return the exit code.
+
+    It is 2 for a malformed frame and 1 if standard output was closed.
+    """
     host = GatewayHost()
     source = sys.stdin.buffer
     sink = sys.stdout.buffer
--- a/meadowpulley/simulator_adapter/codec.py
+++ b/meadowpulley/simulator_adapter/codec.py
@@ -1,4 +1,4 @@
-"""The events of the simulator's wire format: frames are read and their records decoded.
+"""Reads frames of the simulator's wire format and decodes their event records.
 
 A batch is a header, records of fixed size and a tail with data of variable length, to which records refer by
 offset and size. All numbers are big-endian.
@@ -36,7 +36,7 @@
 
 EVENT_SIZE = 48  # bytes of one event record
 ENTRY_SIZE = 26  # bytes of one server entry in a batch's tail
-LEDGER_COUNT = 16  # ledgers are numbered from 0
+LEDGER_COUNT = 16  # number of ledgers; their numbers start at 0
 
 
 class EventCode(IntEnum):
@@ -74,7 +74,7 @@
 _GATEWAY_AND_ID = struct.Struct(">xIQ")
 _GATEWAY = struct.Struct(">xI")
 
-# flags of a request
+# Bits of the flags field in a request record.
 _HAS_WORK_HINT = 1
 _IS_RETRY = 2
 _HAS_EFFECT = 4
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventBatch:
-    """One frame from the simulator: the time, the event records, and the data that they refer to."""
+    """One frame from the simulator: the time, the event records, and the tail that they refer to."""
 
     clock_ms: float
     records: bytes
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartGateway:
-    """A gateway starts with these settings; its policy draws by the seed."""
+    """A gateway starts with these settings; `seed` seeds the random numbers of its policy."""
 
     seed: int
     settings: Settings
@@ -104,12 +104,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StopGateway:
-    """A gateway is gone at once, with all that its policy knows."""
+    """A gateway stops at once, and the state of its policy is lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLedger:
-    """The server entries of a numbered ledger, which endpoint updates refer to."""
+    """The server entries of a numbered ledger, to which endpoint updates refer."""
 
     number: int
     entries: tuple[ServerEntry, ...]
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerUpdate:
-    """A gateway gets an endpoint update, whose entries are those of a ledger."""
+    """An endpoint update for a gateway, whose entries are those of a numbered ledger."""
 
     kind: EndpointUpdateKind
     ledger: int
@@ -128,7 +128,7 @@
 
 
 def _read_up_to(source: BinaryIO, size: int) -> bytes:
-    """Return the next bytes, fewer than `size` only where the input ends."""
+    """Read `size` bytes, or fewer only if the input ends before."""
     chunks: list[bytes] = []
     while size > 0:
         chunk = source.read(size)
@@ -140,7 +140,7 @@
 
 
 def read_batch(source: BinaryIO) -> EventBatch | None:
-    """Return the next batch, or None when the input ended between two frames. Raises FrameError."""
+    """Return the next batch, or None if the input ended between two frames. Raises FrameError."""
     header = _read_up_to(source, _BATCH_HEADER.size)
     if not header:
         return None
@@ -153,7 +153,7 @@
             f"batch length {length} is too short for {count} records, which need {required_size} bytes"
         )
     if not math.isfinite(clock_ms):
-        raise FrameError(f"batch clock {clock_ms} is no time")
+        raise FrameError(f"batch clock {clock_ms} is not a finite number")
     body = _read_up_to(source, length - _BATCH_HEADER.size)
     if len(body) < length - _BATCH_HEADER.size:
         raise FrameError(f"input ended inside a batch: {len(body) + _BATCH_HEADER.size} of {length} bytes")
@@ -176,12 +176,12 @@
     try:
         return kind(value)
     except ValueError:
-        raise FrameError(f"{where}: {value} is no known {kind.__name__}") from None
+        raise FrameError(f"{where}: {value} is not a known {kind.__name__}") from None
 
 
 def _load_report(count: int, values: tuple[float, ...], where: str) -> tuple[float, ...]:
     if count > len(values):
-        raise FrameError(f"{where}: a load report of {count} values, at most {len(values)} fit")
+        raise FrameError(f"{where}: load report has {count} values, but at most {len(values)} fit")
     return values[:count]
 
 
@@ -211,8 +211,8 @@
 def _read_endpoint_update(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
     gateway, kind_code, ledger, version = _ENDPOINT_UPDATE.unpack_from(batch.records, offset)
     update_kind = _enum_member(EndpointUpdateKind, kind_code, where)
-    if update_kind is EndpointUpdateKind.TIMED_OUT:  # real connections time out; the wire has no code for it
-        raise FrameError(f"{where}: {kind_code} is no known {EndpointUpdateKind.__name__}")
+    if update_kind is EndpointUpdateKind.TIMED_OUT:  # only real connections time out; no wire code
+        raise FrameError(f"{where}: {kind_code} is not a known {EndpointUpdateKind.__name__}")
     return gateway, LedgerUpdate(update_kind, ledger, version)
 
 
@@ -316,7 +316,10 @@
 
 
 def read_records(batch: EventBatch) -> Iterator[tuple[int | None, Record, str]]:
-    """Yield each record with its gateway, None for a ledger, and its place. Raises FrameError."""
+    """Yield each record with its gateway (None for a ledger) and its position in the batch.
+
+    Raises FrameError.
+    """
     for index in range(batch.record_count):
         offset = index * EVENT_SIZE
         code = batch.records[offset]
--- a/meadowpulley/simulator_adapter/gateway_host.py
+++ b/meadowpulley/simulator_adapter/gateway_host.py
@@ -1,6 +1,6 @@
-"""Runs the policies of all simulated gateways in one process: events in, actions out.
+"""Runs the policies of all simulated gateways in one process, and turns events into actions.
 
-The policies share nothing: the numbered ledgers belong to the wire format and only carry server entries.
+The policies share no state: the numbered ledgers belong to the wire format and only carry server entries.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class GatewayHost:
-    """Holds the policy of each simulated gateway by the gateway's number."""
+    """Holds the policy of each simulated gateway, by gateway number."""
 
     def __init__(self, make_policy: Callable[[Settings, int], RolloutPolicy] = RolloutPolicy) -> None:
         self._make_policy = make_policy
@@ -41,7 +41,9 @@
                     self._policies[gateway] = self._make_policy(settings, seed)
                 case StopGateway():
                     if self._policies.pop(gateway, None) is None:  # type: ignore[arg-type]
-                        raise FrameError(f"{where}: no instance {gateway} to kill")
+                        raise FrameError(
+                            f"{where}: instance {gateway} cannot be stopped because it is not running"
+                        )
                 case LedgerUpdate(kind, ledger, version):
                     entries = () if kind is EndpointUpdateKind.FAILED else self._ledger_entries(ledger, where)
                     self._handle_event(
@@ -53,7 +55,7 @@
 
     def _ledger_entries(self, ledger: int, where: str) -> tuple[ServerEntry, ...]:
         if ledger not in self._server_ledgers:
-            raise FrameError(f"{where}: no ledger {ledger} was sent")
+            raise FrameError(f"{where}: ledger {ledger} was used before it was sent")
         return self._server_ledgers[ledger]
 
     def _handle_event(
@@ -61,10 +63,10 @@
     ) -> None:
         policy = self._policies.get(gateway) if gateway is not None else None
         if gateway is None or policy is None:
-            raise FrameError(f"{where}: no instance {gateway}")
+            raise FrameError(f"{where}: instance {gateway} is not running")
         try:
             actions = policy.handle(now, event)
-        except Exception as error:  # noqa: BLE001  # a fault of one decision is reported, and the others go on
+        except Exception as error:  # noqa: BLE001  # report the fault, handle the other events
             reply.add_fault(gateway, _describe_fault(error, event))
             return
         for action in actions:
--- a/meadowpulley/simulator_adapter/reply.py
+++ b/meadowpulley/simulator_adapter/reply.py
@@ -1,4 +1,4 @@
-"""The actions of the simulator's wire format: replies are encoded.
+"""Encodes actions as replies in the simulator's wire format.
 
 A reply is a header, records of fixed size and a tail with data of variable length, to which records refer by
 offset and size. All numbers are big-endian.
@@ -26,7 +26,7 @@
 from meadowpulley.interface.log_wording import log_text
 
 ACTION_SIZE = 32  # bytes of one action record
-ALL_PEERS = 0xFFFF  # in place of a gateway's number
+ALL_PEERS = 0xFFFF  # receiver number that stands for all peers
 
 _REPLY_HEADER = struct.Struct(">II")
 
@@ -60,13 +60,13 @@
         self._records.append(struct.pack(">B" + layout, code, *fields).ljust(ACTION_SIZE, b"\0"))
 
     def _append_to_tail(self, data: bytes) -> tuple[int, int]:
-        """Append data of variable length; return its offset and size."""
+        """Append data of variable length to the tail, and return its offset and size."""
         offset = len(self._tail)
         self._tail += data
         return offset, len(data)
 
     def add_fault(self, gateway: int, text: str) -> None:
-        """Add the report that a gateway's policy raised an exception."""
+        """Add a record which reports that a gateway's policy raised an exception."""
         self._append_record(ActionCode.FAULT, "III", gateway, *self._append_to_tail(text.encode()))
 
     def add_action(self, gateway: int, action: Action) -> None:
@@ -104,7 +104,7 @@
         self._append_record(ActionCode.LOG_LINE, "III", gateway, *self._append_to_tail(text.encode()))
 
     def encode(self) -> bytes:
-        """Return the frame of the whole reply."""
+        """Return the reply encoded as one frame."""
         body = b"".join(self._records)
         size = _REPLY_HEADER.size + len(body) + len(self._tail)
         return _REPLY_HEADER.pack(size, len(self._records)) + body + bytes(self._tail)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -217,7 +217,7 @@
         (f64(1.0) + u32(15) + u32(0), "too short"),
         (f64(1.0) + u32(63) + u32(1), "too short"),
         (f64(1.0) + u32(64) + u32(1) + b"\x11", "ended inside a batch"),
-        (f64(float("nan")) + u32(16) + u32(0), "no time"),
+        (f64(float("nan")) + u32(16) + u32(0), "is not a finite number"),
     ],
 )
 def test_bad_frames_are_named(raw: bytes, text: str) -> None:
@@ -232,10 +232,13 @@
         (event(18, u32(16), u32(0), u32(0)), "ledger number 16"),
         (event(18, u32(2), u32(0), u32(1)), "outside the tail"),
         (event(20, u32(3), u32(2), u32(5), u32(2)), "outside the tail"),
-        (event(29, u32(3), u8(4), u32(0), u32(0)), "4 is no known EndpointUpdateKind"),
+        (event(29, u32(3), u8(4), u32(0), u32(0)), "4 is not a known EndpointUpdateKind"),
         (event(16, u32(3), u32(8), u16(200), f64(1.5), u8(5)), "5 values"),
-        (event(16, u32(3), u32(8), u16(299), f64(1.5), u8(0)), "299 is no known Result"),
-        (event(23, u32(3), u16(42), f32(0.1), u8(0), u8(0), u8(9), f64(0), u16(200)), "9 is no known Phase"),
+        (event(16, u32(3), u32(8), u16(299), f64(1.5), u8(0)), "299 is not a known Result"),
+        (
+            event(23, u32(3), u16(42), f32(0.1), u8(0), u8(0), u8(9), f64(0), u16(200)),
+            "9 is not a known Phase",
+        ),
     ],
 )
 def test_bad_records_are_named(raw: bytes, text: str) -> None:
@@ -258,4 +261,4 @@
 def test_the_adapter_names_an_unknown_instance_and_writes_no_half_reply() -> None:
     bad = run(simulator_frames.batch(1.0, [event(19, u32(5), u64(1))]))
     assert bad.returncode != 0 and bad.stdout == b""
-    assert bad.stderr == b"meadowpulley: record 0 (code 19): no instance 5\n"
+    assert bad.stderr == b"meadowpulley: record 0 (code 19): instance 5 is not running\n"
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -83,7 +83,7 @@
 
 
 def test_a_list_that_was_never_sent_is_an_error() -> None:
-    with pytest.raises(FrameError, match="no ledger 3"):
+    with pytest.raises(FrameError, match="ledger 3 was used before it was sent"):
         GatewayHost().handle_batch(read(simulator_frames.batch(1.0, [up(1), listed(1, 3)], RAW)))
 
 
