--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -45,9 +45,8 @@
     speed: Positive = 1.0
     thrash: NotNegative = 0.0  # extra share of work per request and core beyond `thrash_at` requests per core
     thrash_at: Positive = 4.0
-    slow_start_from: PositiveShare = field(
-        default=1.0, name="cold_from"
-    )  # share of the full capacity at the beginning of slow start
+    # share of the full capacity at the beginning of slow start
+    slow_start_from: PositiveShare = field(default=1.0, name="cold_from")
     slow_start_ms: NotNegative = field(default=0.0, name="cold_ms")  # duration of slow start
     connections: PositiveInt = 10_000
     connect_work_ms: NotNegative = 0.0
@@ -88,14 +87,10 @@
     cores: Positive = 1.0
     request_cpu_ms: NotNegative = field(default=0.0, name="request_ms")  # CPU time of one request
     descriptors: PositiveInt = 1024
-    reserved_descriptors: Annotated[int, Meta(ge=0)] = field(
-        default=32, name="kept_back"
-    )  # file descriptors that are not available for requests
-    client_descriptor_share: PositiveShare = (
-        field(
-            default=0.58, name="client_part"
-        )  # share of the available descriptors for client connections; the rest is for servers
-    )
+    # file descriptors that are not available for requests
+    reserved_descriptors: Annotated[int, Meta(ge=0)] = field(default=32, name="kept_back")
+    # share of the available descriptors for client connections; the rest is for servers
+    client_descriptor_share: PositiveShare = field(default=0.58, name="client_part")
     memory_mb: Positive = 192.0
     base_mb: NotNegative = 28.0  # memory in use before the first request
     connection_kb: NotNegative = 12.0  # memory per connection
@@ -107,10 +102,9 @@
     count: Annotated[int, Meta(ge=0)] = 0  # number of different keys; with 0, requests have no key
     skew: NotNegative = 0.6  # exponent of Zipf's law
     memory_ms: NotNegative = 0.0  # how long a server remembers a key
-    work_saved: Annotated[float, Meta(ge=0, lt=1)] = field(
-        default=0.0, name="gain"
-    )  # share of a request's work that a server saves if it remembers the key
-    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum number per server
+    # share of a request's work that a server saves if it remembers the key
+    work_saved: Annotated[float, Meta(ge=0, lt=1)] = field(default=0.0, name="gain")
+    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum number of remembered keys
 
 
 class ClientModel(Struct, frozen=True, forbid_unknown_fields=True):
@@ -141,21 +135,17 @@
     """Delays of the discovery service."""
 
     add_delay_ms: Range = field(default=(500.0, 1200.0), name="add_ms")  # delay until a new server is listed
-    change_delay_ms: Range = field(
-        default=(2200.0, 4900.0), name="notice_ms"
-    )  # delay until any other change is listed
-    update_interval_ms: Range = field(
-        default=(190.0, 680.0), name="period_ms"
-    )  # interval between updates to one watch
+    # delay until any other change is listed
+    change_delay_ms: Range = field(default=(2200.0, 4900.0), name="notice_ms")
+    # interval between updates to one watch
+    update_interval_ms: Range = field(default=(190.0, 680.0), name="period_ms")
     timeout_ms: Positive = 2000.0
     long_poll_ms: Positive = field(default=10_000.0, name="wait_ms")  # longest wait of a long poll
-    silence_timeout_ms: Positive = field(
-        default=1500.0, name="silent_ms"
-    )  # time after the end of `wait_ms` until a gateway gives up a poll without a response
-    presumed_known_ms: Range = field(
-        default=(2000.0, 6000.0), name="told_ms"
-    )  # missed changes count as known from the later of two times: the first value after the wait of the poll
-    # has ended, the second after the watch became silent
+    # time after the end of `wait_ms` until a gateway gives up a poll without a response
+    silence_timeout_ms: Positive = field(default=1500.0, name="silent_ms")
+    # missed changes count as known from the later of two times: the first value after the wait of the
+    # poll has ended, the second after the watch became silent
+    presumed_known_ms: Range = field(default=(2000.0, 6000.0), name="told_ms")
     must_subscribe: bool = field(default=True, name="must_ask")
 
 
@@ -336,7 +326,7 @@
             )
         if request_class.effect == "keyed" and not fleet.keys.count:
             raise FleetError(
-                f"{file_name}: keys.count: class '{request_class.name}' is keyed, so the count must be above 0"
+                f"{file_name}: keys.count: 0, but must be above 0 for class '{request_class.name}', which is keyed"
             )
     rollout = fleet.rollout
     if not rollout.stages or len(rollout.stages) != len(rollout.caps):
--- a/meadowpulley/rules/observations.py
+++ b/meadowpulley/rules/observations.py
@@ -42,7 +42,7 @@
 
     state: str
     build: int
-    removed_at: float  # when it was first listed as no longer ready (ms); infinite while it is ready
+    removed_at: float  # when it was first listed as no longer ready (ms); infinite if it has not been
     cell: int
     site: int
 
@@ -70,6 +70,5 @@
         self.rollout_updates: list[RolloutUpdated] = []
         self.received_at: dict[int, list[float]] = defaultdict(list)
         self.trial_attempts: dict[tuple[int, int], deque[float]] = defaultdict(deque)
-        self.keys_by_build: dict[int, dict[int, int]] = defaultdict(
-            dict
-        )  # answered keys by build; each value is 1
+        # The keys that each build has answered; the value of each key is 1.
+        self.keys_by_build: dict[int, dict[int, int]] = defaultdict(dict)
--- a/meadowpulley/rules/shared_state.py
+++ b/meadowpulley/rules/shared_state.py
@@ -71,9 +71,9 @@
         self.parameters = parameters
         self._report = report
         self._requests: dict[str, _RecordedRequest] = {}
-        self._request_ids: dict[tuple[int, int], str] = {}  # of waiting clients, by gateway and request
-        # Requests, as (gateway, number), of which that gateway sent an attempt. They do not include duplicates
-        # that only wait for the response to another request with the same id.
+        self._request_ids: dict[tuple[int, int], str] = {}  # while a client waits, by gateway and number
+        # Requests, as (gateway, number), of which that gateway sent an attempt. They exclude duplicates that
+        # only wait for the response to another request with the same id.
         self._sent_here: set[tuple[int, int]] = set()
         self._served_content: dict[str, str] = {}  # content of the first served response, by request id
         self._alive: set[int] = set()  # gateways with a live incarnation
--- a/meadowpulley/simulator_adapter/gateway_host.py
+++ b/meadowpulley/simulator_adapter/gateway_host.py
@@ -66,7 +66,8 @@
             raise FrameError(f"{where}: instance {gateway} is not running")
         try:
             actions = policy.handle(now, event)
-        except Exception as error:  # noqa: BLE001  # report the fault, handle the other events
+        except Exception as error:  # noqa: BLE001
+            # An exception in one decision is reported, and the remaining events are still handled.
             reply.add_fault(gateway, _describe_fault(error, event))
             return
         for action in actions:
