--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -326,7 +326,8 @@
             )
         if request_class.effect == "keyed" and not fleet.keys.count:
             raise FleetError(
-                f"{file_name}: keys.count: 0, but must be above 0 for class '{request_class.name}', which is keyed"
+                f"{file_name}: keys.count: class '{request_class.name}' is keyed, "
+                "so the number of keys must be above 0"
             )
     rollout = fleet.rollout
     if not rollout.stages or len(rollout.stages) != len(rollout.caps):
