--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -104,7 +104,7 @@
     memory_ms: NotNegative = 0.0  # how long a server remembers a key
     # share of a request's work that a server saves if it remembers the key
     work_saved: Annotated[float, Meta(ge=0, lt=1)] = field(default=0.0, name="gain")
-    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum number of remembered keys
+    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum of keys per server
 
 
 class ClientModel(Struct, frozen=True, forbid_unknown_fields=True):
@@ -143,8 +143,8 @@
     long_poll_ms: Positive = field(default=10_000.0, name="wait_ms")  # longest wait of a long poll
     # time after the end of `wait_ms` until a gateway gives up a poll without a response
     silence_timeout_ms: Positive = field(default=1500.0, name="silent_ms")
-    # missed changes count as known from the later of two times: the first value after the wait of the
-    # poll has ended, the second after the watch became silent
+    # Missed drains and removals count as known from the later of two times: the first value after the wait of
+    # the poll ends, and the second value after the watch becomes silent.
     presumed_known_ms: Range = field(default=(2000.0, 6000.0), name="told_ms")
     must_subscribe: bool = field(default=True, name="must_ask")
 
--- a/meadowpulley/rules/shared_state.py
+++ b/meadowpulley/rules/shared_state.py
@@ -42,7 +42,7 @@
     `end_ms` and `max_incarnations` turn their check off with 0, `admissions_per_s` with infinity.
     """
 
-    end_ms: float = 0.0  # how long after its deadline a recorded request may end
+    end_ms: float = 0.0  # how long (ms) after its deadline a recorded request may end
     max_incarnations: int = 0  # gateway incarnations that may own one request in turn
     admissions_per_s: float = math.inf  # capacity units that all gateways may admit per second
     admission_burst: float = 0.0  # capacity units beyond the rate that may be admitted in any period
@@ -71,13 +71,14 @@
         self.parameters = parameters
         self._report = report
         self._requests: dict[str, _RecordedRequest] = {}
-        self._request_ids: dict[tuple[int, int], str] = {}  # while a client waits, by gateway and number
+        # Ids of the requests whose clients still wait here, by gateway and request number.
+        self._request_ids: dict[tuple[int, int], str] = {}
         # Requests, as (gateway, number), of which that gateway sent an attempt. They exclude duplicates that
         # only wait for the response to another request with the same id.
         self._sent_here: set[tuple[int, int]] = set()
         self._served_content: dict[str, str] = {}  # content of the first served response, by request id
         self._alive: set[int] = set()  # gateways with a live incarnation
-        self._no_gateway_until = 0.0  # last start of a gateway while no other was alive (ms)
+        self._no_gateway_until = 0.0  # no gateway was alive until this time (ms); one started then
         self._level = 0.0  # fill level (units) of the leaky bucket that checks admissions
         self._level_at = 0.0
         self._counted: set[tuple[str, str]] = set()
--- a/meadowpulley/rules/violations.py
+++ b/meadowpulley/rules/violations.py
@@ -20,9 +20,8 @@
 ]
 NO_GATEWAY = -1  # gateway number where a violation or attempt belongs to no single gateway
 MS_PER_SECOND = 1000.0
-ReportViolation: TypeAlias = Callable[
-    [RuleName, float, int, str], None
-]  # arguments: rule, time (ms), gateway, text
+# The arguments are rule, time (ms), gateway and text.
+ReportViolation: TypeAlias = Callable[[RuleName, float, int, str], None]
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/simulator_adapter/codec.py
+++ b/meadowpulley/simulator_adapter/codec.py
@@ -211,7 +211,7 @@
 def _read_endpoint_update(batch: EventBatch, offset: int, where: str) -> tuple[int, Record]:
     gateway, kind_code, ledger, version = _ENDPOINT_UPDATE.unpack_from(batch.records, offset)
     update_kind = _enum_member(EndpointUpdateKind, kind_code, where)
-    # Only polls over real connections time out, so the wire format has no code for TIMED_OUT.
+    # Only connections outside the simulator time out, so the wire format has no code for TIMED_OUT.
     if update_kind is EndpointUpdateKind.TIMED_OUT:
         raise FrameError(f"{where}: {kind_code} is not a known {EndpointUpdateKind.__name__}")
     return gateway, LedgerUpdate(update_kind, ledger, version)
--- a/meadowpulley/simulator_adapter/gateway_host.py
+++ b/meadowpulley/simulator_adapter/gateway_host.py
@@ -63,7 +63,7 @@
     ) -> None:
         policy = self._policies.get(gateway) if gateway is not None else None
         if gateway is None or policy is None:
-            raise FrameError(f"{where}: instance {gateway} is not running")
+            raise FrameError(f"{where}: no instance {gateway}")
         try:
             actions = policy.handle(now, event)
         except Exception as error:  # noqa: BLE001
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -276,4 +276,4 @@
 def test_the_adapter_names_an_unknown_gateway_and_writes_no_partial_reply() -> None:
     bad = run(simulator_frames.batch(1.0, [event(19, u32(5), u64(1))]))
     assert bad.returncode != 0 and bad.stdout == b""
-    assert bad.stderr == b"meadowpulley: record 0 (code 19): instance 5 is not running\n"
+    assert bad.stderr == b"meadowpulley: record 0 (code 19): no instance 5\n"
