--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -43,7 +43,8 @@
     slots: PositiveInt
     queue: Annotated[int, Meta(ge=0)] = 0
     speed: Positive = 1.0
-    thrash: NotNegative = 0.0  # extra share of work per request and core beyond `thrash_at` requests per core
+    # Each running request per core above `thrash_at` increases the work of every request by this share.
+    thrash: NotNegative = 0.0
     thrash_at: Positive = 4.0
     # share of the full capacity at the beginning of slow start
     slow_start_from: PositiveShare = field(default=1.0, name="cold_from")
@@ -89,7 +90,7 @@
     descriptors: PositiveInt = 1024
     # file descriptors that are not available for requests
     reserved_descriptors: Annotated[int, Meta(ge=0)] = field(default=32, name="kept_back")
-    # share of the available descriptors for client connections; the rest is for servers
+    # share of the unreserved file descriptors for client connections; server connections get the rest
     client_descriptor_share: PositiveShare = field(default=0.58, name="client_part")
     memory_mb: Positive = 192.0
     base_mb: NotNegative = 28.0  # memory in use before the first request
@@ -104,7 +105,7 @@
     memory_ms: NotNegative = 0.0  # how long a server remembers a key
     # share of a request's work that a server saves if it remembers the key
     work_saved: Annotated[float, Meta(ge=0, lt=1)] = field(default=0.0, name="gain")
-    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum of keys per server
+    max_remembered: PositiveInt = field(default=10_000, name="most")  # maximum of keys on one server
 
 
 class ClientModel(Struct, frozen=True, forbid_unknown_fields=True):
@@ -113,13 +114,15 @@
     retries: Annotated[int, Meta(ge=0, le=10)] = 0
     backoff_ms: NotNegative = 100.0
     honours_retry_after: Share = field(default=0.7, name="honours_advice")
-    retries_failed: bool = False  # also retry requests that may have executed, unless their class is `unsafe`
+    # whether clients also retry a request that may have executed, if the effect of its class is not `unsafe`
+    retries_failed: bool = False
 
 
 class NetworkModel(Struct, frozen=True, forbid_unknown_fields=True):
     """One-way delays of messages.
 
-    Each delay is longer by an exponentially distributed share of itself, with `jitter` as its mean.
+    Every delay but that of gossip is multiplied by 1 plus an exponentially distributed random number, whose
+    mean is `jitter`.
     """
 
     same_site_ms: NotNegative = 0.2
@@ -135,16 +138,17 @@
     """Delays of the discovery service."""
 
     add_delay_ms: Range = field(default=(500.0, 1200.0), name="add_ms")  # delay until a new server is listed
-    # delay until any other change is listed
+    # delay until a change other than a new server is listed
     change_delay_ms: Range = field(default=(2200.0, 4900.0), name="notice_ms")
     # interval between updates to one watch
     update_interval_ms: Range = field(default=(190.0, 680.0), name="period_ms")
     timeout_ms: Positive = 2000.0
     long_poll_ms: Positive = field(default=10_000.0, name="wait_ms")  # longest wait of a long poll
-    # time after the end of `wait_ms` until a gateway gives up a poll without a response
+    # how long after the wait of a long poll a gateway gives up a poll that got no response
     silence_timeout_ms: Positive = field(default=1500.0, name="silent_ms")
-    # Missed drains and removals count as known from the later of two times: the first value after the wait of
-    # the poll ends, and the second value after the watch becomes silent.
+    # When a gateway is presumed to know the drains and removals that a silent watch did not report. This is
+    # the later of two times: the first value after the wait of the poll ends, and the second value after the
+    # watch becomes silent.
     presumed_known_ms: Range = field(default=(2000.0, 6000.0), name="told_ms")
     must_subscribe: bool = field(default=True, name="must_ask")
 
--- a/meadowpulley/rules/__init__.py
+++ b/meadowpulley/rules/__init__.py
@@ -1,6 +1,6 @@
 """Checks the five rules as invariants over a trace.
 
-The emulator, the loopback test bed and the model checker use it.
+The emulator, the loopback test bed and the model checker use this package.
 
 Reading order: `trace` (the records), `parameters` (limits of the rules), `violations`, `observations` (state
 derived from the records), `checker` with `response_rule`, `effect_rule`, `endpoint_rule` and `exposure_rule`
--- a/meadowpulley/rules/checker.py
+++ b/meadowpulley/rules/checker.py
@@ -35,7 +35,7 @@
 )
 from meadowpulley.rules.violations import NO_GATEWAY, RuleName, Violation
 
-MAX_VIOLATIONS = 1000  # violations kept with their texts; later ones are only counted
+MAX_VIOLATIONS = 1000  # maximum of violations that are kept with their texts; more are only counted
 
 
 class TraceChecker:
@@ -92,14 +92,14 @@
         self._report_violation(Violation(rule, at, gateway, text))
 
     def _report_violation(self, violation: Violation | None) -> None:
-        """Count a violation, and keep the first MAX_VIOLATIONS; None means that there is none."""
+        """Count a violation and keep it if fewer than MAX_VIOLATIONS are kept; ignore None."""
         if violation is None:
             return
         self.counts[violation.rule] += 1
         if len(self.violations) < MAX_VIOLATIONS:
             self.violations.append(violation)
 
-    # Records of gateways
+    # Handlers of the records of gateway incarnations
 
     def _gateway_started(self, record: GatewayStarted) -> None:
         self._gateways[record.gateway] = GatewayState()
@@ -118,7 +118,7 @@
                 request.excused = True
         gateway.paused_at = math.inf
 
-    # Records of requests
+    # Handlers of the records of requests
 
     def _request_received(self, record: RequestReceived) -> None:
         gateway = self._gateways[record.gateway]
@@ -136,8 +136,8 @@
     def _adoption_started(self, record: AdoptionStarted) -> None:
         """Track an adopted request.
 
-        It does not count as received for the exposure cap, and no response is due, because its client is
-        not connected to this gateway.
+        An adopted request does not count as received for the exposure cap. The gateway owes it no response,
+        because the client is not connected to this gateway.
         """
         received = RequestReceived(
             record.at,
@@ -165,7 +165,7 @@
         if self._shared_state.recorded(record.gateway, request.received.request_id):
             return
         for attempt in request.own_attempts.values():
-            # The ledger did not record the request, so a client retry is a new one, even at this gateway.
+            # The ledger did not record the request, so a client retry is a new request, even at this gateway.
             attempt.gateway = NO_GATEWAY
 
     def _response_sent(self, record: ResponseSent) -> None:
@@ -179,7 +179,7 @@
             effect_rule.check_rejection(self.parameters, record, request, self._shared_state.recorded)
         )
 
-    # Records of attempts
+    # Handlers of the records of attempts
 
     def _attempt_sent(self, record: AttemptSent) -> None:
         gateway = self._gateways[record.gateway]
@@ -211,7 +211,7 @@
         if attempt is not None and not record.executed:
             attempt.may_have_executed = False
 
-    # Records of servers and builds
+    # Handlers of the records of servers and builds
 
     def _endpoint_listed(self, record: EndpointListed) -> None:
         endpoint_rule.record_listing(self._gateways[record.gateway], record)
--- a/meadowpulley/rules/effect_rule.py
+++ b/meadowpulley/rules/effect_rule.py
@@ -18,7 +18,7 @@
 def possible_executions(
     gateway: int, request: OpenRequest, is_recorded: Callable[[int, str], bool]
 ) -> list[ObservedAttempt]:
-    """Return attempts that may have executed, by this gateway or by one that recorded the request.
+    """Return the attempts of this gateway, and of gateways that recorded the request, that may have run.
 
     `is_recorded` returns whether a gateway recorded the request with a given id.
     """
@@ -36,7 +36,7 @@
     request: OpenRequest,
     is_recorded: Callable[[int, str], bool],
 ) -> Violation | None:
-    """Report the rejection of a request that may have run, unless any server may safely repeat it."""
+    """Report a rejected request that may have run, unless every server may safely repeat the request."""
     if record.response != "refused":
         return None
     rules = parameters.classes[request.received.class_index]
--- a/meadowpulley/rules/endpoint_rule.py
+++ b/meadowpulley/rules/endpoint_rule.py
@@ -1,7 +1,7 @@
 """Checks the rules on servers: on delisted servers, and on servers in slow start.
 
-No server is sent a request after the drain grace that follows its delisting, and none is overloaded in slow
-start.
+A gateway must not send requests to a server after the drain grace that follows the server's delisting. A
+server must not be overloaded in slow start.
 """
 
 from __future__ import annotations
--- a/meadowpulley/rules/errors.py
+++ b/meadowpulley/rules/errors.py
@@ -1,4 +1,4 @@
-"""Errors of this package; the text of each is one line that says what is wrong and where."""
+"""Errors of the rules package. The text of each error is one line that says what is wrong and where."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RulesError(MeadowpulleyError):
-    """The base class of this package's errors."""
+    """Base class of all errors of the rules package."""
 
 
 class TraceFormatError(RulesError, ValueError):
--- a/meadowpulley/rules/exposure_rule.py
+++ b/meadowpulley/rules/exposure_rule.py
@@ -1,8 +1,8 @@
 """Checks the rules on exposure: caps for a build on trial, and monotonic keys.
 
-A build on trial gets at most a capped share of the requests. A key that a newer build has answered is not
-sent to an older build. The caps compare attempts at the build with received requests over a sliding window,
-for all classes together or for each class.
+A build on trial may get at most a capped share of the requests. A request whose key a newer build has
+answered must not be sent to an older build. The caps compare attempts at the build with received requests
+over a sliding window, for all classes together or for each class.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 RELEASED = PHASE_NAMES[Phase.RELEASED]
 ROLLBACK_PHASES = (PHASE_NAMES[Phase.ROLLING_BACK], PHASE_NAMES[Phase.ROLLED_BACK])
 ALL_CLASSES = -1  # class index under which all classes are counted together
-MIN_ROLLOUT_UPDATES = 2  # newest updates that are kept whatever their age
+MIN_ROLLOUT_UPDATES = 2  # the newest updates, this many, are kept whatever their age
 # When MAX_ARRIVAL_TIMES is exceeded, the oldest DROPPED_ARRIVAL_TIMES are deleted in one block, because each
 # deletion at the front of a list moves all remaining items.
 MAX_ARRIVAL_TIMES = 200_000
 DROPPED_ARRIVAL_TIMES = 100_000
-ROUNDING_ATTEMPTS = 1e-6  # excess over the cap that counts as a rounding error
+ROUNDING_ATTEMPTS = 1e-6  # attempts may exceed the cap by this number, because of rounding errors
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,14 +60,15 @@
     updates = gateway.rollout_updates
     updates.append(record)
     if record.phase in ROLLBACK_PHASES:
-        gateway.keys_by_build.pop(record.build, None)  # its keys may go to any build
+        # Requests with keys that a rolled-back build has answered may be sent to any build.
+        gateway.keys_by_build.pop(record.build, None)
     oldest = record.at - parameters.drain_grace_ms - parameters.window_ms
     while len(updates) > MIN_ROLLOUT_UPDATES and updates[1].at < oldest:
         updates.pop(0)
 
 
 def record_answered_key(gateway: GatewayState, record: KeyAnswered) -> None:
-    """Record that a build answered a key, unless it is the newest build and is being rolled back."""
+    """Record that a build answered a key, unless the build is the newest and in a rollback phase."""
     newest = _newest_update(gateway)
     rolled_back = newest is not None and newest.build == record.build and newest.phase in ROLLBACK_PHASES
     if record.key and not rolled_back:
--- a/meadowpulley/rules/observations.py
+++ b/meadowpulley/rules/observations.py
@@ -29,11 +29,13 @@
     """A request that has no final response yet."""
 
     received: RequestReceived
-    # `attempts` holds those of all gateways with the same request id, `own_attempts` those of this gateway by
-    # attempt number.
+    # The attempts that any gateway sent for this request id.
     attempts: list[ObservedAttempt] = field(default_factory=list)
+    # The attempts that this gateway sent, by attempt number.
     own_attempts: dict[int, ObservedAttempt] = field(default_factory=dict)
-    excused: bool = False  # no response in time is due: paused gateway, detached client, or adopted request
+    # Whether a late or missing response is allowed: the deadline passed while the gateway was paused, the
+    # client detached, or the gateway adopted the request.
+    excused: bool = False
 
 
 @dataclass(slots=True)
@@ -42,7 +44,7 @@
 
     state: str
     build: int
-    removed_at: float  # when it was first listed as no longer ready (ms); infinite if it has not been
+    removed_at: float  # when the server was first listed as not ready (ms); infinite if it never was
     cell: int
     site: int
 
@@ -70,5 +72,5 @@
         self.rollout_updates: list[RolloutUpdated] = []
         self.received_at: dict[int, list[float]] = defaultdict(list)
         self.trial_attempts: dict[tuple[int, int], deque[float]] = defaultdict(deque)
-        # The keys that each build has answered; the value of each key is 1.
+        # The keys that each build has answered. The inner dict is used as a set, and its values are all 1.
         self.keys_by_build: dict[int, dict[int, int]] = defaultdict(dict)
--- a/meadowpulley/rules/parameters.py
+++ b/meadowpulley/rules/parameters.py
@@ -1,4 +1,8 @@
-"""Parameters of the rules, for the deployment, the test bed and shared state."""
+"""Defines the parameters of the rules.
+
+The parameters are properties of the request classes, limits of the deployment, tolerances for runs on the
+test bed, and limits on the requests and capacity that gateways share.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,8 @@
     """Properties of a request class that the rules depend on."""
 
     effect: Effect
-    group: DeduplicationScope  # the servers that know the same idempotency keys
-    window_ms: float  # how long those servers remember a key
+    group: DeduplicationScope  # which servers share their idempotency keys
+    window_ms: float  # how long a server remembers an idempotency key
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/rules/shared_state.py
+++ b/meadowpulley/rules/shared_state.py
@@ -1,7 +1,8 @@
 """Checks the rules on gateways that take over each other's requests, over the traces of all gateways.
 
 A recorded request is claimed only after its owner released it or was fenced, at most a given number of
-times, and is adopted only by the gateway that claimed it. It ends in time as long as any gateway is alive.
+times, and is adopted only by the gateway that claimed it. A recorded request ends in time as long as any
+gateway is alive.
 
 Requests with the same id get the same response, or a failure. All gateways together admit no more than the
 capacity, and an experiment counts each request once.
@@ -49,7 +50,7 @@
 
 
 MS_PER_SECOND = 1000.0
-ROUNDING_UNITS = 1e-6  # excess over the capacity that counts as a rounding error
+ROUNDING_UNITS = 1e-6  # units may exceed the capacity by this number, because of rounding errors
 NOT_SHARED = SharedStateParameters()
 
 
@@ -57,7 +58,7 @@
 class _RecordedRequest:
     deadline: float
     owner: int
-    released: bool = False  # whether its owner released it or was fenced
+    released: bool = False  # whether the owner released the request or was fenced
     outcome: str = ""
 
 
@@ -71,14 +72,14 @@
         self.parameters = parameters
         self._report = report
         self._requests: dict[str, _RecordedRequest] = {}
-        # Ids of the requests whose clients still wait here, by gateway and request number.
+        # Ids of the requests whose clients still wait for a response, by gateway and request number.
         self._request_ids: dict[tuple[int, int], str] = {}
-        # Requests, as (gateway, number), of which that gateway sent an attempt. They exclude duplicates that
-        # only wait for the response to another request with the same id.
+        # Requests for which a gateway sent an attempt, as (gateway, request number). Duplicates that only
+        # wait for the response to another request with the same id are not included.
         self._sent_here: set[tuple[int, int]] = set()
         self._served_content: dict[str, str] = {}  # content of the first served response, by request id
         self._alive: set[int] = set()  # gateways with a live incarnation
-        self._no_gateway_until = 0.0  # no gateway was alive until this time (ms); one started then
+        self._no_gateway_until = 0.0  # end (ms) of the last period without a live gateway
         self._level = 0.0  # fill level (units) of the leaky bucket that checks admissions
         self._level_at = 0.0
         self._counted: set[tuple[str, str]] = set()
@@ -113,12 +114,12 @@
     def recorded(self, gateway: int, request_id: str) -> bool:
         """Return whether a gateway recorded or claimed this request in the ledger.
 
-        A request that was never recorded, because the ledger was unavailable or the gateway's incarnation
-        was over, belongs to that gateway alone, as without a ledger: a client retry is a new request.
+        A request is not recorded if the ledger is unavailable or the gateway's incarnation has ended. The
+        request then belongs to its gateway alone, and a client retry is a new request, as without a ledger.
         """
         return gateway in self._owners.get(request_id, ())
 
-    # Records of gateway incarnations
+    # Handlers of the records of gateway incarnations
 
     def _gateway_started(self, record: GatewayStarted) -> None:
         if not self._alive:
@@ -139,7 +140,7 @@
             if request.owner == record.gateway:
                 request.released = True
 
-    # Records of requests
+    # Handlers of the records of requests
 
     def _request_received(self, record: RequestReceived) -> None:
         if record.request_id:
@@ -149,7 +150,7 @@
         self._sent_here.add((record.gateway, record.request))
 
     def _client_left(self, record: ClientDetached | RequestAbandoned) -> None:
-        self._request_ids.pop((record.gateway, record.request), None)  # no client gets a later response
+        self._request_ids.pop((record.gateway, record.request), None)  # no client waits for a response
 
     def _request_recorded(self, record: RequestRecorded) -> None:
         known = self._requests.get(record.request_id)
@@ -183,7 +184,7 @@
             request.released = True
 
     def _adoption_started(self, record: AdoptionStarted) -> None:
-        # The response of an adopted request reaches no client here, so no id is stored for its number.
+        # No client waits at this gateway for the response to an adopted request, so no request id is stored.
         request = self._requests.get(record.request_id)
         if request is None or request.owner != record.gateway or request.outcome:
             text = f"{record.request_id} was adopted by a gateway that has no valid claim on it"
@@ -204,8 +205,8 @@
     def _is_outcome_reported(self, request_id: str, request: _RecordedRequest) -> bool:
         """Return whether a client may have received the outcome.
 
-        Until a client has, a gateway that does not know whether its commit succeeded may record another
-        outcome.
+        Before a client receives an outcome, a gateway that does not know whether its commit succeeded may
+        record another outcome.
         """
         if request.outcome == "served":
             return request_id in self._served_content
@@ -239,7 +240,7 @@
             text = f"{request_id} was closed as {request.outcome}, but its response was {record.response}"
             self._report("answers", record.at, record.gateway, text)
 
-    # Records of capacity and experiments
+    # Handlers of the records of capacity and experiments
 
     def _capacity_used(self, record: CapacityUsed) -> None:
         """Check admissions with a leaky bucket that drains at the rate of the capacity."""
--- a/meadowpulley/rules/trace.py
+++ b/meadowpulley/rules/trace.py
@@ -18,7 +18,7 @@
 
 StateName: TypeAlias = Literal["ready", "draining", "gone"]
 PhaseName: TypeAlias = Literal["trial", "going_back", "released", "withdrawn"]
-# Names in the trace format. They are a stored format, so they stay when an enum's members are renamed.
+# Names of states and phases in stored traces. The names stay when members of the enums are renamed.
 STATE_NAMES: dict[ServerState, StateName] = {
     ServerState.READY: "ready",
     ServerState.DRAINING: "draining",
@@ -69,7 +69,7 @@
     class_index: int = field(name="cls")
     key: int
     deadline: float  # when the client stops waiting (ms)
-    # The id that the client gave the request, the same for each client retry; empty without shared state.
+    # The client's id for the request, which all its client retries share; empty without shared state.
     request_id: str = field(default="", name="id")
 
 
@@ -85,7 +85,7 @@
 
 
 class AttemptEnded(Struct, frozen=True, tag="outcome"):
-    """An attempt ended; `executed` is False only if it is known not to have executed."""
+    """An attempt ended; `executed` is False only if the server is known not to have executed it."""
 
     at: float
     gateway: int
@@ -101,11 +101,11 @@
     gateway: int
     request: int
     response: Literal["served", "refused", "failed"] = field(name="answer")
-    content: str = ""  # tells different served responses apart
+    content: str = ""  # differs between served responses that are not the same
 
 
 class RequestAbandoned(Struct, frozen=True, tag="gone"):
-    """The client disconnected before its response, and the request ended without one."""
+    """A request ended without a response, because its client had disconnected."""
 
     at: float
     gateway: int
@@ -113,7 +113,7 @@
 
 
 class EndpointListed(Struct, frozen=True, tag="listed"):
-    """A gateway learned the state of a server; `gone` also if a full list does not contain it."""
+    """A gateway learned a server's state, which is `gone` also if a full list omits the server."""
 
     at: float
     gateway: int
@@ -155,7 +155,7 @@
 
 
 class ClientDetached(Struct, frozen=True, tag="left"):
-    """The client disconnected, but its request continues; no response is due any more."""
+    """The client of a request disconnected; the request continues, but needs no response."""
 
     at: float
     gateway: int
@@ -179,7 +179,7 @@
 
 
 class RequestClaimed(Struct, frozen=True, tag="claimed"):
-    """Another gateway claimed the request; `incarnations` counts the owners so far, including it."""
+    """A gateway claimed another gateway's request; `incarnations` counts all owners, also the new one."""
 
     at: float
     gateway: int
@@ -188,7 +188,7 @@
 
 
 class RequestReleased(Struct, frozen=True, tag="given"):
-    """The gateway that owned the request released it."""
+    """The gateway that owned a request released the request."""
 
     at: float
     gateway: int
@@ -196,7 +196,7 @@
 
 
 class RequestClosed(Struct, frozen=True, tag="closed"):
-    """The ledger recorded the outcome of the request."""
+    """The ledger recorded the outcome of a request."""
 
     at: float
     gateway: int
--- a/meadowpulley/rules/violations.py
+++ b/meadowpulley/rules/violations.py
@@ -18,9 +18,9 @@
     "admissions",
     "counts",
 ]
-NO_GATEWAY = -1  # gateway number where a violation or attempt belongs to no single gateway
+NO_GATEWAY = -1  # gateway number of a violation or attempt that belongs to no single gateway
 MS_PER_SECOND = 1000.0
-# The arguments are rule, time (ms), gateway and text.
+# A function that reports a violation, given the rule, the time (ms), the gateway and the text.
 ReportViolation: TypeAlias = Callable[[RuleName, float, int, str], None]
 
 
--- a/meadowpulley/simulator_adapter/__main__.py
+++ b/meadowpulley/simulator_adapter/__main__.py
@@ -11,7 +11,7 @@
 def main() -> int:
     """Reply to each batch until the input ends, and return the exit code.
 
-    It is 2 for a malformed frame and 1 if standard output was closed.
+    The exit code is 2 for a malformed frame, 1 if standard output was closed, and 0 otherwise.
     """
     host = GatewayHost()
     source = sys.stdin.buffer
--- a/meadowpulley/simulator_adapter/codec.py
+++ b/meadowpulley/simulator_adapter/codec.py
@@ -36,7 +36,7 @@
 
 EVENT_SIZE = 48  # bytes of one event record
 ENTRY_SIZE = 26  # bytes of one server entry in a batch's tail
-LEDGER_COUNT = 16  # number of ledgers; their numbers start at 0
+LEDGER_COUNT = 16  # ledgers are numbered from 0 to LEDGER_COUNT - 1
 
 
 class EventCode(IntEnum):
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventBatch:
-    """One frame from the simulator: the time, the event records, and the tail that they refer to."""
+    """One frame from the simulator, with the time, the event records and the data of variable length."""
 
     clock_ms: float
     records: bytes
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartGateway:
-    """A gateway starts with these settings; `seed` seeds the random numbers of its policy."""
+    """A gateway starts with the given settings; `seed` seeds the random numbers of its policy."""
 
     seed: int
     settings: Settings
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLedger:
-    """The server entries of a numbered ledger, to which endpoint updates refer."""
+    """A numbered list of server entries, to which endpoint updates refer."""
 
     number: int
     entries: tuple[ServerEntry, ...]
@@ -128,7 +128,7 @@
 
 
 def _read_up_to(source: BinaryIO, size: int) -> bytes:
-    """Read `size` bytes, or fewer only if the input ends before."""
+    """Read `size` bytes, or all remaining bytes if the input ends first."""
     chunks: list[bytes] = []
     while size > 0:
         chunk = source.read(size)
@@ -317,9 +317,9 @@
 
 
 def read_records(batch: EventBatch) -> Iterator[tuple[int | None, Record, str]]:
-    """Yield each record with its gateway (None for a ledger) and its position in the batch.
+    """Yield each record with its gateway (None for a ledger) and a text that locates the record.
 
-    Raises FrameError.
+    Raises FrameError if a record is malformed.
     """
     for index in range(batch.record_count):
         offset = index * EVENT_SIZE
