--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -121,8 +121,8 @@
 class NetworkModel(Struct, frozen=True, forbid_unknown_fields=True):
     """One-way delays of messages.
 
-    Every delay but that of gossip is multiplied by 1 plus an exponentially distributed random number, whose
-    mean is `jitter`.
+    Each delay except that of gossip is multiplied by 1 + x, where x is exponentially distributed with mean
+    `jitter`.
     """
 
     same_site_ms: NotNegative = 0.2
@@ -144,7 +144,7 @@
     update_interval_ms: Range = field(default=(190.0, 680.0), name="period_ms")
     timeout_ms: Positive = 2000.0
     long_poll_ms: Positive = field(default=10_000.0, name="wait_ms")  # longest wait of a long poll
-    # how long after the wait of a long poll a gateway gives up a poll that got no response
+    # delay from the end of a long poll's wait until a gateway gives up the unanswered poll
     silence_timeout_ms: Positive = field(default=1500.0, name="silent_ms")
     # When a gateway is presumed to know the drains and removals that a silent watch did not report. This is
     # the later of two times: the first value after the wait of the poll ends, and the second value after the
@@ -241,7 +241,7 @@
         return sum(s.count * self.kind(s.kind).cores * self.kind(s.kind).speed for s in self.servers)
 
     def mean_work_ms(self) -> float:
-        """Return the mean work of a request (ms) by the classes' shares, without savings by keys."""
+        """Return the mean work of a request (ms), weighted by class shares, without savings by keys."""
         total = sum(c.share for c in self.classes)
         return sum(c.share * c.work_ms for c in self.classes) / total
 
--- a/meadowpulley/rules/checker.py
+++ b/meadowpulley/rules/checker.py
@@ -35,7 +35,7 @@
 )
 from meadowpulley.rules.violations import NO_GATEWAY, RuleName, Violation
 
-MAX_VIOLATIONS = 1000  # maximum of violations that are kept with their texts; more are only counted
+MAX_VIOLATIONS = 1000  # maximum number of violations that are kept; further ones are only counted
 
 
 class TraceChecker:
@@ -136,8 +136,8 @@
     def _adoption_started(self, record: AdoptionStarted) -> None:
         """Track an adopted request.
 
-        An adopted request does not count as received for the exposure cap. The gateway owes it no response,
-        because the client is not connected to this gateway.
+        An adopted request does not count as received for the exposure cap. The gateway
+        need not respond to the request, because the client is not connected to this gateway.
         """
         received = RequestReceived(
             record.at,
--- a/meadowpulley/rules/effect_rule.py
+++ b/meadowpulley/rules/effect_rule.py
@@ -18,7 +18,7 @@
 def possible_executions(
     gateway: int, request: OpenRequest, is_recorded: Callable[[int, str], bool]
 ) -> list[ObservedAttempt]:
-    """Return the attempts of this gateway, and of gateways that recorded the request, that may have run.
+    """Return attempts that may have executed, from `gateway` and gateways that recorded the request.
 
     `is_recorded` returns whether a gateway recorded the request with a given id.
     """
--- a/meadowpulley/rules/exposure_rule.py
+++ b/meadowpulley/rules/exposure_rule.py
@@ -26,7 +26,7 @@
 RELEASED = PHASE_NAMES[Phase.RELEASED]
 ROLLBACK_PHASES = (PHASE_NAMES[Phase.ROLLING_BACK], PHASE_NAMES[Phase.ROLLED_BACK])
 ALL_CLASSES = -1  # class index under which all classes are counted together
-MIN_ROLLOUT_UPDATES = 2  # the newest updates, this many, are kept whatever their age
+MIN_ROLLOUT_UPDATES = 2  # number of newest rollout updates that are kept whatever their age
 # When MAX_ARRIVAL_TIMES is exceeded, the oldest DROPPED_ARRIVAL_TIMES are deleted in one block, because each
 # deletion at the front of a list moves all remaining items.
 MAX_ARRIVAL_TIMES = 200_000
--- a/meadowpulley/rules/observations.py
+++ b/meadowpulley/rules/observations.py
@@ -18,7 +18,7 @@
     server: int
     build: int
     sent_at: float
-    may_have_executed: bool = True  # False once the attempt is known not to have executed
+    may_have_executed: bool = True  # False once the server is known not to have executed it
     cell: int = 0
     site: int = 0
     gateway: int = NO_GATEWAY
@@ -44,13 +44,13 @@
 
     state: str
     build: int
-    removed_at: float  # when the server was first listed as not ready (ms); infinite if it never was
+    removed_at: float  # when the server was first listed as not ready (ms); infinite while it is ready
     cell: int
     site: int
 
 
 def group_member(group: DeduplicationScope, location: ObservedAttempt | KnownServer) -> int:
-    """Return the index of the deduplication group, whose servers know the same idempotency keys."""
+    """Return the index of a location's deduplication group, whose servers share idempotency keys."""
     match group:
         case DeduplicationScope.ALL:
             return 0
--- a/meadowpulley/rules/shared_state.py
+++ b/meadowpulley/rules/shared_state.py
@@ -44,7 +44,7 @@
     """
 
     end_ms: float = 0.0  # how long (ms) after its deadline a recorded request may end
-    max_incarnations: int = 0  # gateway incarnations that may own one request in turn
+    max_incarnations: int = 0  # maximum number of gateway incarnations that may own one request in turn
     admissions_per_s: float = math.inf  # capacity units that all gateways may admit per second
     admission_burst: float = 0.0  # capacity units beyond the rate that may be admitted in any period
 
@@ -83,7 +83,7 @@
         self._level = 0.0  # fill level (units) of the leaky bucket that checks admissions
         self._level_at = 0.0
         self._counted: set[tuple[str, str]] = set()
-        self._owners: dict[str, set[int]] = defaultdict(set)  # all owners so far, by request id
+        self._owners: dict[str, set[int]] = defaultdict(set)  # all gateways that have owned a request, by id
         self._handlers = RecordHandlers()
         self._handlers.add(GatewayStarted, self._gateway_started)
         self._handlers.add(GatewayCrashed, self._gateway_crashed)
--- a/meadowpulley/rules/trace.py
+++ b/meadowpulley/rules/trace.py
@@ -101,7 +101,7 @@
     gateway: int
     request: int
     response: Literal["served", "refused", "failed"] = field(name="answer")
-    content: str = ""  # differs between served responses that are not the same
+    content: str = ""  # identifies a served response; different responses have different values
 
 
 class RequestAbandoned(Struct, frozen=True, tag="gone"):
@@ -151,7 +151,7 @@
     server: int
 
 
-# Records of shared state
+# Records for gateways that share state
 
 
 class ClientDetached(Struct, frozen=True, tag="left"):
