--- a/meadowpulley/rules/errors.py
+++ b/meadowpulley/rules/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the rules: each is one line that says what is wrong and where."""
+"""Errors of the rules package. The text of each error is one line that says what is wrong and where."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class RulesError(MeadowpulleyError):
-    """The base of this package's errors."""
+    """Base class of all errors of the rules package."""
 
 
 class TraceFormatError(RulesError, ValueError):
-    """A line of a trace file is no record."""
+    """A line of a trace file cannot be decoded as a record."""
