--- a/meadowpulley/placement/__init__.py
+++ b/meadowpulley/placement/__init__.py
@@ -1,16 +1,17 @@
-"""Compare placement policies on live traffic: split requests between them, and estimate the difference.
+"""Compare placement policies on live traffic: split requests into arms, estimate the differences.
 
-Off unless an experiment's file is named; the gateway that `run` starts imports none of it. Modules in reading
-order: `policies` (orders of the servers that a request may go to), `definition` and `config` (the file of an
-experiment), `assignment` (which arm a unit belongs to), `time_bins` (short bins for the mixed
-Differences-in-Q estimate), `counter_records` and `arm_counters` (what each incarnation counts and stores),
-`merged_counters` (the fleet's sums), `metrics` (what figures are kept by), `differences_in_q`, `confidence`
-and `estimate` (differences, intervals, confidence sequences), `guard` (when an arm must end), `origins` (what
-takeover knows), `request_tracker` (labels and counts requests), `record_names` and `record_writer` (records
-in the ledger), `fleet_view` (what is known of the other gateways), `stage` (precedes the rollout policy),
-`gateway` (at a gateway on sockets), `summary` (results for readers), `emulated` (experiments on the emulated
-fleet), `supermarket_model` and `calibration` (how good the estimates are where the answer is known),
-`errors`.
+The package is unused unless `MEADOWPULLEY_PLACEMENT` names an experiment's file: the gateway that `run`
+starts does not import it otherwise. Modules in reading order: `policies` (order a request's servers by
+preference), `definition` and `config` (the experiment's file), `assignment` (assigns units to arms),
+`time_bins` (short bins for the mixed Differences-in-Q estimate), `counter_records` and `arm_counters` (the
+counters that each incarnation keeps and stores), `merged_counters` (sums over the fleet), `metrics` (indices
+of the sums over all classes and of each class), `differences_in_q`, `confidence` and `estimate` (differences,
+intervals, confidence sequences), `guard` (decides when a harmful arm ends), `origins` (which incarnation
+accepted a request first, from takeover), `request_tracker` (labels and counts requests), `record_names` and
+`record_writer` (records in the ledger), `fleet_view` (members and counters of the other gateways), `stage`
+(handles events before the rollout policy), `gateway` (starts an experiment at a gateway on sockets),
+`summary` (results), `emulated` (experiments on the emulated fleet), `supermarket_model` and `calibration`
+(measure the estimates' errors where the true difference is known), `errors`.
 """
 
 from meadowpulley.placement.assignment import Assignment
--- a/meadowpulley/placement/arm_counters.py
+++ b/meadowpulley/placement/arm_counters.py
@@ -16,20 +16,20 @@
     encode_counters,
 )
 
-MAX_LATENCY_US = 600_000_000
-SIGNIFICANT_DIGITS = 3
+MAX_LATENCY_US = 600_000_000  # ten minutes; longer times are recorded as this
+SIGNIFICANT_DIGITS = 3  # decimal digits that the histograms keep of a completion time
 US_PER_MS = 1000
 
 ArmAndClass: TypeAlias = tuple[int, int]
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of completion times: microseconds, three digits, up to ten minutes."""
+    """Return an empty histogram of completion times in us, to three digits and up to ten minutes."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 class ArmCounters:
-    """What one incarnation counts while it runs."""
+    """The request counters of one running incarnation, by arm and class."""
 
     def __init__(self, incarnation: str) -> None:
         self.record = CountersRecord(incarnation)
@@ -40,20 +40,20 @@
         self.open_requests: dict[int, OpenRequest] = {}
 
     def note_number(self, number: int) -> None:
-        """Note that a request of the experiment's classes was accepted, in an arm or not.
+        """Record the number of an accepted request of the experiment's classes, in an arm or not.
 
-        Whoever adopts one that is neither open here nor above this number counts it as ended, or as never
-        counted.
+        `merge_counters` ignores the adopted end of a request that is not open here and whose number is not
+        above the highest recorded one: it ended here, or it was in no arm.
         """
         self.record.highest_number = max(self.record.highest_number, number)
 
     def record_accepted(self, request: OpenRequest) -> None:
-        """Record a request that was accepted in an arm."""
+        """Record as open a request that was accepted in an arm."""
         self.open_requests[request.number] = request
         self.note_number(request.number)
 
     def record_ended(self, number: int, ending: RequestEnding, cost_ms: float) -> None:
-        """Record the end of a request that was accepted here."""
+        """Record the end and the cost (ms) of a request that this incarnation accepted in an arm."""
         request = self.open_requests.pop(number)
         arm_and_class = (request.arm, request.class_index)
         count_outcome(self.cells, self.histograms, arm_and_class, ending, cost_ms)
@@ -61,12 +61,12 @@
         self.moments.setdefault(key, CostMoments(*key)).add_request(cost_ms)
 
     def record_in_block(self, block: int, arm: int, class_index: int, cost_ms: float) -> None:
-        """Record the cost of a request that was accepted in a time block of a switchback."""
+        """Add a request's cost (ms) to the switchback time block in which it was accepted."""
         costs = self.blocks.setdefault((block, class_index), BlockCosts(block, arm, class_index))
         costs.add(1, cost_ms)
 
     def snapshot(self) -> CountersRecord:
-        """Return the record as of now; it goes on changing."""
+        """Return the record with the current counts; it is the live object, and later calls change it."""
         for key, histogram in self.histograms.items():
             self.cells[key].histogram = histogram.encode().decode()
         record = self.record
@@ -77,7 +77,7 @@
         return record
 
     def encode_next_revision(self) -> bytes:
-        """Return the value of the record's next revision."""
+        """Increment the record's revision and return the encoded record, to be written to the ledger."""
         self.record.revision += 1
         return encode_counters(self.snapshot())
 
--- a/meadowpulley/placement/assignment.py
+++ b/meadowpulley/placement/assignment.py
@@ -1,7 +1,7 @@
 """Assign units to arms by a keyed hash of the unit and the experiment's version, and nothing else.
 
-So the assignment is equal at every gateway, after every restart and takeover, and independent of whatever
-the rollout policy draws (the build of a request, the servers it samples).
+The assignment is therefore the same at every gateway and after every restart and takeover, and independent of
+the rollout policy's random draws (a request's build, the servers that it samples).
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from meadowpulley.interface import Request
 from meadowpulley.placement.definition import Experiment
 
-GROUP_COUNT = 16  # random groups of units, for standard errors where requests of one unit share an arm
+GROUP_COUNT = 16  # random groups of units, for jackknife standard errors: requests of one unit share an arm
 NO_ARM = -1
 UNIT_HASH_PREFIX = b"unit"
 GROUP_HASH_PREFIX = b"group"
-HASH_RANGE = 2**64  # of xxh3_64
-HASH_SEED_DIGITS = 16  # hexadecimal digits of the digest, of 64 bits
+HASH_RANGE = 2**64  # number of values of xxh3_64
+HASH_SEED_DIGITS = 16  # leading hexadecimal digits of the digest that form the 64-bit seed
 
 
 class Assignment:
-    """The assignment of one experiment; its version is the hash's seed."""
+    """Assigns one experiment's units to arms; the hash's seed comes from the experiment's version."""
 
     def __init__(self, experiment: Experiment) -> None:
         self.experiment = experiment
@@ -31,14 +31,14 @@
         self._arm_bounds = [int(cumulative_part * HASH_RANGE) for cumulative_part in cumulative_parts]
 
     def arm(self, unit: bytes) -> int:
-        """Return the index of the unit's arm; `NO_ARM` if it takes no part."""
+        """Return the index of the unit's arm; `NO_ARM` if the unit is in none of the arms' parts."""
         unit_hash = xxhash.xxh3_64_intdigest(UNIT_HASH_PREFIX + unit, self.hash_seed)
         return next((arm for arm, bound in enumerate(self._arm_bounds) if unit_hash < bound), NO_ARM)
 
     def group(self, unit: bytes) -> int:
         """Return the unit's random group, independent of its arm.
 
-        Single requests and time blocks are independent units, which need no groups: it is 0 for all.
+        Single requests and time blocks are independent units and need no groups: their group is always 0.
         """
         if self.experiment.unit in ("request", "time"):
             return 0
@@ -49,8 +49,8 @@
     ) -> bytes:
         """Return the unit that a request belongs to.
 
-        `first_incarnation` and `first_number` name the incarnation that accepted the request first, and its
-        number there; `shared_time_ms` is when, on the clock that all gateways share.
+        `first_incarnation` is the incarnation that accepted the request first, and `first_number` the
+        request's number there; `shared_time_ms` is the time of acceptance on the clock that gateways share.
         """
         kind = self.experiment.unit
         if kind == "key" and request.key:
@@ -62,9 +62,12 @@
         return f"request {first_incarnation} {first_number}".encode()
 
     def evaluator_rank(self, gateway_name: str) -> int:
-        """Return a gateway's rank: the lowest evaluates for all, a different one in each experiment."""
+        """Return a gateway's rank in this experiment; the gateway of lowest rank evaluates for all.
+
+        Ranks differ between experiments, so that different gateways evaluate them.
+        """
         return xxhash.xxh3_64_intdigest(gateway_name.encode(), self.hash_seed)
 
     def block_index(self, shared_time_ms: float) -> int:
-        """Return the index of a switchback's time block."""
+        """Return the index of the switchback time block that contains a time (ms, shared clock)."""
         return int(shared_time_ms // self.experiment.block_ms)
--- a/meadowpulley/placement/calibration.py
+++ b/meadowpulley/placement/calibration.py
@@ -1,8 +1,9 @@
-"""Measure how good the estimates are where the answer is known, over many seeds of the supermarket model.
+"""Measure the errors of the estimates in the supermarket model, where the true difference is known.
 
-Bias, coverage, false alarms, power, and requests until the guard ends an arm, by load and size of the fleet.
-The answer is all traffic under one rule less all under the other, with the same seeds. All but the traffic is
-the product's own: the sums, the merge over gateways, the estimates, and the guard's criterion.
+It measures bias, coverage, false alarms, power, and the requests until the guard ends an arm, over many runs,
+for one load and fleet size per case. The true difference is the mean sojourn time with all traffic under the
+second rule less that with all traffic under the first, with the same seeds. Only the traffic is simulated:
+the sums, the estimates and the guard's criterion are those of the product.
 """
 
 from __future__ import annotations
@@ -31,14 +32,14 @@
 )
 from meadowpulley.placement.time_bins import LOOKAHEAD_BINS
 
-WARMUP_TIME = 60.0  # mean service times that are left out: runs begin with an empty fleet
+WARMUP_TIME = 60.0  # in mean service times; earlier arrivals are left out, as runs begin with an empty fleet
 CHECKPOINT_COUNT = 10
 TREATED_ARM = 1
 ONLY_CLASS = 0
-EVEN_SPLIT = 0.5  # of the requests between the two arms
-MIN_EDGES = 2  # of one bin
-ARM_ORDERS = 2  # of each pair of runs: as drawn, and swapped
-UNCERTAINTY_ERRORS = 2  # standard errors of the stated uncertainty of a bias
+EVEN_SPLIT = 0.5  # fraction of the requests that the second arm gets
+MIN_EDGES = 2  # bin edges without which there is no whole bin
+ARM_ORDERS = 2  # runs of a pair: one with the arms as drawn, one with them swapped
+UNCERTAINTY_ERRORS = 2  # a bias is reported with an uncertainty of this many standard errors
 
 EstimateName: TypeAlias = Literal["naive", "mixed"]
 
@@ -47,7 +48,7 @@
 class CalibrationCase:
     """A fleet and two rules to compare.
 
-    `carry_time` is in mean service times; `arrivals` are of one run, over all gateways.
+    `carry_time` is in mean service times; `arrivals` is the number of requests of one run at all gateways.
     """
 
     setting: ModelSetting
@@ -57,7 +58,7 @@
 
     @property
     def name(self) -> str:
-        """Return a description of the case, without its load."""
+        """A description of the case: rules, fleet and zone skew, but not the load."""
         setting = self.setting
         skew = "" if setting.zone_skew == EVEN_SKEW else f", {setting.zone_skew:.0%} in one zone"
         fleet = f"{setting.servers} servers, {setting.gateways} gateways"
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """What was known at one moment of one run."""
+    """The requests counted and the estimates at one time of one run."""
 
     requests: int
     naive: Estimate
@@ -78,7 +79,7 @@
 class CalibrationResult:
     """A case's true difference with its standard error, and the checkpoints of each run in order of time.
 
-    The second half of the runs are those of the first half with their arms swapped.
+    The second half of the runs repeats the first half with the arms swapped.
     """
 
     case: CalibrationCase
@@ -90,7 +91,7 @@
 def checkpoints_of(
     case: CalibrationCase, runs: SimulatedRuns, run: int, times: Floats, alpha: float
 ) -> list[Checkpoint]:
-    """Return what is known of one run at each of these times."""
+    """Return the estimates from one run's requests, at each of these times."""
     requests = _CountedRequests.of_run(runs, run)
     checkpoints = []
     for time in times:
@@ -118,14 +119,14 @@
 
     @classmethod
     def of_run(cls, runs: SimulatedRuns, run: int) -> _CountedRequests:
-        """Select the requests of a run that count."""
+        """Select the requests of a run that arrived after the warm-up."""
         arrival = runs.arrival_time[run]
         counted = np.isfinite(arrival) & (arrival >= WARMUP_TIME)
         return cls(arrival[counted], runs.sojourn_time[run][counted], runs.arm[run][counted])
 
     @property
     def end(self) -> Floats:
-        """When each request ended; infinite for one that did not."""
+        """The time at which each request ended; infinite for one that did not."""
         return self.arrival + self.sojourn
 
     def merged_counters(self, now: float) -> MergedCounters:
@@ -139,7 +140,7 @@
         return merged
 
     def bin_edges(self, carry_time: float, now: float) -> Floats:
-        """Return the edges of the bins whose requests have all ended by `now`."""
+        """Return the edges of the bins before the first arrival that has not ended by `now`."""
         width = carry_time / LOOKAHEAD_BINS
         unfinished = self.arrival[self.end > now]
         complete_until = min(now, float(unfinished[0])) if len(unfinished) else now
@@ -147,7 +148,7 @@
         return np.asarray(WARMUP_TIME + width * np.arange(bins + 1), dtype=np.float64)
 
     def sum_by_bin(self, values: Floats, edges: Floats) -> Floats:
-        """Return the sum of the requests' values in each bin, by when they arrived."""
+        """Return the sum of the requests' values in each bin; a request is in the bin of its arrival."""
         bins = len(edges) - 1
         bin_of = np.searchsorted(edges, self.arrival, side="right") - 1
         in_bins = bin_of < bins
@@ -168,12 +169,12 @@
         )
 
     def count_by_bin(self, arm: int, edges: Floats) -> Floats:
-        """Return the requests of an arm in each bin."""
+        """Return the number of an arm's requests in each bin."""
         return self.sum_by_bin((self.arm == arm).astype(np.float64), edges)
 
 
 def _mixed_estimate(requests: _CountedRequests, carry_time: float, now: float, alpha: float) -> Estimate:
-    """Estimate from bins as the stages record them: those whose requests have all ended by `now`."""
+    """Estimate mixed Differences-in-Q from the bins whose requests have all ended by `now`, as stages do."""
     edges = requests.bin_edges(carry_time, now)
     if len(edges) < MIN_EDGES:
         return estimate_from_sums({}, alpha)
@@ -184,7 +185,7 @@
 
 
 def _passed_count_integral(times: Floats, edges: Floats) -> Floats:
-    """Return the integral, up to each edge, of how many of the sorted times have passed."""
+    """Return the integral over time, up to each edge, of the number of sorted times that have passed."""
     passed = np.searchsorted(times, edges)
     total = np.concatenate(([0.0], np.cumsum(np.where(np.isfinite(times), times, 0.0))))
     return np.asarray(passed * edges - total[passed])
@@ -200,9 +201,9 @@
 def calibrate(
     case: CalibrationCase, pairs: int, seed: int, carry_times: Sequence[float], alpha: float = 0.05
 ) -> list[CalibrationResult]:
-    """Run an experiment at halves, in pairs of runs with swapped arms, and evaluate each carry time.
+    """Run pairs of runs with swapped arms, split in half between the rules; evaluate each carry time.
 
-    The truth is from as many runs of each rule.
+    The true difference is measured over `pairs` runs with all traffic under each rule.
     """
     truth, truth_error = _true_difference(case, pairs, seed)
     results = [
@@ -229,7 +230,7 @@
 
 
 def _true_difference(case: CalibrationCase, runs: int, seed: int) -> tuple[float, float]:
-    """Return the mean difference between all traffic under each rule, and its standard error."""
+    """Return the mean difference of all traffic under the second rule and the first, and its error."""
     differences = np.zeros(runs)
     if case.rules[0] != case.rules[1]:
         all_first = SimulationPlan(case.setting, case.rules, 0.0, runs, case.arrivals, seed)
@@ -240,11 +241,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EstimatorQuality:
-    """How one estimate did at the end of all runs.
+    """The errors of one estimate, at the end of all runs.
 
     `bias_uncertainty` is two standard errors of the bias. `coverage` is the fraction of runs whose interval
-    has the truth, `sequence_coverage` of those whose confidence sequence has it at every checkpoint, and
-    `power` of those whose interval lies on the right side of zero.
+    contains the true difference, `sequence_coverage` the fraction whose confidence sequence contains it at
+    every checkpoint, and `power` the fraction whose interval excludes zero with the true sign.
     """
 
     mean: float
@@ -259,7 +260,7 @@
 
 
 def estimator_quality(result: CalibrationResult, name: EstimateName) -> EstimatorQuality:
-    """Return the quality of one of the estimates."""
+    """Return bias, coverage and power of one of the two estimates over all runs."""
     by_run = [_estimates(checkpoints, name) for checkpoints in result.checkpoints]
     last = [estimates[-1] for estimates in by_run]
     values = np.array([estimate.value for estimate in last])
@@ -295,9 +296,9 @@
 
 
 def requests_until_alarm(result: CalibrationResult, guard: Guard) -> list[int | None]:
-    """Return after how many requests the guard ended each run's arm, None where it did not.
+    """Return the number of requests after which the guard ended each run's arm; None if it did not.
 
-    The criterion is that of `guard.harm_reason`.
+    The criterion is that of `guard.harm_reason`, applied at each checkpoint.
     """
     return [_first_alarm(checkpoints, guard) for checkpoints in result.checkpoints]
 
--- a/meadowpulley/placement/confidence.py
+++ b/meadowpulley/placement/confidence.py
@@ -1,4 +1,4 @@
-"""Estimates with their intervals: for one analysis, and for any number of analyses.
+"""Estimates with a confidence interval for one analysis, and one valid at any number of analyses.
 
 Sources. Confidence sequences: the asymptotic ones of Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas,
 "Time-uniform central limit theory and asymptotic confidence sequences" (Annals of Statistics 2024), Theorem
@@ -24,8 +24,9 @@
 class Estimate:
     """A difference with its standard error.
 
-    `sample_size` counts what it uses (requests or time blocks). `low` and `high` are the interval for one
-    analysis planned beforehand, `sequence_low` and `sequence_high` the one that holds at every analysis.
+    `sample_size` is the number of requests or time blocks that it is based on. `low` and `high` are the
+    interval for one analysis planned beforehand, `sequence_low` and `sequence_high` the one that holds at
+    every analysis.
     """
 
     value: float
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PointEstimate:
-    """A difference without intervals; `degrees_of_freedom` are those of its standard error, if few."""
+    """A difference without intervals; `degrees_of_freedom` of its standard error, infinite if many."""
 
     value: float
     standard_error: float
@@ -60,7 +61,9 @@
         quantile = normal_quantile
         if math.isfinite(self.degrees_of_freedom):
             quantile = float(stats.t.ppf(1 - alpha / 2, self.degrees_of_freedom))
-        widening = quantile / normal_quantile  # few degrees of freedom widen the sequence as well
+        widening = (
+            quantile / normal_quantile
+        )  # few degrees of freedom widen the confidence sequence as much as the interval
         sequence = widening * sequence_half_width(self.standard_error, self.sample_size, alpha, narrowest_at)
         half_width = quantile * self.standard_error
         return Estimate(
@@ -89,6 +92,6 @@
 
 
 def jackknife_error(value_without: Callable[[int | None], float], groups: Sequence[int]) -> float:
-    """Return the delete-a-group jackknife error; `value_without(k)` is the figure without group k."""
+    """Return the delete-a-group jackknife error; `value_without(k)` is the estimate without group k."""
     without = np.array([value_without(group) for group in groups])
     return float(np.sqrt((len(groups) - 1) / len(groups) * np.sum((without - without.mean()) ** 2)))
--- a/meadowpulley/placement/config.py
+++ b/meadowpulley/placement/config.py
@@ -1,6 +1,7 @@
 """Read the file of the experiment that `MEADOWPULLEY_PLACEMENT` names at a gateway's start.
 
-`deploy/placement.env` documents the variable. Unless it is set, nothing of this package is imported or read.
+`deploy/placement.env` documents the variable. Unless it is set, this package is not imported, and no file
+read.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 def read_experiment(
     environ: Mapping[str, str], settings: Settings, read_file: Callable[[Path], bytes] = Path.read_bytes
 ) -> Experiment | None:
-    """Return the experiment; None where no file is named.
+    """Return the experiment; None if the environment names no file.
 
-    Raises `FleetError` (or `ExperimentError`, which is one) for a file that can't be read or is invalid.
+    Raises `FleetError` (or its subclass `ExperimentError`) for a file that can't be read or is invalid.
     """
     path = environ.get(ENV_VARIABLE, "")
     if not path:
--- a/meadowpulley/placement/counter_records.py
+++ b/meadowpulley/placement/counter_records.py
@@ -1,8 +1,9 @@
-"""Stored counters of one incarnation: the structures of its record, and their encoding (MessagePack).
+"""The stored counters of one incarnation: the structures of its record, encoded as MessagePack.
 
-The encoded names, their order, and the words of `RequestEnding` are a stored format, kept where Python's
-names differ. A record names the requests that are still open, so that whoever adopts one can count its end:
-it names the incarnation that accepted it first and its number there (`AdoptedCompletion`).
+The encoded names, their order, and the values of `RequestEnding` are a stored format, which stays even where
+the Python names differ. A record lists the requests that are still open. An incarnation that adopts one
+counts its end in an `AdoptedCompletion`, with the incarnation that accepted the request first and its number
+there.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class OutcomeCounts(Struct):
-    """Ended requests of one arm and class. `histogram`: of those served, encoded (HdrHistogram, us)."""
+    """Ended requests of one arm and class; `histogram` is an HdrHistogram (us) of the served ones."""
 
     arm: int
     class_index: int = field(name="cls")
@@ -37,11 +38,11 @@
 
     @property
     def ended(self) -> int:
-        """All ended requests."""
+        """The number of ended requests, however they ended."""
         return self.served + self.rejected + self.failed + self.disconnected
 
     def add(self, ending: RequestEnding, count: int = 1) -> None:
-        """Count requests that ended so."""
+        """Count requests that ended in this way."""
         match ending:
             case RequestEnding.SERVED:
                 self.served += count
@@ -53,7 +54,7 @@
                 self.disconnected += count
 
     def count_of(self, ending: RequestEnding) -> int:
-        """Return how many requests ended so."""
+        """Return how many requests ended in this way."""
         match ending:
             case RequestEnding.SERVED:
                 return self.served
@@ -66,7 +67,7 @@
 
 
 class CostMoments(Struct, array_like=True):
-    """Moments of the cost in one group, arm and class; ms, ms squared.
+    """Sum and sum of squares of the costs in one group, arm and class, in ms and ms squared.
 
     A request costs its completion time, or its class's deadline if it was not served.
     """
@@ -79,7 +80,7 @@
     sum_of_squares: float = 0.0
 
     def add(self, count: int, total_ms: float, sum_of_squares: float) -> None:
-        """Add the moments of further requests."""
+        """Add the count, sum and sum of squares of more requests."""
         self.count += count
         self.total_ms += total_ms
         self.sum_of_squares += sum_of_squares
@@ -90,7 +91,7 @@
 
 
 class BlockCosts(Struct, array_like=True):
-    """Cost of one class in one time block of a switchback, without the block's settling time."""
+    """Costs (ms) of one class in a switchback time block, without requests of its settling time."""
 
     block: int
     arm: int
@@ -99,13 +100,13 @@
     total_ms: float = 0.0
 
     def add(self, count: int, total_ms: float) -> None:
-        """Add the costs of further requests."""
+        """Add the count and the total cost (ms) of more requests."""
         self.count += count
         self.total_ms += total_ms
 
 
 class OpenRequest(Struct, array_like=True, frozen=True):
-    """An accepted request that has not ended; `number` is the incarnation's own."""
+    """An accepted request that has not ended; `number` is its number at this incarnation."""
 
     number: int
     arm: int
@@ -128,9 +129,10 @@
 class CountersRecord(Struct):
     """All that one incarnation counted since its start; each revision replaces the one before.
 
-    `highest_number` is that of the last request that it accepted as its own and that others may adopt, -1 if
-    there is none; numbers rise. Requests that nobody can adopt have numbers below 0. `unassigned` requests of
-    the experiment's classes are in no arm; `withheld` ones neither, as the experiment was paused or over.
+    `highest_number` is the number of the last request that it accepted first and that others may adopt, -1 if
+    there is none; numbers rise. Requests that nobody can adopt have numbers below 0. `unassigned` counts
+    requests of the experiment's classes whose unit is in no arm or in one that has ended, and `withheld`
+    those that were in no arm because assignment was paused or the experiment was over.
     """
 
     incarnation: str = field(name="life")
--- a/meadowpulley/placement/definition.py
+++ b/meadowpulley/placement/definition.py
@@ -1,8 +1,8 @@
 """The definition of a placement experiment: a validated file, whose hash is the experiment's version.
 
-Every gateway reads the same definition. The hash covers all that it says, so that two gateways with the same
-version assign alike and may add up their counters. One record in the ledger says which version runs. The
-names of the fields are those of the file.
+Every gateway reads the same definition. The hash covers all of its fields, so that two gateways with the same
+version assign requests in the same way and their counters may be added up. One record in the ledger holds the
+version that runs. The field names are the keys of the file.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 
 Unit = Literal["request", "key", "tenant", "time"]
 Probability = Annotated[float, Meta(gt=0, lt=0.5)]
-PART_TOLERANCE = 1e-9  # by which the sum of the arms' parts may exceed 1
+PART_TOLERANCE = 1e-9  # the sum of the arms' parts may exceed 1 by this, for rounding errors
 
 
 class Arm(Struct, frozen=True, forbid_unknown_fields=True):
-    """A placement policy, and its part of the units.
+    """An arm: a placement policy and the fraction of the units that are assigned to it.
 
     The parts of all arms add up to 1 at most. The first arm is the baseline of all comparisons.
     """
@@ -39,9 +39,9 @@
 
 
 class Guard(Struct, frozen=True, forbid_unknown_fields=True):
-    """When an arm is ended: if its mean cost is above the baseline's by more than the part `worse` of it.
+    """The guard ends an arm whose mean cost exceeds the baseline's by more than the fraction `worse`.
 
-    `alpha` is the probability that an arm is ended by mistake, however often the guard evaluates.
+    `alpha` bounds the probability that an arm is ended by mistake, however often the guard evaluates.
     """
 
     worse: Positive = 0.1
@@ -49,7 +49,7 @@
 
 
 class EndCondition(Struct, frozen=True, forbid_unknown_fields=True):
-    """When the experiment ends: at a time, after a number of requests of all gateways, or at the earlier."""
+    """The end: a time, a number of requests of all gateways, or whichever of the two comes first."""
 
     at: datetime | None = None
     requests: PositiveInt | None = None
@@ -58,9 +58,10 @@
 class Experiment(Struct, frozen=True, forbid_unknown_fields=True):
     """A placement experiment as its file defines it.
 
-    `classes` names the request classes that take part, all if empty. `carry_ms` is for how long a request is
-    assumed to burden those after it (the paper's L, as a time: some 30 typical latencies). `block_ms` and
-    `settle_ms` are of a switchback: the length of a time block, and of its beginning that is not compared.
+    `classes` names the request classes that take part, all if empty. `carry_ms` is the time for which a
+    request is assumed to add to the cost of later ones (the paper's L, as a time: about 30 typical
+    latencies). In a switchback, `block_ms` is the length of a time block, and `settle_ms` that of its
+    beginning, whose requests are not compared.
     """
 
     version: int
@@ -75,12 +76,12 @@
     guard: Guard = Guard()
 
     def relative_probability(self, arm: int) -> float:
-        """Return an arm's probability among itself and the baseline."""
+        """Return the probability of an arm for a unit that is in that arm or the baseline."""
         return self.arms[arm].part / (self.arms[arm].part + self.arms[0].part)
 
     @property
     def digest(self) -> str:
-        """Return the hash of the complete definition: its version among gateways."""
+        """The hash of the complete definition, by which gateways identify its version."""
         return xxhash.xxh3_128_hexdigest(msgspec.json.encode(self, order="deterministic"))
 
     def record_key(self, name: str) -> str:
@@ -89,14 +90,15 @@
 
     @property
     def definition_key(self) -> str:
-        """The ledger's key of the definition that runs under this experiment's name."""
+        """The ledger's key of the running definition of this experiment's name."""
         return f"placement/{self.name}/running"
 
 
 def parse_experiment(raw: bytes, path: str, classes: Sequence[str] | None = None) -> Experiment:
     """Parse an experiment's file, and check it against the settings' classes, if given.
 
-    Raises `FleetError` for a file of another form, and `ExperimentError`, which is one, for contradictions.
+    Raises `FleetError` for a file that can't be parsed, and its subclass `ExperimentError` for
+    contradictions.
     """
     experiment = read_toml(raw, path, Experiment)
     validate_experiment(experiment, path, classes)
@@ -146,7 +148,7 @@
 
 
 def check_matches_running(own: Experiment, stored: bytes, path: str) -> None:
-    """Check that the definition which runs under this name is the own one. Raises `ExperimentError`."""
+    """Raise `ExperimentError` unless the definition that runs under this name is this gateway's own."""
     running = decode_definition(stored)
     if running is None:
         raise ExperimentError(
@@ -175,11 +177,11 @@
 
 
 def arm_labels(experiment: Experiment) -> tuple[int, ...]:
-    """Return `Request.arm` of each arm.
+    """Return the label of each arm, which `Request.arm` carries.
 
-    Arms with a policy come first: their labels are the indices of `build_placements`. Those of the default
-    policy get numbers that no placement has: the rollout policy chooses, and each arm still has its own
-    label.
+    Arms with a placement policy come first: their labels are indices of the result of `build_placements`.
+    Arms of the default policy get labels without a placement: the rollout policy itself chooses the server,
+    and each arm still has its own label.
     """
     arms = range(len(experiment.arms))
     placed = [arm for arm in arms if experiment.arms[arm].policy != DEFAULT_POLICY]
@@ -189,9 +191,9 @@
 
 
 def build_placements(experiment: Experiment, seed: int) -> tuple[Placement, ...]:
-    """Return the placements that the rollout policy takes.
+    """Return the placements to pass to the rollout policy.
 
-    The n-th orders the servers of requests labelled n; no request is labelled 0.
+    The one at index n orders the servers of requests labelled n; 0 is the label of requests in no arm.
     """
     built = [
         POLICIES[arm.policy](seed + index)
@@ -200,5 +202,5 @@
     ]
     if not built:
         return ()
-    unused = built[0]  # at the index of unlabelled requests
+    unused = built[0]  # index 0 is that of unlabelled requests, which no placement orders
     return (unused, *built)
--- a/meadowpulley/placement/differences_in_q.py
+++ b/meadowpulley/placement/differences_in_q.py
@@ -1,11 +1,12 @@
-"""Sums for the mixed Differences-in-Q estimate (the paper's (12) to (21), C.3), from the fleet's bins.
-
-An arm's mean Q is compared with the baseline's by the probabilities of the assignment, which are known
-(Horvitz and Thompson 1952), after subtracting an expectation: a plane in the requests outstanding at the
-bin's start and the requests that arrive in its reach, fitted to earlier bins only. Neither depends on arms
-drawn in the bin or later, so that the comparison is unbiased whatever the plane is. Means of short blocks
-in place of the probabilities would be wrong: requests near one of an arm are then a little less often of
-that arm, and their burdens hide a good part of the effect (docs/design/placement.md).
+"""Sum the fleet's bins for the mixed Differences-in-Q estimate (the paper's (12) to (21), C.3).
+
+Q of a bin is the sum of the costs of that bin and the next `LOOKAHEAD_BINS`, its reach. An arm's mean Q is
+compared with the baseline's by weighting with the known probabilities of assignment (Horvitz and Thompson
+1952), after subtracting an expectation of Q: a plane in the requests outstanding at the bin's start and the
+requests that arrive in its reach, fitted to earlier bins only. Neither depends on arms drawn in the bin or
+later, so that the comparison is unbiased whatever the plane is. Using the arms' fractions in short blocks
+instead of the probabilities would be wrong: within a block, the requests near one of an arm are slightly less
+often of that arm, and the costs that they add hide a good part of the effect (docs/design/placement.md).
 """
 
 from __future__ import annotations
@@ -19,21 +20,21 @@
 from meadowpulley.placement.metrics import BASELINE_ARM
 from meadowpulley.placement.time_bins import LOOKAHEAD_BINS, TimeBin
 
-WARMUP_BINS = 20  # before which no expectation of Q is fitted
+WARMUP_BINS = 20  # a plane is fitted only to more than this many bins
 RIDGE = 1e-6  # added to the normalized moments' diagonal, so that the plane is always defined
-MIN_SCALE = 1e-9
+MIN_SCALE = 1e-9  # added to a regressor's scale, to avoid a division by 0
 PLANE_COEFFICIENTS = 3  # a constant, the outstanding requests at the bin's start, the arrivals in its reach
-ARRIVALS = 2  # column of the arrivals among the regressors
+ARRIVALS = 2  # index of the regressors' column with the arrivals in the bin's reach
 
 Floats = npt.NDArray[np.float64]
 
 
 @dataclass(frozen=True, slots=True)
 class GroupSums:
-    """Sums over one group of units: Q less its expectation, over the probability of its arm.
+    """Sums over one group's requests of Q less its expectation, divided by the arm's probability.
 
     The baseline's terms are negative. Q is measured by completion times (`cost`) and by outstanding
-    requests (`outstanding`); squares and products are of the same; the counts are the arm's and the
+    requests (`outstanding`); squares and products are of the same terms; the counts are the arm's and the
     baseline's requests.
     """
 
@@ -48,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QResiduals:
-    """Q less its expectation, by bin; nan at both ends, where it is not known."""
+    """Q less its expectation, by bin; nan in the first and last bins, where one is unknown."""
 
     by_cost: Floats
     by_outstanding: Floats
 
 
 def fill_gaps(bins: Sequence[TimeBin]) -> list[TimeBin | None]:
-    """Return a bin, or None, for each number from the first to the last."""
+    """Return the bins from the first number to the last, with None for each that is missing."""
     if not bins:
         return []
     by_number = {time_bin.number: time_bin for time_bin in bins}
@@ -63,7 +64,7 @@
 
 
 def _sum_ahead(values: Floats) -> Floats:
-    """Return the sums of each bin and the next `LOOKAHEAD_BINS`; nan where these are not all there."""
+    """Return the sum over each bin and the next `LOOKAHEAD_BINS`; nan where some of these are missing."""
     total = np.concatenate(([0.0], np.cumsum(values)))
     sums = np.full(len(values), np.nan)
     complete = len(values) - LOOKAHEAD_BINS
@@ -75,7 +76,7 @@
 def q_residuals(
     accepted: Floats, cost_ms: Floats, outstanding_ms: Floats, outstanding_at_start: Floats
 ) -> QResiduals:
-    """Return each bin's Q less its expectation, from the fleet's sums by bin; nan where it is not known."""
+    """Return each bin's Q less its expectation, from the fleet's sums by bin; nan if unknown."""
     q_values = np.stack((_sum_ahead(cost_ms), _sum_ahead(outstanding_ms)), axis=1)
     regressors = np.stack((np.ones(len(accepted)), outstanding_at_start, _sum_ahead(accepted)), axis=1)
     residuals = np.full_like(q_values, np.nan)
@@ -87,7 +88,7 @@
 
 
 def _planes_from_past(regressors: Floats, q_values: Floats, first: int) -> Floats:
-    """Return a plane for each bin from `first` on, fitted to the bins whose reach ended before it began."""
+    """Return a plane for each bin from `first` on, fitted to bins whose reach ended before it."""
     known = ~np.isnan(regressors[:, ARRIVALS])
     known_regressors = np.where(known[:, None], regressors, 0.0)
     known_q = np.where(known[:, None], q_values, 0.0)
@@ -109,9 +110,9 @@
 def group_sums(
     residuals: QResiduals, arm_counts: Floats, baseline_counts: Floats, arm_probability: float
 ) -> GroupSums:
-    """Return the sums over a group, whose requests of both arms are given by bin.
+    """Return one group's sums, from the number of its requests of both arms in each bin.
 
-    `arm_probability` is the arm's probability among itself and the baseline.
+    `arm_probability` is the probability of the arm for a request that is in it or the baseline.
     """
     known = ~np.isnan(residuals.by_cost)
     in_arm = arm_counts[known]
@@ -165,7 +166,7 @@
 def _compared_counts(
     time_bins: Sequence[TimeBin | None], group: int, counted_arm: int, compared_arm: int
 ) -> Floats:
-    """Return an arm's requests by bin; none where the arm that is compared has ended."""
+    """Return the number of an arm's requests by bin; 0 in bins in which the compared arm has ended."""
 
     def count(time_bin: TimeBin) -> int:
         """Return the arm's requests in a bin; 0 once the compared arm has ended."""
--- a/meadowpulley/placement/emulated.py
+++ b/meadowpulley/placement/emulated.py
@@ -1,7 +1,7 @@
 """Run experiments on the emulated fleet, with real rollout policies and a ledger in memory.
 
-`table_rows` returns them as rows of an experiment's table (`meadowpulley experiment compare` reads it): all
-traffic under one arm, all under the other, and the experiment between them, with the same load and seed.
+`table_rows` returns three runs with the same load and seed as rows of a table, which `meadowpulley experiment
+compare` reads: all traffic under the first arm, all under the second, and the experiment between the two.
 """
 
 from __future__ import annotations
@@ -20,15 +20,17 @@
 from meadowpulley.placement.summary import Summary, read_summary
 from meadowpulley.policy import RolloutPolicy
 
-ALMOST_ALL_TRAFFIC = 1 - 1e-9
+ALMOST_ALL_TRAFFIC = (
+    1 - 1e-9
+)  # part of the only arm with traffic: a definition needs two arms with parts above 0
 NO_TRAFFIC_ARM = "nobody"
 LEASE_TERM_MS = 1000.0
 
 
 class StageHost:
-    """One incarnation of a gateway: the stage before a rollout policy, its commits carried out at once.
+    """One incarnation of an emulated gateway: a stage whose commits the store executes immediately.
 
-    It observes the ledger's changes when its own timer fires.
+    The stage is told of the ledger's changes at the first event and whenever its own timer fires.
     """
 
     def __init__(self, store: MemoryStore, incarnation: Incarnation, stage: PlacementStage) -> None:
@@ -38,7 +40,7 @@
         self.seen_version = -1
 
     def handle(self, now: float, event: StageEvent) -> list[Action]:
-        """Return the actions that follow from an event, without those for the ledger."""
+        """Pass an event to the stage; execute its commits and return its other actions."""
         actions: list[Action] = []
         is_own_timer = isinstance(event, Timer) and event.token == TIMER_TOKEN
         if self.seen_version < 0 or is_own_timer:
@@ -61,15 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EmulatedRun:
-    """What one run came to."""
+    """The results of one run."""
 
     summary: Summary
-    rule_violations: dict[str, int]  # by rule
-    guard_times_ms: tuple[float, ...]  # when the guard ended an arm
+    rule_violations: dict[str, int]  # number of violations, by rule
+    guard_times_ms: tuple[float, ...]  # times at which the guard reported a harmful arm
 
 
 class _EmulatedGateways:
-    """Builds the gateways of one run, and knows which incarnation of each runs."""
+    """Builds the gateways of one run, and keeps the latest incarnation of each."""
 
     def __init__(self, experiment: Experiment) -> None:
         self.experiment = experiment
@@ -77,7 +79,7 @@
         self.incarnations: dict[int, Incarnation] = {}  # the latest, by gateway
 
     def build(self, settings: Settings, seed: int) -> StageHost:
-        """Return a new incarnation of a gateway; an earlier one is dead."""
+        """Return a new incarnation of a gateway, and mark its previous incarnation as dead."""
         index = settings.gateway_index
         if index in self.incarnations:
             self.store.dead_incarnations.add(self.incarnations[index])
@@ -88,7 +90,7 @@
         return StageHost(self.store, incarnation, stage)
 
     def live_members(self) -> list[Member]:
-        """Return the members that have not died."""
+        """Return the members whose incarnation is the gateway's latest and is not marked as dead."""
         latest = set(self.incarnations.values())
         return [
             member
@@ -104,7 +106,7 @@
     gateways = _EmulatedGateways(experiment)
     emulation = Emulation(fleet, load.arrivals(fleet, seed), seed, scenario, build_policy=gateways.build)
     result = emulation.run()
-    for gateway in emulation.gateways:  # what was counted since the last write
+    for gateway in emulation.gateways:  # writes what was counted since the last write
         if gateway.alive:
             gateway.pipeline.handle(result.elapsed_ms, Timer(TIMER_TOKEN))
     classes = gateway_settings(fleet, 0).classes
@@ -115,7 +117,7 @@
 
 
 def single_arm(experiment: Experiment, arm: int) -> Experiment:
-    """Return the experiment with (almost) all traffic under one arm."""
+    """Return the experiment with almost all traffic (1 - 1e-9) in one arm."""
     chosen = experiment.arms[arm]
     arms = (
         Arm(chosen.name, chosen.policy, ALMOST_ALL_TRAFFIC),
@@ -125,7 +127,7 @@
 
 
 def table_rows(fleet: Fleet, experiment: Experiment, load: LoadSpec, seed: int) -> list[RunResult]:
-    """Return the truth and the experiment of one seed, as rows of a table."""
+    """Run each arm alone, then the experiment, with one seed; return the results as table rows."""
     rows = []
     for variant in (single_arm(experiment, 0), single_arm(experiment, 1), experiment):
         run = run_experiment(fleet, variant, load, seed)
@@ -137,7 +139,7 @@
 
 
 def _single_arm_figures(figures: dict[str, float], arm: str) -> dict[str, float]:
-    """Drop the figures of the arm without traffic, and the other arm's name."""
+    """Drop the figures of the arm without traffic, and the prefix with the other arm's name."""
     return {
         name.removeprefix(f"{arm}."): value
         for name, value in figures.items()
--- a/meadowpulley/placement/errors.py
+++ b/meadowpulley/placement/errors.py
@@ -11,8 +11,8 @@
 
 
 class ExperimentError(PlacementError, FleetError):
-    """Report an experiment that can't be run in one line: what is wrong, where, and what to do."""
+    """An experiment can't be run; the message says in one line what is wrong, where, and what to do."""
 
 
 class ModelOverloadError(PlacementError, ValueError):
-    """Report a load that the supermarket model can't carry."""
+    """A queue of the supermarket model has reached its bound: the load is too high to simulate."""
--- a/meadowpulley/placement/estimate.py
+++ b/meadowpulley/placement/estimate.py
@@ -1,11 +1,13 @@
-"""Estimate differences between arms from merged counters: naive, mixed Differences-in-Q, and switchback.
+"""Estimate differences between arms: naive, mixed Differences-in-Q, and switchback.
 
-Differences are an arm less the baseline, in ms, each with an interval for one analysis and a confidence
-sequence that holds at every analysis (`confidence`). Since sequences cover as stated only if the first
-analysis is late enough, there is no estimate before `MIN_REQUESTS` requests in each arm.
+The estimates are computed from merged counters.
 
-Source of mixed Differences-in-Q: the paper's (12) to (21), with the sums of `differences_in_q.py`; its
-standard error is that of C.3, (45), about what was expected.
+A difference is an arm's value less the baseline's, in ms. Each has an interval for one analysis and a
+confidence sequence that holds at every analysis (`confidence`). As sequences have the stated coverage only if
+the first analysis is late enough, there is no estimate before `MIN_REQUESTS` requests in each arm.
+
+Mixed Differences-in-Q follows the paper's (12) to (21), with the sums of `differences_in_q.py`. Its standard
+error is that of C.3, (45), with the deviations taken from the expectation of Q.
 """
 
 from __future__ import annotations
@@ -23,17 +25,19 @@
 from meadowpulley.placement.merged_counters import MergedCounters
 from meadowpulley.placement.metrics import ALL_CLASSES_METRIC, BASELINE_ARM, class_metric, metrics_of
 
-MIN_REQUESTS = 200  # of each arm
-MIN_BLOCKS = 8  # time blocks of each arm, and random groups with both arms
-MIN_SAMPLE_SIZE = 2  # for a variance
+MIN_REQUESTS = 200  # requests of each arm without which there is no estimate
+MIN_BLOCKS = 8  # time blocks of each arm, or random groups with both arms, that an estimate needs
+MIN_SAMPLE_SIZE = 2  # requests that a variance needs
 NARROWEST_AT_BLOCKS = 100.0  # time blocks at which the confidence sequence of a switchback is narrowest
-MIN_VARIANCE_RATIO = 1e-9  # of two measures of Q, below which they count as the same
-ONLY_GROUP = 0  # where units need no random groups: see `Assignment.group`
+MIN_VARIANCE_RATIO = (
+    1e-9  # variance of the difference of both measures of Q, over that of the first: below it they are equal
+)
+ONLY_GROUP = 0  # the group of all units that need no random groups: see `Assignment.group`
 
 
 @dataclass(frozen=True, slots=True)
 class _Sample:
-    """Size, mean, and variance of a single request's cost."""
+    """The number of requests, and the mean and variance of their costs (ms, ms squared)."""
 
     size: int
     mean: float
@@ -60,9 +64,10 @@
 
 
 def mean_cost_ms(merged: MergedCounters, arm: int, metric: int, without_group: int | None = None) -> float:
-    """Return the mean cost of an arm: completion times, and deadlines for what was not served.
+    """Return the mean cost (ms) of an arm's requests, leaving out one random group of units if given.
 
-    `metric` is one of `metrics`. One random group of units may be left out.
+    A request costs its completion time, or its deadline if it was not served. `metric` selects all classes or
+    one (see `metrics`).
     """
     return _sample(_moments_of_arm(merged, arm, metric, without_group)).mean
 
@@ -71,7 +76,10 @@
 
 
 def estimate_naive(merged: MergedCounters, arm: int, metric: int, alpha: float) -> Estimate:
-    """Estimate the difference of mean costs as if arms did not interfere: (9), with the error of (46)."""
+    """Estimate the difference of mean costs as if arms did not affect each other.
+
+    The paper's (9), with the standard error of (46).
+    """
     baseline_moments = _moments_of_arm(merged, BASELINE_ARM, metric)
     arm_moments = _moments_of_arm(merged, arm, metric)
     baseline = _sample(baseline_moments)
@@ -91,7 +99,7 @@
 
 
 def _naive_difference(merged: MergedCounters, arm: int, metric: int, without_group: int | None) -> float:
-    """Return the difference of the means in ms, leaving one group out."""
+    """Return the difference of the mean costs in ms, leaving out one group of units."""
     treated_mean = mean_cost_ms(merged, arm, metric, without_group)
     return treated_mean - mean_cost_ms(merged, BASELINE_ARM, metric, without_group)
 
@@ -101,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _TotalSums:
-    """The sums of all groups: see `GroupSums`."""
+    """The sums over all groups of units; `GroupSums` describes the fields."""
 
     cost_squares: float
     outstanding_squares: float
@@ -111,7 +119,7 @@
 
     @classmethod
     def of(cls, groups: Mapping[int, GroupSums]) -> _TotalSums:
-        """Add up the sums of groups."""
+        """Add up the sums of the groups."""
         return cls(
             cost_squares=math.fsum(sums.cost_squares for sums in groups.values()),
             outstanding_squares=math.fsum(sums.outstanding_squares for sums in groups.values()),
@@ -122,13 +130,14 @@
 
     @property
     def requests(self) -> int:
-        """Requests of both arms."""
+        """The number of requests of both arms."""
         return self.arm_requests + self.baseline_requests
 
     def cost_weight(self) -> float:
-        """Return the weight of Q by completion times in the mix, the rest being Q by outstanding requests.
+        """Return the weight of Q by completion times in the mix; Q by outstanding requests has the rest.
 
-        (19), but within 0 and 1: the two measures are so close that a weight outside follows chance alone.
+        The paper's (19), limited to 0 to 1: the two measures are so close that a weight outside that range
+        is due to chance alone.
         """
         spread = self.cost_squares + self.outstanding_squares - 2 * self.products
         if spread > MIN_VARIANCE_RATIO * self.cost_squares:
@@ -136,7 +145,7 @@
         return 1.0
 
     def mixed_squares(self, cost_weight: float) -> float:
-        """Return the sum of squares of the mix."""
+        """Return the sum of squares of the two measures mixed with this weight."""
         return (
             cost_weight**2 * self.cost_squares
             + (1 - cost_weight) ** 2 * self.outstanding_squares
@@ -147,9 +156,11 @@
 def estimate_mixed(
     merged: MergedCounters, arm: int, metric: int, alpha: float, arm_probability: float
 ) -> Estimate:
-    """Estimate what all traffic under the arm would cost more than all under the baseline.
+    """Estimate how much more (ms) a request would cost if all traffic were under the arm.
 
-    Mixed Differences-in-Q, to first order in the arms' difference. `arm_probability` is the arm's among both.
+    The comparison is with all traffic under the baseline. The estimate is mixed Differences-in-Q, which is
+    accurate to first order in the arms' difference. `arm_probability` is the probability of the arm for a
+    request that is in it or the baseline.
     """
     sums = sums_by_group(merged.bins, metric, arm, arm_probability)
     return estimate_from_sums(sums, alpha, _class_fraction(merged, metric))
@@ -158,7 +169,7 @@
 def estimate_from_sums(groups: dict[int, GroupSums], alpha: float, class_fraction: float = 1.0) -> Estimate:
     """Estimate mixed Differences-in-Q from the sums of each group of units.
 
-    `class_fraction` is the fraction of all requests that the figure is about.
+    `class_fraction` is the fraction of all requests that are of the estimated class, 1 for all classes.
     """
     totals = _TotalSums.of(groups)
     if min(totals.arm_requests, totals.baseline_requests) < MIN_REQUESTS or not class_fraction:
@@ -166,7 +177,7 @@
     cost_weight = totals.cost_weight()
 
     def value_without(left_out: int | None) -> float:
-        """Return the mixed estimate, leaving one group out."""
+        """Return the mixed estimate in ms, leaving out one group of units, if given."""
         included = [sums for group, sums in groups.items() if group != left_out]
         total = math.fsum(cost_weight * sums.cost + (1 - cost_weight) * sums.outstanding for sums in included)
         requests = sum(sums.arm_requests + sums.baseline_requests for sums in included)
@@ -200,9 +211,10 @@
 
 
 def estimate_switchback(merged: MergedCounters, arm: int, metric: int, alpha: float) -> Estimate:
-    """Estimate the difference of block means between the time blocks of two arms, blocks being the units.
+    """Estimate the difference between the mean costs of two arms' time blocks, with blocks as units.
 
-    Bojinov, Simchi-Levi and Zhao 2023; Welch's error and degrees of freedom.
+    The method is that of Bojinov, Simchi-Levi and Zhao 2023, with Welch's standard error and degrees of
+    freedom.
     """
     block_means = _block_means(merged, metric)
     baseline = np.array([mean for of_arm, mean in block_means if of_arm == BASELINE_ARM])
@@ -214,7 +226,7 @@
 
 def _welch_estimate(baseline: Floats, treated: Floats) -> PointEstimate:
     """Compare two means of unequal variances; degrees of freedom by Welch and Satterthwaite."""
-    baseline_variance = float(baseline.var(ddof=1)) / len(baseline)  # of the mean
+    baseline_variance = float(baseline.var(ddof=1)) / len(baseline)  # variance of the mean
     treated_variance = float(treated.var(ddof=1)) / len(treated)
     error = math.sqrt(baseline_variance + treated_variance)
     divisor = baseline_variance**2 / (len(baseline) - 1) + treated_variance**2 / (len(treated) - 1)
@@ -227,7 +239,7 @@
 
 
 def _block_means(merged: MergedCounters, metric: int) -> list[tuple[int, float]]:
-    """Return the arm and the mean cost of each time block that served a metric's classes."""
+    """Return arm and mean cost (ms) of each time block that has requests of a metric's classes."""
     sums: dict[int, tuple[int, int, float]] = {}
     for (block, class_index), costs in sorted(merged.blocks.items()):
         if costs.count and metric in metrics_of(class_index):
--- a/meadowpulley/placement/fleet_view.py
+++ b/meadowpulley/placement/fleet_view.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of the others in an experiment: which run, and what they have counted."""
+"""What one gateway knows of the others in an experiment: which are alive, and their counters."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self.bin_totals = BinTotals()  # of all incarnations
 
     def observe_members(self, members: Iterable[Member]) -> None:
-        """Record which incarnations run, and which have ended."""
+        """Record which gateways have a live incarnation, and which incarnations are fenced."""
         for member in members:
             if member.fenced:
                 self.fenced_incarnations.add(str(member.incarnation))
@@ -34,16 +34,16 @@
 
     @property
     def is_evaluator(self) -> bool:
-        """Whether it is this gateway that judges by the counters of all.
+        """Whether this gateway is the one that evaluates the counters of all gateways.
 
-        That is the living gateway of the lowest rank, so that all agree without asking each other.
+        The evaluator is the live gateway of the lowest rank, so that all agree without asking each other.
         """
         own_name = self.incarnation.name
         rank = self.assignment.evaluator_rank
         return own_name == min(self.live_gateways | {own_name}, key=lambda name: (rank(name), name))
 
     def merge(self, tracker: RequestTracker) -> MergedCounters:
-        """Return the counters of all incarnations, the tracker's as of now, without quantiles."""
+        """Merge the stored counters of other incarnations with the tracker's current ones, no quantiles."""
         records = [*self.other_records.values(), tracker.counters.snapshot()]
         ended = self.fenced_incarnations
         bins = self.bin_totals.complete_bins(ended)
--- a/meadowpulley/placement/gateway.py
+++ b/meadowpulley/placement/gateway.py
@@ -1,6 +1,7 @@
-"""Start an experiment at a gateway on sockets: its file, the definition that runs in the fleet, its stage.
+"""Start an experiment at a gateway on sockets.
 
-The pipeline of stages calls it where `MEADOWPULLEY_PLACEMENT` names a file.
+Read its file, check it against the definition that runs in the fleet, and install its stage. The pipeline of
+stages calls this module if `MEADOWPULLEY_PLACEMENT` names a file.
 """
 
 from __future__ import annotations
@@ -22,38 +23,38 @@
 
 
 class PlacementTarget(Protocol):
-    """What is needed of the rollout policy."""
+    """The part of the rollout policy that an experiment uses."""
 
-    placements: dict[int, Placement]  # by arm
+    placements: dict[int, Placement]  # by `Request.arm`
 
 
 class TakeoverOrigin(Protocol):
-    """Who accepted a request first, as takeover names it."""
+    """The incarnation that accepted a request first, as takeover names it."""
 
     @property
     def incarnation(self) -> str:
-        """The incarnation that accepted it."""
+        """The incarnation that accepted the request first."""
 
     @property
     def number(self) -> int:
-        """Its number there."""
+        """The request's number at that incarnation."""
 
 
 class TakeoverLookup(Protocol):
-    """What is needed of the takeover stage."""
+    """The part of the takeover stage that an experiment uses."""
 
     def origin_of(self, request: int) -> tuple[TakeoverOrigin, float] | None:
-        """Return a request's origin, and when it was accepted on this gateway's clock (ms)."""
+        """Return a request's origin and the time of its acceptance (ms, this gateway's clock)."""
 
     def moved(self, request: int) -> bool | None:
-        """Whether a request that left has moved to another gateway; None if it is gone."""
+        """Whether a request that left is now at another gateway; None if its client left."""
 
 
 def requested_experiment(settings: Settings, environ: Mapping[str, str]) -> Experiment | None:
-    """Return the experiment that the environment names; None where it names none.
+    """Return the experiment that the environment names; None if it names none.
 
-    It reads the ledger, before an incarnation is registered there, and refuses a definition that
-    contradicts the one that runs under this name. Raises `LedgerUnusableError`, one line.
+    The ledger is read before an incarnation is registered there. Raises `LedgerUnusableError`, with a message
+    of one line, for an invalid file and for a definition that differs from the one that runs under its name.
     """
     try:
         experiment = read_experiment(environ, settings)
@@ -80,23 +81,23 @@
     seed: int,
     now: float,
 ) -> PlacementStage:
-    """Return the stage before `inner`, and give the rollout policy its placements.
+    """Return a placement stage that precedes `inner`, and give the rollout policy its placements.
 
-    `now` is the gateway's clock (ms). The time that gateways share is Unix time as it is now, and advances by
-    the gateway's clock: the machine's time may be set, and jump.
+    `now` is the gateway's clock (ms). The shared time starts at the present Unix time and then advances with
+    the gateway's clock, because the machine's time may be set and jump.
     """
     target.placements.update(enumerate(build_placements(experiment, seed)[1:], 1))
     return PlacementStage(inner, experiment, settings, incarnation, time.time() * 1000.0 - now)
 
 
 class TakeoverOrigins:
-    """What the takeover stage, further out, knows of requests."""
+    """Looks up requests in the takeover stage, which handles events before the placement stage."""
 
     def __init__(self, takeover: TakeoverLookup) -> None:
         self.takeover = takeover
 
     def origin_of(self, request: int) -> RequestOrigin | None:
-        """Return a request's origin; None if nobody else can ever have it."""
+        """Return a request's origin; None if no other incarnation can ever have the request."""
         found = self.takeover.origin_of(request)
         if found is None:
             return None
@@ -104,7 +105,7 @@
         return RequestOrigin(origin.incarnation, origin.number, accepted_ms)
 
     def departure(self, request: int) -> Departure:
-        """Return why a request left."""
+        """Return why the rollout policy no longer has a request."""
         moved = self.takeover.moved(request)
         if moved is None:
             return "gone"
--- a/meadowpulley/placement/guard.py
+++ b/meadowpulley/placement/guard.py
@@ -1,8 +1,11 @@
-"""Whether an arm does harm and must end; the stage has the ledger settle it, once for all gateways.
+"""Decide whether an arm does harm and must end.
 
-Two measures are evaluated, each with half of the guard's alpha, over all arms: the naive difference, which
-is precise but blind to what an arm costs the requests of others, and the mixed Differences-in-Q estimate,
-which is not. Both are confidence sequences: evaluating often makes no false alarm likelier.
+The stage records the end in the ledger, where it is decided once for all gateways.
+
+Two measures are evaluated, each with half of the guard's alpha, which is divided among all arms. The naive
+difference is precise, but misses what an arm's requests cost those of other arms. The mixed
+Differences-in-Q estimate includes it. Both have confidence sequences, so that evaluating often does not make
+false alarms more likely. A switchback has one measure, its time blocks, with the whole alpha.
 """
 
 from __future__ import annotations
@@ -21,18 +24,18 @@
 from meadowpulley.placement.merged_counters import MergedCounters
 from meadowpulley.placement.metrics import ALL_CLASSES_METRIC, BASELINE_ARM
 
-MAX_ALPHA = 0.5  # a confidence sequence has no level below that
-SIDES = 2  # of a confidence sequence; only harm counts, so that one side may have the whole alpha
+MAX_ALPHA = 0.5  # largest alpha of a confidence sequence: its level is at least 0.5
+SIDES = 2  # of a confidence sequence; only the side of harm is used, so that it may have the whole alpha
 
 
 @dataclass(frozen=True, slots=True)
 class _Measure:
     name: str
-    estimate: Callable[[float], Estimate]  # by alpha
+    estimate: Callable[[float], Estimate]  # from alpha
 
 
 def harm_reason(experiment: Experiment, merged: MergedCounters, arm: int) -> str:
-    """Return the reason, in one line, for ending an arm; empty if nothing shows that it should."""
+    """Return the reason for ending an arm, in one line; empty if no measure shows harm."""
     measures = _measures(experiment, merged, arm)
     alpha = _alpha_of_each(experiment, len(measures))
     margin_ms = experiment.guard.worse * mean_cost_ms(merged, BASELINE_ARM, ALL_CLASSES_METRIC)
@@ -49,7 +52,7 @@
 
 
 def _alpha_of_each(experiment: Experiment, measure_count: int) -> float:
-    """Divide the guard's alpha among all measures of all arms (Bonferroni), as alphas of two sides."""
+    """Divide the guard's alpha among all measures and arms (Bonferroni), as two-sided alphas."""
     compared_arms = len(experiment.arms) - 1
     alpha = SIDES * experiment.guard.alpha / (measure_count * compared_arms)
     return min(alpha, MAX_ALPHA)
@@ -57,16 +60,16 @@
 
 def _measures(experiment: Experiment, merged: MergedCounters, arm: int) -> list[_Measure]:
     def naive(alpha: float) -> Estimate:
-        """Compare the arms' means."""
+        """Return the naive difference of the mean costs."""
         return estimate_naive(merged, arm, ALL_CLASSES_METRIC, alpha)
 
     def mixed(alpha: float) -> Estimate:
-        """Compare the arms with what their requests cost others."""
+        """Return the mixed estimate, which includes what an arm's requests cost others."""
         probability = experiment.relative_probability(arm)
         return estimate_mixed(merged, arm, ALL_CLASSES_METRIC, alpha, probability)
 
     def switchback(alpha: float) -> Estimate:
-        """Compare the arms' time blocks."""
+        """Return the difference of the mean costs of time blocks."""
         return estimate_switchback(merged, arm, ALL_CLASSES_METRIC, alpha)
 
     if experiment.unit == "time":  # requests of one block share an arm: blocks are compared
--- a/meadowpulley/placement/merged_counters.py
+++ b/meadowpulley/placement/merged_counters.py
@@ -1,8 +1,9 @@
-"""Merge the counters of all incarnations: each request once, however gateways crash.
+"""Merge the counters of all incarnations so that each request counts once, however gateways crash.
 
-Records may come in any order and any number of times, with the same result. An adopted request's end is
-counted in the record of the incarnation that accepted it first, if it is open or not yet written there.
-What is open in the record of an incarnation that has ended, and was adopted by nobody, is lost.
+The result does not depend on the order of the records, or on repeated ones. An adopted request's end counts
+if the record of the incarnation that accepted it first has the request as open, or was last written before
+it. Requests that are open in the record of an incarnation that has ended, and that no other has completed,
+count as lost.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 @dataclass
 class MergedCounters:
-    """The counters of all incarnations together, by arm and class unless said otherwise."""
+    """The sums of all incarnations' counters, by arm and class unless stated otherwise."""
 
     incarnations: int = 0
     unassigned: int = 0
@@ -38,24 +39,24 @@
     histograms: dict[ArmAndClass, HdrHistogram] = field(default_factory=dict)
     open_requests: Counter[ArmAndClass] = field(default_factory=Counter)
     lost: Counter[ArmAndClass] = field(default_factory=Counter)
-    moments: dict[tuple[int, int, int], CostMoments] = field(default_factory=dict)  # (group, arm, class)
+    moments: dict[tuple[int, int, int], CostMoments] = field(default_factory=dict)  # by (group, arm, class)
     bins: list[TimeBin] = field(default_factory=list)
-    blocks: dict[tuple[int, int], BlockCosts] = field(default_factory=dict)  # (block, class)
+    blocks: dict[tuple[int, int], BlockCosts] = field(default_factory=dict)  # by (block, class)
 
     @property
     def requests(self) -> int:
-        """Requests accepted in any arm, each once."""
+        """The number of requests accepted in any arm, each counted once."""
         ended = sum(cell.ended for cell in self.cells.values())
         return ended + sum(self.open_requests.values()) + sum(self.lost.values())
 
     def moments_of(self, group: int, arm: int, class_index: int) -> CostMoments:
-        """Return the moments of a group, arm and class, which may still be empty."""
+        """Return the moments of a group, arm and class, which are created empty if missing."""
         key = (group, arm, class_index)
         return self.moments.setdefault(key, CostMoments(*key))
 
 
 def latest_by_incarnation(records: Iterable[CountersRecord]) -> dict[str, CountersRecord]:
-    """Return the last revision of each incarnation's record."""
+    """Return the highest revision of each incarnation's record."""
     latest: dict[str, CountersRecord] = {}
     for record in records:
         known = latest.get(record.incarnation)
@@ -73,8 +74,9 @@
 ) -> MergedCounters:
     """Add up the records of all incarnations.
 
-    `ended` are incarnations that run no more; `deadlines_ms`, by class, are the cost of what was lost; `bins`
-    are the sums over all incarnations. With `quantiles` False the records' histograms are left out.
+    `ended` are incarnations that no longer run; `deadlines_ms`, by class, are the costs of lost requests;
+    `bins` are the sums over all incarnations. If `quantiles` is False, the records' histograms are not
+    merged.
     """
     latest = latest_by_incarnation(records)
     merged = MergedCounters(bins=list(bins))
@@ -113,7 +115,7 @@
 
 
 def _first_completions(latest: Mapping[str, CountersRecord]) -> Collection[AdoptedCompletion]:
-    """Return one completion of each adopted request: the first, in the order of the adopters' names."""
+    """Return one completion of each adopted request: the one of the first adopter by name."""
     completions: dict[tuple[str, int], AdoptedCompletion] = {}
     for _, record in sorted(latest.items()):
         for completion in record.adopted_completions:
@@ -127,11 +129,11 @@
     origin: CountersRecord | None,
     open_by_incarnation: dict[str, dict[int, OpenRequest]],
 ) -> None:
-    """Count an adopted request's end; `origin` is the record of the incarnation that accepted it first."""
+    """Count an adopted request's end; `origin` is the record of its first incarnation, if known."""
     if origin is not None:
         open_requests = open_by_incarnation[origin.incarnation]
         if completion.number <= origin.highest_number and completion.number not in open_requests:
-            return  # that incarnation saw the end itself, and counted it
+            return  # it ended at that incarnation, which counted it, or was in no arm
         open_requests.pop(completion.number, None)
     merged.adopted += 1
     arm_and_class = (completion.arm, completion.class_index)
@@ -142,7 +144,7 @@
 def _add_open(
     merged: MergedCounters, open_requests: Iterable[OpenRequest], deadlines_ms: Mapping[int, float] | None
 ) -> None:
-    """Count requests as open, or, where `deadlines_ms` are given, as lost at the cost of their deadlines."""
+    """Count requests as open or, if `deadlines_ms` is given, as lost at the cost of their deadlines."""
     for request in open_requests:
         arm_and_class = (request.arm, request.class_index)
         if deadlines_ms is None:
--- a/meadowpulley/placement/origins.py
+++ b/meadowpulley/placement/origins.py
@@ -1,6 +1,7 @@
-"""Where a request began and whether another gateway has it now: what takeover knows, and counters use.
+"""Look up which incarnation accepted a request first, and whether another gateway has it now.
 
-`gateway.py` provides a stage with takeover's answers; without takeover no request moves (`LocalOrigins`).
+The counters need this. `gateway.py` gives a stage the lookup in takeover; without takeover no request moves
+to another gateway (`LocalOrigins`).
 """
 
 from __future__ import annotations
@@ -8,14 +9,16 @@
 from dataclasses import dataclass
 from typing import Literal, Protocol, TypeAlias
 
-# Why the rollout policy has nothing more to do with a request: "gone" with its client; "moved" to another
-# incarnation, which ends it; "known" already, so that it never was a request of its own.
+# Why the rollout policy no longer has a request. "gone": its client left. "moved": another incarnation has it
+# and completes it. "known": it repeated a request that was already known, and does not count as one.
 Departure: TypeAlias = Literal["gone", "moved", "known"]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestOrigin:
-    """The incarnation that accepted a request first, its number there, and when (ms, this gateway's clock).
+    """The incarnation that accepted a request first, the request's number there, and the time.
+
+    `accepted_ms` is on this gateway's clock.
 
     The numbers of an incarnation start from 0 and rise in the order in which it accepted its requests.
     """
@@ -26,22 +29,25 @@
 
 
 class OriginLookup(Protocol):
-    """What is known of requests that other incarnations had or will have."""
+    """Looks up requests that other incarnations had before or may have later."""
 
     def origin_of(self, request: int) -> RequestOrigin | None:
-        """Return a request's origin, when the stage is handed it; None if nobody else can ever have it."""
+        """Return the origin of a request that the stage receives.
+
+        None if no other incarnation can ever have the request.
+        """
 
     def departure(self, request: int) -> Departure:
-        """Return why a request left, when the stage is handed its `ClientDisconnected`."""
+        """Return why a request left, once the stage has received its `ClientDisconnected`."""
 
 
 class LocalOrigins:
-    """The answers at a gateway whose requests are nobody else's."""
+    """The lookup at a gateway without takeover, whose requests no other gateway can have."""
 
     def origin_of(self, request: int) -> RequestOrigin | None:
-        """Return None: nobody else can have it."""
+        """Return None: no other gateway can have the request."""
         return None
 
     def departure(self, request: int) -> Departure:
-        """Return that its client left."""
+        """Return "gone": a request leaves only with its client."""
         return "gone"
--- a/meadowpulley/placement/policies.py
+++ b/meadowpulley/placement/policies.py
@@ -1,9 +1,9 @@
-"""Placement policies: in which order a request's servers are preferred. None of them sends anything.
+"""Placement policies, which order a request's servers by preference. None of them sends anything.
 
 A policy is given the time, the request and the servers to choose among, and returns their indices in order of
-preference; the rollout policy sends to the first of them that its own check allows. So no placement can send
-what a rule forbids, whatever it returns. All are functions of their arguments and their seed, except round
-robin, which remembers its position.
+preference; the rollout policy sends to the first of them that its own check allows. A placement therefore
+can't cause a forbidden attempt, whatever it returns. The result of each depends only on its arguments and its
+seed, except that round robin remembers its position.
 """
 
 from __future__ import annotations
@@ -15,14 +15,16 @@
 
 from meadowpulley.interface import Candidate, Placement, Request
 
-DEFAULT_POLICY = "own"  # the rollout policy's own choice, which is the baseline
+DEFAULT_POLICY = "own"  # the rollout policy itself chooses the server, without a placement
 MAX_UINT64 = 2**64 - 1
-MIN_SLOW_START_FRACTION = 1e-3  # in weights: a server that only begins is not left out
-SERVER_NUMBER_BITS = 31
+MIN_SLOW_START_FRACTION = (
+    1e-3  # lowest fraction in a weight, so that a server that has just started may be chosen
+)
+SERVER_NUMBER_BITS = 31  # of the random server number after which round robin starts
 
 
 def choice_rng(seed: int, now: float, request: Request) -> Random:
-    """Return the random numbers of one choice: others for a later attempt of the same request."""
+    """Return the random generator of one choice; a later attempt of the request gets another one."""
     return Random(xxhash.xxh3_64_intdigest(b"%d %r" % (request.request, now), seed & MAX_UINT64))
 
 
@@ -31,9 +33,9 @@
 
 
 class PowerOfTwoChoices:
-    """Two servers at random, the one with fewer own requests in flight first; then the others at random.
+    """Draws two servers at random and prefers the one with fewer of this gateway's requests in flight.
 
-    Mitzenmacher 2001.
+    The other servers follow in random order (Mitzenmacher 2001).
     """
 
     def __init__(self, seed: int) -> None:
@@ -48,7 +50,7 @@
 
 
 class LeastOutstanding:
-    """By own requests in flight, fewest first; servers with equally many in random order."""
+    """Prefers servers with the fewest of this gateway's requests in flight; ties in random order."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -60,31 +62,32 @@
 
 
 class RoundRobin:
-    """In turn by the servers' numbers, beginning after the server that was preferred last."""
+    """Prefers servers in the order of their numbers, starting after the one preferred last."""
 
     def __init__(self, seed: int) -> None:
-        # Gateways begin at different servers.
+        # The random start makes gateways begin at different servers.
         self.last_server = Random(seed).getrandbits(SERVER_NUMBER_BITS)
 
     def __call__(self, now: float, request: Request, servers: Sequence[Candidate]) -> Sequence[int]:
         """Return the servers' indices in order of preference."""
 
-        def turn(index: int) -> tuple[bool, int]:
-            """Return the sort key that puts the servers after the last one used first."""
+        def rotation_key(index: int) -> tuple[bool, int]:
+            """Return a sort key by which the servers after the last preferred one come first."""
             server = servers[index].server
             return server <= self.last_server, server
 
-        order = sorted(range(len(servers)), key=turn)
+        order = sorted(range(len(servers)), key=rotation_key)
         if order:
             self.last_server = servers[order[0]].server
         return order
 
 
 class SpeedWeighted:
-    """At random, in proportion to speed: slow-start fraction over the typical latency of the server's kind.
+    """Draws servers at random in proportion to their speed.
 
-    Weighted draws without replacement, by exponential clocks (Efraimidis and Spirakis 2006). A kind that was
-    never measured counts as the mean of the others.
+    The speed is the slow-start fraction over the typical latency of the server's machine kind. The draws are
+    weighted and without replacement, by exponential clocks (Efraimidis and Spirakis 2006). A server whose
+    kind was never measured gets the mean latency of the others.
     """
 
     def __init__(self, seed: int) -> None:
@@ -104,7 +107,7 @@
 
 
 class ZoneAware:
-    """Servers of the gateway's own zone before all others, by two random choices within each part."""
+    """Prefers servers of the gateway's own zone to all others, by two random choices in each part."""
 
     def __init__(self, seed: int) -> None:
         self.two_choices = PowerOfTwoChoices(seed)
@@ -120,9 +123,10 @@
 
 
 class RendezvousHashing:
-    """By a hash of key and server (Thaler and Ravishankar 1998); requests without a key go at random.
+    """Orders servers by a hash of the request's key and the server (Thaler and Ravishankar 1998).
 
-    The order is equal at all gateways, whatever their seed; a server that is removed moves only its own keys.
+    The order is the same at all gateways, whatever their seed, and removing a server moves only the keys that
+    it had. For requests without a key the order is random.
     """
 
     def __init__(self, seed: int) -> None:
--- a/meadowpulley/placement/record_names.py
+++ b/meadowpulley/placement/record_names.py
@@ -2,23 +2,25 @@
 
 from __future__ import annotations
 
-DEFINITION = "running"  # the only one with a key of its own: `Experiment.definition_key`
+DEFINITION = (
+    "running"  # the only record that is not below `record_key`: its key is `Experiment.definition_key`
+)
 FINISHED = "over"
-COUNTERS = "count/"  # of an incarnation
-SEGMENTS = "bins/"  # of an incarnation, numbered
-ENDED_ARMS = "ended/"  # by the arm's index
+COUNTERS = "count/"  # prefix; followed by the incarnation
+SEGMENTS = "bins/"  # prefix; followed by the incarnation and the segment's index
+ENDED_ARMS = "ended/"  # prefix; followed by the arm's index
 
 
 def counters_name(incarnation: str) -> str:
-    """Return the name of an incarnation's counters."""
+    """Return the name of the record with an incarnation's counters."""
     return f"{COUNTERS}{incarnation}"
 
 
 def segment_name(incarnation: str, index: int) -> str:
-    """Return the name of an incarnation's segment of time bins."""
+    """Return the name of the record with one segment of an incarnation's time bins."""
     return f"{SEGMENTS}{incarnation}/{index}"
 
 
 def ended_arm_name(arm: int) -> str:
-    """Return the name of the record that an arm has ended."""
+    """Return the name of the record which states that an arm has ended."""
     return f"{ENDED_ARMS}{arm}"
--- a/meadowpulley/placement/record_writer.py
+++ b/meadowpulley/placement/record_writer.py
@@ -1,4 +1,4 @@
-"""Commit an experiment's records to the ledger, one write of each at a time."""
+"""Commit an experiment's records to the ledger, with at most one write of each in flight."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from meadowpulley.placement.definition import Experiment
 from meadowpulley.placement.record_names import DEFINITION, counters_name
 
-OWNER = "placement"  # of this package's commits
+OWNER = "placement"  # `Commit.owner` of this package's commits
 SETTLED_OUTCOMES = (TransactionOutcome.COMMITTED, TransactionOutcome.CONFLICT)
 
 
 class WriteObstacle(Flag):
-    """Why this incarnation commits nothing."""
+    """Reasons why this incarnation does not commit."""
 
-    LEDGER_UNREAD = auto()  # its content was not read yet
+    LEDGER_UNREAD = auto()  # the ledger's content was not read yet
     LEDGER_UNAVAILABLE = auto()
-    FENCED = auto()  # for good: this incarnation has ended in the ledger
+    FENCED = auto()  # never cleared: the ledger accepts no more commits of this incarnation
 
 
 ENDED_ARMS_UNKNOWN = WriteObstacle.LEDGER_UNREAD | WriteObstacle.FENCED
 
 
 class RecordWriter:
-    """Writes one gateway's records of one experiment; `incarnation` names the own counters.
+    """Writes one gateway's records of one experiment; `incarnation` names its counters' record.
 
-    `emit` is called with each commit, whose result is passed to `on_committed`.
+    It passes each commit to `emit`; the caller passes the result to `on_committed`.
     """
 
     def __init__(self, experiment: Experiment, incarnation: str, emit: Callable[[Commit], None]) -> None:
         self.experiment = experiment
         self.obstacles = WriteObstacle.LEDGER_UNREAD
-        self.recorded: set[str] = set()  # names of records that the ledger holds for good
+        self.recorded: set[str] = set()  # names of write-once records that the ledger is known to have
         self.unwritten_segments: dict[str, bytes] = {}
         self._emit = emit
-        self._counters_name = counters_name(incarnation)  # the only record that is written more than once
+        self._counters_name = counters_name(incarnation)  # the only record that this writer replaces
         self._counters_version = 0
         self._pending: dict[int, str] = {}  # names of the records in flight, by ticket
         self._last_ticket = 0
@@ -54,11 +54,11 @@
 
     @property
     def knows_ended_arms(self) -> bool:
-        """Whether this incarnation has read the ledger and is not fenced; the ledger may be unavailable."""
+        """Whether the ledger was read and this incarnation is not fenced; it may be unavailable now."""
         return not self.obstacles & ENDED_ARMS_UNKNOWN
 
     def on_ledger_read(self) -> None:
-        """Note that the ledger's content was read."""
+        """Allow commits, now that the ledger's content was read."""
         self.obstacles &= ~(WriteObstacle.LEDGER_UNREAD | WriteObstacle.LEDGER_UNAVAILABLE)
 
     def on_ledger_unavailable(self) -> None:
@@ -66,11 +66,11 @@
         self.obstacles |= WriteObstacle.LEDGER_UNAVAILABLE
 
     def on_ledger_recovered(self) -> None:
-        """Commit again."""
+        """Allow commits again after the ledger has recovered."""
         self.obstacles &= ~WriteObstacle.LEDGER_UNAVAILABLE
 
     def on_fenced(self) -> None:
-        """Commit nothing any more."""
+        """Stop committing for good: this incarnation is fenced."""
         self.obstacles |= WriteObstacle.FENCED
 
     # Writes
@@ -80,12 +80,12 @@
         return self.experiment.definition_key if name == DEFINITION else self.experiment.record_key(name)
 
     def write_once(self, name: str, value: bytes = b"") -> None:
-        """Create a record that stays: the first writer has decided, and all others find its value."""
+        """Create a record that never changes: the first writer's value holds for all gateways."""
         if name not in self.recorded:
             self._commit(name, Create(self.ledger_key(name), value))
 
     def write_counters(self, value: bytes) -> None:
-        """Write the next revision of the own counters."""
+        """Create or replace the record of this incarnation's counters."""
         key = self.ledger_key(self._counters_name)
         if self._counters_version:
             self._commit(self._counters_name, Replace(key, value, self._counters_version))
@@ -93,11 +93,11 @@
             self._commit(self._counters_name, Create(key, value))
 
     def add_segment(self, name: str, value: bytes) -> None:
-        """Keep a segment of bins, to be written until the ledger has it."""
+        """Keep a segment of bins; `write_segments` writes it until the ledger has it."""
         self.unwritten_segments[name] = value
 
     def write_segments(self) -> None:
-        """Write the segments that the ledger does not have."""
+        """Write each segment that the ledger is not known to have."""
         for name, value in self.unwritten_segments.items():
             self.write_once(name, value)
 
@@ -111,10 +111,11 @@
     # Results
 
     def on_committed(self, event: CommitCompleted) -> Record | None:
-        """Process the result of a commit; return the record that conflicts with a write, if any."""
+        """Process a commit's result; return the existing record if a write-once record conflicts."""
         name = self._pending.pop(event.ticket, "")
         result = event.results[0]
-        if result.outcome in SETTLED_OUTCOMES:  # a conflict is with an own write whose result was lost
+        # A segment that conflicts was committed by an earlier write whose result was lost.
+        if result.outcome in SETTLED_OUTCOMES:
             self.unwritten_segments.pop(name, None)
         if result.outcome is TransactionOutcome.FENCED:
             self.on_fenced()
@@ -129,5 +130,7 @@
     def _on_counters_written(self, result: TransactionResult) -> None:
         if result.outcome is TransactionOutcome.COMMITTED:
             self._counters_version = result.version
-        elif result.outcome is TransactionOutcome.CONFLICT:  # with an own write whose result was lost
+        elif (
+            result.outcome is TransactionOutcome.CONFLICT
+        ):  # an earlier write committed, but its result was lost
             self._counters_version = result.existing.version if result.existing is not None else 0
--- a/meadowpulley/placement/request_tracker.py
+++ b/meadowpulley/placement/request_tracker.py
@@ -1,7 +1,7 @@
-"""Label requests with their arm, and count each of them until it ends.
+"""Label requests with their arm, and track and count each of them until it ends.
 
-A request counts at the incarnation that accepted it first. Whoever adopts it counts its end for that
-incarnation, with the arm it was given there.
+A request counts at the incarnation that accepted it first. An incarnation that adopts it records its end on
+behalf of the first one, with the arm that it had there.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from meadowpulley.placement.origins import LocalOrigins, OriginLookup, RequestOrigin
 from meadowpulley.placement.time_bins import BinRecorder
 
-NO_GROUP = 0  # of requests in no arm
-UNLABELLED = 0  # `Request.arm` of a request that the rollout policy places itself
+NO_GROUP = 0  # group of requests in no arm
+UNLABELLED = 0  # `Request.arm` of a request in no arm, whose server the rollout policy chooses
 
 
 @dataclass(slots=True, eq=False)
@@ -29,15 +29,15 @@
     arm: int
     class_index: int  # in the order of the experiment's classes
     group: int
-    number: int  # as its first incarnation counts it
-    bin_number: int | None  # None: it is in no time bin
-    origin: RequestOrigin | None = None  # of an adopted request
+    number: int  # at the incarnation that accepted it first
+    bin_number: int | None  # None if it is in no time bin
+    origin: RequestOrigin | None = None  # set for adopted requests only
 
 
 class RequestTracker:
     """Labels and counts one incarnation's requests.
 
-    `clock_offset_ms` is added to this gateway's time to get the one that gateways share (Unix time in ms).
+    `clock_offset_ms` is added to this gateway's clock to get the time that gateways share (Unix time in ms).
     """
 
     def __init__(
@@ -68,25 +68,26 @@
     # Accepted requests
 
     def end_arm(self, arm: int) -> None:
-        """Give no request to an arm any more."""
+        """Assign no more requests to an arm."""
         self.ended_arms.add(arm)
         self.bin_recorder.end_arm(arm)
 
     def label(self, now: float, request: Request, paused: bool) -> Request:
         """Return the request with its arm's label, and track it if it is of the experiment's classes.
 
-        While assignment is `paused` new requests are in no arm; nor are those of ended arms.
+        While assignment is `paused`, new requests are in no arm; nor are new requests of ended arms.
         """
         class_index = self.class_indices.get(request.class_index)
         if class_index is None:
             return request
         origin = self.origins.origin_of(request.request)
         if not request.adopted:
-            # Nobody adopts a request without an origin: its number, which need not rise, is below 0.
+            # No other incarnation can adopt a request without an origin: its number is below 0, as it need
+            # not rise.
             number = origin.number if origin is not None else -1 - request.request
             return self._label_own(now, request, class_index, number, paused)
         if origin is None:
-            return request  # nobody knows whose counters it is in: it stays open there
+            return request  # the record that counts it is unknown, and keeps it as open
         return self._label_adopted(request, class_index, origin)
 
     def _label_own(
@@ -177,13 +178,16 @@
         return shared_time_ms % self.experiment.block_ms >= self.experiment.settle_ms
 
     def disconnect(self, now: float, request: int) -> None:
-        """Count the end of a request that its client, or another gateway, took away."""
+        """Process the departure of a request: its client left, another gateway has it, or it was known.
+
+        Only the first of these counts as the request's end.
+        """
         departure = self.origins.departure(request)
         tracked = self.tracked.get(request)
         if departure == "gone" or tracked is None:
             self.end(now, request, RequestEnding.DISCONNECTED)
             return
-        del self.tracked[request]  # one that moved stays open in the counters, for whoever ends it
+        del self.tracked[request]  # if it moved, it stays open in the counters until its new gateway ends it
         self._end_in_bin(now, tracked, now - tracked.accepted_ms)
         if departure == "known":
             self.counters.open_requests.pop(tracked.number, None)
--- a/meadowpulley/placement/stage.py
+++ b/meadowpulley/placement/stage.py
@@ -1,10 +1,11 @@
-"""The placement stage: labels requests with their arm and counts them, before the rollout policy.
-
-It passes every event on and sends nothing. In the ledger it writes the definition (the first gateway does),
-the counters and bins of its own incarnation, that an arm has ended, and that the experiment is over. The
-last two are created once: whoever creates them has decided for all. One living gateway, the evaluator,
-judges by the counters of all and is sent their changes (`watched_prefixes`). A gateway that is cut off
-judges by its own counters, and writes to the ledger later.
+"""The placement stage: it labels requests with their arm and counts them, before the rollout policy.
+
+It passes every event to the next stage, except its own timer and commits, and sends nothing to servers. It
+writes these records to the ledger: the definition (the first gateway does), the counters and bins of its own
+incarnation, that an arm has ended, and that the experiment is over. The last two are created once, and the
+gateway that creates one decides for all. One live gateway, the evaluator, applies the guard to the counters
+of all gateways and receives their changes (`watched_prefixes`). A gateway that is cut off from the ledger
+applies the guard to the counters that it knows, and writes to the ledger later.
 """
 
 from __future__ import annotations
@@ -70,8 +71,8 @@
 from meadowpulley.placement.time_bins import BINS_PER_SEGMENT, decode_segment, encode_segment
 
 TIMER_TOKEN = 4
-CHECK_INTERVAL_MS = 2000.0  # between two evaluations, each with a write of the counters
-MAX_BLOCKS = 512  # time blocks of a switchback: the counters' record names each
+CHECK_INTERVAL_MS = 2000.0  # between two checks, each of which writes the counters and may apply the guard
+MAX_BLOCKS = 512  # time blocks after which a switchback ends, as the counters' record has an entry for each
 MS_PER_SECOND = 1000
 
 StageEvent: TypeAlias = (
@@ -88,12 +89,12 @@
 
 
 class PlacementStage:
-    """One gateway's part in an experiment, before `inner`.
+    """Runs an experiment at one gateway; it handles events before the stage `inner`.
 
-    `clock_offset_ms` is added to this gateway's time to get the one that gateways share (Unix time in ms);
-    `origins` is what is known of requests that other incarnations had or will have.
+    `clock_offset_ms` is added to this gateway's clock to get the time that gateways share (Unix time in ms);
+    `origins` looks up requests that other incarnations had before or may have later.
 
-    Raises `ExperimentError` for a definition that names a class which the settings lack.
+    Raises `ExperimentError` for a definition that contradicts itself or names a class that the settings lack.
     """
 
     def __init__(
@@ -114,7 +115,7 @@
         self.tracker = RequestTracker(experiment, settings, incarnation, clock_offset_ms, origins)
         self.writer = RecordWriter(experiment, str(incarnation), self._emit)
         self.fleet = FleetView(incarnation, self.tracker.assignment)
-        self.ended_arms: dict[int, str] = {}  # and why they ended
+        self.ended_arms: dict[int, str] = {}  # the reason, by arm
         self.finished = False
         self.definition_conflict = False  # another version runs under this name
         self.rolling_back = False
@@ -123,16 +124,16 @@
 
     @property
     def origins(self) -> OriginLookup:
-        """What is known of requests that other incarnations had or will have."""
+        """The lookup of requests that other incarnations had before or may have later."""
         return self.tracker.origins
 
     @origins.setter
     def origins(self, origins: OriginLookup) -> None:
-        """Set the lookup of the origins of requests."""
+        """Set the lookup of requests' origins."""
         self.tracker.origins = origins
 
     def handle(self, now: float, event: StageEvent) -> list[StageAction]:
-        """Return the actions that follow from an event at `now` (ms), of this stage and the next ones."""
+        """Process an event at `now` (ms); return the actions of this stage and of the next ones."""
         self._actions = []
         if isinstance(event, CommitCompleted) and event.owner == OWNER:
             self._on_committed(event)
@@ -151,7 +152,7 @@
         return self._actions
 
     def shut_down(self, now: float) -> list[StageAction]:
-        """Write what was counted since the last revision, at a graceful shutdown."""
+        """Return the commits of the latest counters and bins, for a graceful shutdown."""
         self._actions = []
         self._write_counters(now)
         return self._actions
@@ -163,14 +164,14 @@
 
     @property
     def assignment_paused(self) -> bool:
-        """Whether new requests are in no arm for now."""
+        """Whether new requests are in no arm at present."""
         return self.finished or self.rolling_back or not self.writer.knows_ended_arms
 
     def _label(self, now: float, request: Request) -> Request:
         return self.tracker.label(now, request, self.assignment_paused)
 
     def _count_endings(self, now: float, event: StageEvent) -> None:
-        """Count the requests that ended, by the event and by what was decided on it."""
+        """Count the requests that ended with the event or with the actions that followed from it."""
         if isinstance(event, Outcome) and event.request_complete:
             served = event.result is Result.OK
             ending = RequestEnding.SERVED if served else RequestEnding.FAILED
@@ -183,7 +184,7 @@
             elif isinstance(action, Fail):
                 self.tracker.end(now, action.request, RequestEnding.FAILED)
 
-    # What is observed
+    # Observed events
 
     def _observe(self, event: StageEvent) -> None:
         if isinstance(event, RolloutUpdate) and event.result is Result.OK:
@@ -204,11 +205,11 @@
 
     @property
     def is_evaluator(self) -> bool:
-        """Whether it is this gateway that judges by the counters of all."""
+        """Whether this gateway is the one that evaluates the counters of all gateways."""
         return self.fleet.is_evaluator
 
     def watched_prefixes(self) -> tuple[str, ...]:
-        """Return the prefixes of the ledger's keys whose changes this stage must be sent now."""
+        """Return the key prefixes of the ledger records whose changes this stage needs now."""
         key = self.experiment.record_key
         own_prefixes = (self.experiment.definition_key, key(ENDED_ARMS), key(FINISHED))
         return (*own_prefixes, key(COUNTERS), key(SEGMENTS)) if self.is_evaluator else own_prefixes
@@ -264,12 +265,12 @@
     # Evaluation
 
     def merged_counters(self) -> MergedCounters:
-        """Return what this gateway knows of all incarnations, its own as of now, without quantiles."""
+        """Return the merged counters of all incarnations that this gateway knows, without quantiles."""
         return self.fleet.merge(self.tracker)
 
     @property
     def _compared_arms(self) -> range:
-        """All arms but the baseline."""
+        """The indices of all arms except the baseline."""
         return range(BASELINE_ARM + 1, len(self.experiment.arms))
 
     def _schedule_check(self, now: float) -> None:
@@ -289,10 +290,10 @@
         self._write_counters(now)
 
     def _apply_guard(self, merged: MergedCounters) -> None:
-        """End an arm that does harm, here at once, and for all as soon as the ledger answers.
+        """End an arm that does harm: at this gateway at once, at the others once the ledger has a record.
 
-        A gateway that is neither the evaluator nor cut off does not evaluate: the false alarms of many would
-        add up.
+        A gateway that is neither the evaluator nor cut off from the ledger does not apply the guard, because
+        the false alarms of many gateways would add up.
         """
         is_cut_off = WriteObstacle.LEDGER_UNAVAILABLE in self.writer.obstacles
         if not self.is_evaluator and not is_cut_off:
@@ -314,14 +315,17 @@
         if past_end or enough_requests or len(self.tracker.counters.blocks) >= max_blocks:
             self._finish()
 
-    # Own records
+    # Records of this incarnation
 
     def _write_counters(self, now: float) -> None:
         self._write_bins(now)
         self.writer.write_counters(self.tracker.counters.encode_next_revision())
 
     def _write_bins(self, now: float) -> None:
-        """Write the next segments; each counts here at once, and is written until the ledger has it."""
+        """Write the next segments of bins; each is retried until the ledger has it.
+
+        This gateway's totals include a segment at once, before it is written.
+        """
         recorder = self.tracker.bin_recorder
         if recorder.bins:
             recorder.advance(now + self.clock_offset_ms)
--- a/meadowpulley/placement/summary.py
+++ b/meadowpulley/placement/summary.py
@@ -1,10 +1,11 @@
-"""Summarize an experiment from the ledger's records, as values and as figures by name.
+"""Summarize an experiment from the ledger's records, as objects and as a mapping of named figures.
 
     records = store.scan(f"placement/{experiment.name}/")
     summary = read_summary(experiment, settings.classes, records, store.members())
 
-`summary.comparisons` has an entry for each arm and class (and for all, named ""); `summary.figures()` names
-them as the tables of `meadowpulley experiment` do.
+`summary.comparisons` has an entry for each arm but the baseline, for all classes together (`class_name` "")
+and for each class; `summary.figures()` returns the figures under the names that the tables of `meadowpulley
+experiment` use.
 """
 
 from __future__ import annotations
@@ -36,8 +37,8 @@
 from meadowpulley.placement.time_bins import BinSegment, BinTotals, TimeBin, decode_segment
 
 DEFAULT_ALPHA = 0.05
-QUANTILES = (50.0, 90.0, 99.0)  # percentiles
-ALL_CLASSES = ""
+QUANTILES = (50.0, 90.0, 99.0)  # in percent
+ALL_CLASSES = ""  # `class_name` of results over all classes
 
 Decoded = TypeVar("Decoded")
 
@@ -46,9 +47,9 @@
 class ArmResult:
     """Results of one arm, for one class or all (`ALL_CLASSES`).
 
-    The mean and `completion_quantiles_ms` are over all ended requests, with the class's deadline for those
-    that were not served; `served_quantiles_ms` are over the served alone. `lost` requests were open at
-    incarnations that have ended, and adopted by nobody.
+    The mean and `completion_quantiles_ms` are over all ended and lost requests, with the class's deadline for
+    those that were not served; `served_quantiles_ms` are over the served ones alone. `lost` requests were
+    open at incarnations that have ended, and no other incarnation completed them.
     """
 
     arm: str
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One arm less the baseline; `primary_measure` names the estimate that answers the question."""
+    """Estimates of an arm less the baseline; `primary_measure` names the one to decide by."""
 
     arm: str
     class_name: str
@@ -116,8 +117,9 @@
 class Summary:
     """Results of an experiment.
 
-    `sample_ratio_p_value` is the probability of so uneven a split if the arms' parts were as defined: under
-    0.001 no figure here can be trusted. `ended_arms` are the arms that the guard ended, each with the reason.
+    `sample_ratio_p_value` is the probability of a split at least as uneven as the one found, if requests are
+    assigned by the arms' parts: below 0.001 no figure of the summary can be trusted. `ended_arms` are the
+    names of the arms that the guard ended, each with the reason.
     """
 
     name: str
@@ -133,7 +135,7 @@
     ended_arms: tuple[tuple[str, str], ...]
 
     def figures(self) -> dict[str, float]:
-        """Return every figure by name, as `Row.figures` of an experiment's table has them."""
+        """Return every figure by name, in the form that an experiment's table stores."""
         named: dict[str, float] = {
             "requests": float(self.requests),
             "split_p": self.sample_ratio_p_value,
@@ -153,7 +155,7 @@
 ) -> Summary:
     """Summarize a ledger's records (`Store.scan("placement/")`) and members.
 
-    Records of other versions are left out: `incarnations_by_version` counts them.
+    Records of other versions of the experiment are left out; `incarnations_by_version` counts them.
     """
     counters = _decode_below(records, experiment.record_key(COUNTERS), decode_counters)
     segments = _decode_below(records, experiment.record_key(SEGMENTS), decode_segment)
@@ -171,13 +173,13 @@
 def _decode_below(
     records: Iterable[Record], prefix: str, decode: Callable[[bytes], Decoded | None]
 ) -> list[Decoded]:
-    """Decode the records below a prefix, without those that can't be decoded."""
+    """Decode the records whose keys have a prefix, leaving out those that can't be decoded."""
     decoded = [decode(record.value) for record in _records_below(records, prefix)]
     return [value for value in decoded if value is not None]
 
 
 def _end_reasons(records: Iterable[Record], prefix: str) -> dict[int, str]:
-    """Return why arms were ended, by their indices."""
+    """Return the reasons why arms were ended, by the arm's index."""
     reasons = {}
     for record in _records_below(records, prefix):
         arm = int(record.key.removeprefix(prefix))
@@ -186,7 +188,7 @@
 
 
 def incarnations_by_version(experiment: Experiment, records: Sequence[Record]) -> dict[str, int]:
-    """Return how many incarnations count under each version of an experiment of this name."""
+    """Return how many incarnations have counters under each version of this experiment's name."""
     counts: dict[str, int] = {}
     for record in records:
         match record.key.split("/"):
@@ -204,9 +206,10 @@
     alpha: float = DEFAULT_ALPHA,
     segments: Sequence[BinSegment] = (),
 ) -> Summary:
-    """Summarize the records of any incarnations, in any order.
+    """Summarize the records of any number of incarnations, in any order.
 
-    `ended` are incarnations that run no more, `end_reasons` why the guard ended arms, by their indices.
+    `ended` are incarnations that no longer run; `end_reasons` are the reasons why the guard ended arms, by
+    the arm's index.
     """
     by_name = {request_class.name: request_class.deadline_ms for request_class in classes}
     class_names = experiment.classes or tuple(by_name)
@@ -233,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Subject:
-    """What one figure is about: an arm, and all classes or one (see `metrics`)."""
+    """The arm and the class that a result is about; `metric` is the index of the class or of all."""
 
     arm: int
     arm_name: str
@@ -242,7 +245,7 @@
 
 
 def _subjects(experiment: Experiment, class_names: Sequence[str]) -> list[_Subject]:
-    """Return every arm with all classes, then with each class."""
+    """Return a subject for each arm over all classes, and for each arm and class."""
     subjects = []
     for index, arm in enumerate(experiment.arms):
         for metric, class_name in enumerate((ALL_CLASSES, *class_names)):
@@ -283,7 +286,7 @@
 
 
 def _ending_counts(merged: MergedCounters, arm: int, classes: Sequence[int]) -> dict[RequestEnding, int]:
-    """Return how many requests of an arm ended how, over these classes."""
+    """Return the number of an arm's requests by ending, summed over these classes."""
     cells = [merged.cells[arm, index] for index in classes if (arm, index) in merged.cells]
     counts = {}
     for ending in RequestEnding:
@@ -302,7 +305,7 @@
 def _unserved_histogram(
     merged: MergedCounters, arm: int, classes: Sequence[int], deadlines_ms: Sequence[float]
 ) -> HdrHistogram:
-    """Return a histogram of requests that were not served, each at its class's deadline."""
+    """Return a histogram of ended or lost requests that were not served, at their class's deadline."""
     histogram = new_histogram()
     for index in classes:
         cell = merged.cells.get((arm, index))
@@ -333,9 +336,10 @@
 
 
 def _sample_ratio_p_value(experiment: Experiment, arms: Sequence[ArmResult]) -> float:
-    """Return the p-value of a chi-square test that requests are split as the arms' parts say.
+    """Return the p-value of a chi-square test that requests are split by the arms' parts.
 
-    It is 1 where units are more than single requests: their counts vary by more than chance.
+    Return 1 if an arm has no requests, or if units are not single requests: requests of one unit share an
+    arm, so that the counts vary by more than the test assumes.
     """
     counts = [arm.requests for arm in arms if arm.class_name == ALL_CLASSES]
     if experiment.unit != "request" or min(counts) == 0:
--- a/meadowpulley/placement/supermarket_model.py
+++ b/meadowpulley/placement/supermarket_model.py
@@ -1,9 +1,9 @@
-"""A fast model in which the true difference is known: the supermarket model with several gateways.
+"""Simulate the supermarket model with several gateways, where the true difference can be measured.
 
-The paper's section 3 (after Mitzenmacher 2001): servers with FIFO queues and exponential service of mean 1,
-Poisson arrivals; extended by gateways that see only their own requests in flight, and by zones. Times are
-in mean service times. All runs of a setting step together, as arrays; the chain is uniformized, so that
-each step is an arrival or a possible departure.
+The model is that of the paper's section 3 (after Mitzenmacher 2001), with FIFO queues, exponential service
+times of mean 1 and Poisson arrivals. It is extended by gateways that see only their own requests in flight,
+and by zones. Times are in mean service times. All runs of a setting advance together, as arrays; the Markov
+chain is uniformized, so that each step is an arrival or a possible departure.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 Floats = npt.NDArray[np.float64]
 Ints = npt.NDArray[np.integer[Any]]
-MAX_QUEUE_LENGTH = 512  # requests at one server
-ZONES = 2  # servers and gateways alternate between them, by their numbers
-EVEN_SKEW = 0.5  # of arrivals between two zones
-DRAWS_PER_STEP = 3  # of a gateway, an arm, and the server of a possible departure
-THIRD_CHOICE = 3  # sampled servers, from which on a third one is drawn
-TIE_BREAK = 0.5  # random numbers below that are added to whole counts, to choose among equals
+MAX_QUEUE_LENGTH = 512  # requests at one server; a longer queue raises `ModelOverloadError`
+ZONES = 2  # the server or gateway of number n is in zone n % 2
+EVEN_SKEW = 0.5  # `zone_skew` at which both zones get as many arrivals
+DRAWS_PER_STEP = 3  # random numbers for the gateway, the arm, and the server of a possible departure
+THIRD_CHOICE = 3  # a rule with this many choices samples a third server
+TIE_BREAK = 0.5  # random numbers below this are added to integer counts, to choose among equal ones
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRule:
-    """How an arm places: at the server with the fewest own requests in flight among some at random.
+    """A rule that picks the server with the fewest requests in flight from the gateway, among a sample.
 
-    `choices` is how many are sampled (1 to 3, 0: all of them); with `own_zone_only` among the servers of the
-    gateway's zone.
+    `choices` is the number of servers sampled at random (1 to 3; 0 means all); with `own_zone_only` they are
+    sampled from the gateway's zone.
     """
 
     name: str
@@ -50,8 +50,9 @@
 class ModelSetting:
     """A fleet and its load.
 
-    `load` is in arrivals per server and service time. `zone_skew` is the fraction of the arrivals that zone 0
-    of two gets; the gateways' zones alternate. `cross_zone_delay` is added to requests that leave their zone.
+    `load` is in arrivals per server and mean service time. `zone_skew` is the fraction of the arrivals that
+    the gateways of zone 0 get; the gateways' zones alternate. `cross_zone_delay`, in mean service times, is
+    added to the sojourn time of requests that are served in another zone than their gateway's.
     """
 
     servers: int
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True)
 class SimulatedRuns:
-    """What came of a setting: arrays by run and arrival; `sojourn_time` is infinite for what did not end."""
+    """The simulated requests, as arrays by run and arrival; unended ones have infinite `sojourn_time`."""
 
     arrival_time: Floats
     arm: Ints
@@ -73,11 +74,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationPlan:
-    """Some runs of a fleet in which `second_fraction` of the requests are placed by the second rule.
+    """Runs of a fleet in which a fraction `second_fraction` of the requests is placed by the second rule.
 
-    With 0 or 1 the result is the truth about one rule. The arrivals, arms and possible departures are the
-    same for a seed whatever the rules are; with `swapped` each request is in the other arm, so that, at
-    halves, the mean of both runs tells a bias apart from chance. `arrivals` are of one run.
+    With 0 or 1 all traffic is under one rule, which gives that rule's true mean. The arrivals, arms and
+    possible departures depend on the seed alone, not on the rules. With `swapped` each request is in the
+    other arm, so that, at a fraction of a half, the mean of both runs distinguishes a bias from chance.
+    `arrivals` is the number of requests of one run.
     """
 
     setting: ModelSetting
@@ -90,9 +92,9 @@
 
 
 def simulate(plan: SimulationPlan) -> SimulatedRuns:
-    """Simulate runs until each has had its arrivals.
+    """Simulate until each run has had its number of arrivals.
 
-    Raises `ModelOverloadError` for a load that can't be carried.
+    Raises `ModelOverloadError` if a queue would exceed `MAX_QUEUE_LENGTH`: the load is too high.
     """
     simulation = _Simulation(plan)
     while simulation.accepted.min() < plan.arrivals:
@@ -107,7 +109,9 @@
         self.plan = plan
         self.setting = plan.setting
         self.rng = np.random.default_rng(plan.seed)
-        self.placement_rng = np.random.default_rng(plan.seed + 1)  # of the rules alone
+        self.placement_rng = np.random.default_rng(
+            plan.seed + 1
+        )  # used by the rules only, so that they do not change other draws
         runs = plan.runs
         servers = plan.setting.servers
         self.outstanding = np.zeros((runs, plan.setting.gateways, servers), dtype=np.int32)
@@ -144,7 +148,7 @@
         server = self._choose_servers(arm, gateway, self.outstanding[runs, gateway])
         if (self.size[runs, server] >= MAX_QUEUE_LENGTH).any():
             raise ModelOverloadError(
-                f"a queue of {MAX_QUEUE_LENGTH}: such a load can't be carried; make it smaller"
+                f"a queue has {MAX_QUEUE_LENGTH} requests: the load is too high; make it smaller"
             )
         number = self.accepted[runs]
         tail = (self.head[runs, server] + self.size[runs, server]) % MAX_QUEUE_LENGTH
@@ -171,7 +175,10 @@
         self.result.sojourn_time[runs, number] = waited + self.setting.cross_zone_delay * crosses_zones
 
     def _choose_servers(self, arm: Ints, gateway: Ints, outstanding: Ints) -> Ints:
-        """Return the server of each request; `outstanding` is what its gateway has in flight, by server."""
+        """Return the server of each request.
+
+        `outstanding` is the number of requests that its gateway has in flight, by server.
+        """
         rng = self.placement_rng
         chosen = np.zeros(len(arm), dtype=np.int64)
         for number, rule in enumerate(self.plan.rules):
@@ -187,12 +194,12 @@
 
 
 def _least_index(counts: Ints, rng: np.random.Generator) -> Ints:
-    """Return the index of the least count in each row, one of them at random where several are least."""
+    """Return the index of the least count in each row, chosen at random among equal ones."""
     return np.asarray(np.argmin(counts + TIE_BREAK * rng.random(counts.shape), axis=1))
 
 
 def _gateway_bounds(setting: ModelSetting) -> Floats:
-    """Return the cumulative probabilities of the gateways, by their zones' parts of the arrivals."""
+    """Return cumulative probabilities of the gateways, from their zones' fractions of arrivals."""
     in_first_zone = np.arange(setting.gateways) % ZONES == 0
     first = setting.zone_skew / max(in_first_zone.sum(), 1)
     second = (1 - setting.zone_skew) / max((~in_first_zone).sum(), 1)
@@ -201,8 +208,8 @@
 
 
 def _sample_servers(servers: int, rule: PlacementRule, gateway: Ints, rng: np.random.Generator) -> Ints:
-    """Return different servers for each request: a random one, and others at random distances from it."""
-    step = ZONES if rule.own_zone_only else 1  # the servers of a zone are every other one
+    """Return distinct servers for each request: a random one, and others at random offsets from it."""
+    step = ZONES if rule.own_zone_only else 1  # every other server is in the same zone
     candidates = servers // step
     shape = (len(gateway), 1)
     distances = np.zeros(shape, dtype=np.int64)
--- a/meadowpulley/placement/time_bins.py
+++ b/meadowpulley/placement/time_bins.py
@@ -1,13 +1,14 @@
 """Short time bins: each gateway records its own, and the bins of all gateways are added up.
 
-The mixed Differences-in-Q estimate uses them. The paper's equation (12) adds to each request's cost the
-costs of the next L requests, wherever they go. In a fleet those are requests of all gateways, and a policy
-may burden another gateway's requests more than its own, so no gateway can sum alone. Each records, by bins
-on the clock that gateways share, which arms its requests had, what they cost, and how many were outstanding
-(the time integral, for Little's law). The bins of all incarnations are added, and the estimate multiplies
-the arms of a bin with all costs of that bin and the next `LOOKAHEAD_BINS`. Costs of requests that came
-before one in its own bin are in the product too and add no bias: an arm is drawn independently of all that
-was before. A bin is a fifth of the carry time, so that clocks a few milliseconds apart do no harm.
+The mixed Differences-in-Q estimate uses them. The paper's equation (12) adds to each request's cost the costs
+of the next L requests, wherever they go. In a fleet those are requests of all gateways, and a policy may add
+more to the cost of another gateway's requests than to its own, so no gateway can compute the sum alone. Each
+records, by bins on the clock that gateways share, the arms and the costs of its requests and how many were
+outstanding (the time integral, for Little's law). The bins of all incarnations are added up, and the estimate
+multiplies the arms of a bin by all costs of that bin and the next `LOOKAHEAD_BINS`. The product also includes
+the costs of requests that came earlier in the same bin; they add no bias, because an arm is drawn
+independently of everything before it. A bin is a fifth of the carry time, so that clocks that differ by a few
+milliseconds do no harm.
 """
 
 from __future__ import annotations
@@ -19,17 +20,18 @@
 
 from meadowpulley.placement.metrics import metrics_of
 
-LOOKAHEAD_BINS = 5  # after its own, whose requests a request is assumed to burden: one carry time
-BINS_PER_SEGMENT = 16  # of one record
-MAX_BINS = 4096  # that one incarnation records; the estimate is based on these, all else goes on
+LOOKAHEAD_BINS = 5  # bins after its own to whose costs a request is assumed to add; one carry time
+BINS_PER_SEGMENT = 16  # bins in one record
+MAX_BINS = 4096  # bins of one incarnation; later requests are in no bin, but count in all else
 
 
 class TimeBin(Struct, array_like=True):
-    """One incarnation's part of one bin.
+    """One incarnation's part of a time bin, or the sum over incarnations.
 
-    `arm_counts` are the requests accepted by (group, arm), arm -1 for none. `accepted`, `cost_ms`,
-    `outstanding_ms` (requests times ms) and `outstanding_at_start` are by metric: all classes, then each.
-    `ended_arms` got no requests any more for a part of the bin at least: it compares nothing of theirs.
+    `arm_counts` are the accepted requests by (group, arm); arm -1 is that of requests in no arm. `accepted`,
+    `cost_ms`, `outstanding_ms` (requests times ms) and `outstanding_at_start` are indexed by metric: all
+    classes, then each class. `ended_arms` got no more requests for at least a part of the bin; they are not
+    compared in it.
     """
 
     number: int
@@ -41,7 +43,7 @@
     ended_arms: list[int]
 
     def copy(self) -> TimeBin:
-        """Return a bin that shares no list with this one."""
+        """Return a copy that shares no list or dict with this bin."""
         return TimeBin(
             number=self.number,
             arm_counts=dict(self.arm_counts),
@@ -65,7 +67,7 @@
 
 
 class BinSegment(Struct, array_like=True, frozen=True):
-    """Some successive bins of one incarnation, written once and never changed."""
+    """Successive bins of one incarnation, as one record that is written once and never changed."""
 
     incarnation: str
     bins: list[TimeBin]
@@ -89,7 +91,10 @@
 
 
 class BinRecorder:
-    """Records one incarnation's bins, by metric: all classes, then each. Times are ms on the shared clock."""
+    """Records one incarnation's bins, by metric: all classes, then each.
+
+    Times are in ms on the clock that gateways share.
+    """
 
     def __init__(self, incarnation: str, metric_count: int, carry_ms: float) -> None:
         self.incarnation = incarnation
@@ -97,10 +102,10 @@
         self.bin_width_ms = carry_ms / LOOKAHEAD_BINS
         self.outstanding = [0] * metric_count
         self.advanced_to = 0.0
-        self.bins: list[TimeBin] = []  # the last one is not over
-        self.pending: dict[int, int] = {}  # outstanding requests by the bin that accepted them
+        self.bins: list[TimeBin] = []  # not yet in a segment; the last one is the current bin
+        self.pending: dict[int, int] = {}  # number of outstanding requests, by the bin of their acceptance
         self.ended_arms: list[int] = []
-        self.discarded_bins = 0  # that are in a segment already
+        self.discarded_bins = 0  # number of bins that are in a segment already
 
     def _start_bin(self, number: int) -> None:
         self.bins.append(
@@ -116,7 +121,10 @@
         )
 
     def advance(self, now: float) -> None:
-        """Advance to `now`. A clock that is set back has no effect until it has caught up."""
+        """Integrate the outstanding requests up to `now`, and start the bins that begin by then.
+
+        A clock that is set back has no effect until it has caught up.
+        """
         if not self.bins:
             self.advanced_to = now
             self._start_bin(int(now // self.bin_width_ms))
@@ -144,7 +152,7 @@
     def record_accepted(self, now: float, arm: int, class_index: int, group: int) -> int:
         """Record an accepted request and return its bin's number.
 
-        A request of arm -1 is in no arm, but its cost counts: it bears what others burden it with.
+        A request of arm -1 is in no arm, but its cost counts, because requests of the arms may add to it.
         """
         self.advance(now)
         last = self.bins[-1]
@@ -156,7 +164,10 @@
         return last.number
 
     def record_ended(self, now: float, number: int, class_index: int, cost_ms: float) -> None:
-        """Record the end of a request of that bin, and its cost (its deadline if it was not served)."""
+        """Record the end and the cost of a request that was accepted in the bin `number`.
+
+        The cost is the request's deadline if it was not served.
+        """
         self.advance(now)
         self.pending[number] -= 1
         time_bin = self.bins[number - self.bins[0].number]
@@ -165,7 +176,7 @@
             time_bin.cost_ms[metric] += cost_ms
 
     def next_segment(self) -> BinSegment | None:
-        """Return the next bins, once all of their requests have ended."""
+        """Return the next segment once its bins are over and all of their requests ended, else None."""
         first_bins = self.bins[:BINS_PER_SEGMENT]
         has_pending = any(self.pending.get(time_bin.number) for time_bin in first_bins)
         if len(self.bins) <= BINS_PER_SEGMENT or has_pending:
@@ -173,7 +184,7 @@
         return BinSegment(self.incarnation, first_bins)
 
     def discard_segment(self) -> None:
-        """Drop the bins of the next segment, once the record writer has it."""
+        """Drop the bins of the segment that `next_segment` returned, once the record writer has it."""
         for time_bin in self.bins[:BINS_PER_SEGMENT]:
             self.pending.pop(time_bin.number, None)
         self.discarded_bins += BINS_PER_SEGMENT
@@ -181,7 +192,7 @@
 
 
 class BinTotals:
-    """The sums of all incarnations' bins; segments may come in any order, and more than once."""
+    """Sums of all incarnations' bins; segments may be added in any order, and more than once."""
 
     def __init__(self) -> None:
         self.bins: dict[int, TimeBin] = {}
@@ -207,7 +218,7 @@
                 total.add(time_bin)
 
     def complete_bins(self, ended: Collection[str]) -> list[TimeBin]:
-        """Return the bins in order, as far as every incarnation that has not `ended` has written its own."""
+        """Return the bins up to the last that every incarnation not in `ended` has written, in order."""
         last_bins = self.last_bin_by_incarnation
         last_of_live = [number for incarnation, number in last_bins.items() if incarnation not in ended]
         last_of_any = max(last_bins.values(), default=-1)
