--- a/meadowpulley/placement/definition.py
+++ b/meadowpulley/placement/definition.py
@@ -118,9 +118,11 @@
     for index, arm in enumerate(experiment.arms):
         arm_path = f"{path}: arms[{index}]"
         if names.count(arm.name) > 1:
-            raise ExperimentError(f"{arm_path}.name: '{arm.name}' is there twice; names must differ")
+            raise ExperimentError(f"{arm_path}.name: '{arm.name}' is used twice; names must differ")
         if arm.policy not in known:
-            raise ExperimentError(f"{arm_path}.policy: '{arm.policy}' is none; known are {', '.join(known)}")
+            raise ExperimentError(
+                f"{arm_path}.policy: '{arm.policy}' is not a policy; known are {', '.join(known)}"
+            )
     total = math.fsum(arm.part for arm in experiment.arms)
     if total > 1 + PART_TOLERANCE:
         raise ExperimentError(f"{path}: arms: parts add up to {total:g}, over 1; make them smaller")
@@ -129,21 +131,23 @@
 def _validate_classes(experiment: Experiment, path: str, classes: Sequence[str] | None) -> None:
     for name in experiment.classes:
         if experiment.classes.count(name) > 1:
-            raise ExperimentError(f"{path}: classes: '{name}' is there twice; name each once")
+            raise ExperimentError(f"{path}: classes: '{name}' is named twice; name each class once")
         if classes is not None and name not in classes:
-            raise ExperimentError(f"{path}: classes: '{name}' is no class; known are {', '.join(classes)}")
+            raise ExperimentError(f"{path}: classes: '{name}' is not a class; known are {', '.join(classes)}")
 
 
 def _validate_times(experiment: Experiment, path: str) -> None:
     end = experiment.end
     if end.at is None and end.requests is None:
-        raise ExperimentError(f"{path}: end: neither 'at' nor 'requests'; an experiment must end: give one")
+        raise ExperimentError(
+            f"{path}: end: neither 'at' nor 'requests' is set; an experiment must end: set one"
+        )
     if end.at is not None and end.at.tzinfo is None:
-        raise ExperimentError(f"{path}: end.at: without a zone; write it with one, as 2027-01-31T12:00:00Z")
+        raise ExperimentError(f"{path}: end.at: the time has no zone; add one, as in 2027-01-31T12:00:00Z")
     if experiment.unit == "time" and experiment.settle_ms >= experiment.block_ms:
         raise ExperimentError(
-            f"{path}: settle_ms: {experiment.settle_ms:g} leaves nothing of a block; "
-            f"make it under {experiment.block_ms:g}"
+            f"{path}: settle_ms: {experiment.settle_ms:g} leaves no part of a block to compare; "
+            f"make it less than {experiment.block_ms:g}"
         )
 
 
--- a/tests/placement_harness.py
+++ b/tests/placement_harness.py
@@ -1,4 +1,4 @@
-"""A placement stage on a shared ledger in memory, driven by tests."""
+"""A harness for tests that drive a placement stage on a shared ledger in memory."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 SETTINGS = gateway_settings(demo_fleet(), 0)
 LEASE_TERM_MS = 1000.0
 ARMS = (Arm("now", "own", 0.5), Arm("other", "least", 0.5))
-OTHER_LABEL = 1  # the label of arm "other"; the default policy's label is that of no placement
+OTHER_LABEL = 1  # `Request.arm` of arm "other"; that of arm "now" has no placement
 
 
 class RecordingStage:
-    """Records all events, and returns the actions that a test sets."""
+    """A stage that records all events, and returns the actions that a test sets for the next one."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -33,7 +33,10 @@
 
 
 class StubOrigins:
-    """Origins: a request's own number unless `known` says otherwise; departures as a test sets them."""
+    """A lookup of origins: this incarnation and the request's id, unless `known` has another one.
+
+    Departures are those that a test sets.
+    """
 
     def __init__(self, incarnation: Incarnation, known: dict[int, RequestOrigin]) -> None:
         self.incarnation = incarnation
@@ -48,7 +51,7 @@
 
 
 class StageHarness:
-    """A stage on a shared ledger in memory; it may be disconnected from the ledger, or killed."""
+    """A stage on a shared ledger in memory; a test may disconnect it from the ledger or kill it."""
 
     def __init__(
         self, store: MemoryStore, name: str, origins: dict[int, RequestOrigin] | None = None, **more: Any
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement experiments: definitions, assignment, policies, and counters that survive crashes."""
+"""Tests of placement experiments: definitions, assignment, policies, and counters after crashes."""
 
 from __future__ import annotations
 
@@ -66,11 +66,15 @@
     ('unit = "request"', 'unit = "color"', "x.toml: unit: Invalid enum value 'color'"),
     ('unit = "request"', "units = 1", "unknown field `units`"),
     ("part = 0.5", "part = 0.7", "x.toml: arms: parts add up to 1.2, over 1; make them smaller"),
-    ('policy = "least"', 'policy = "best"', "x.toml: arms[1].policy: 'best' is none; known are own, two"),
-    ('name = "fewest"', 'name = "now"', "x.toml: arms[0].name: 'now' is there twice; names must differ"),
-    ("requests = 200000", "", "x.toml: end: neither 'at' nor 'requests'"),
-    ("requests = 200000", "at = 2027-01-01T00:00:00", "x.toml: end.at: without a zone"),
-    ("classes = []", 'classes = ["none"]', "x.toml: classes: 'none' is no class; known are look, buy"),
+    (
+        'policy = "least"',
+        'policy = "best"',
+        "x.toml: arms[1].policy: 'best' is not a policy; known are own, two",
+    ),
+    ('name = "fewest"', 'name = "now"', "x.toml: arms[0].name: 'now' is used twice; names must differ"),
+    ("requests = 200000", "", "x.toml: end: neither 'at' nor 'requests' is set"),
+    ("requests = 200000", "at = 2027-01-01T00:00:00", "x.toml: end.at: the time has no zone"),
+    ("classes = []", 'classes = ["none"]', "x.toml: classes: 'none' is not a class; known are look, buy"),
     ("worse = 0.1", "worse = 0.0", "x.toml: guard.worse: Expected `float` > 0"),
 ]
 
@@ -85,7 +89,7 @@
     assert "\n" not in str(error.value)
 
 
-def test_the_environment_names_the_file_or_none() -> None:
+def test_the_experiment_is_read_from_the_file_that_the_environment_names() -> None:
     settings = gateway_settings(demo_fleet(), 0)
     assert read_experiment({}, settings) is None
     assert read_experiment({"MEADOWPULLEY_PLACEMENT": str(EXAMPLE)}, settings) is not None
@@ -94,12 +98,12 @@
 
 
 def test_a_definition_that_contradicts_the_running_one_is_refused() -> None:
-    mine, theirs = experiment(), experiment(carry_ms=1000.0)
-    check_matches_running(mine, msgspec.json.encode(mine), "x.toml")
+    own, running = experiment(), experiment(carry_ms=1000.0)
+    check_matches_running(own, msgspec.json.encode(own), "x.toml")
     with pytest.raises(FleetError, match="'try' runs as version"):
-        check_matches_running(mine, msgspec.json.encode(theirs), "x.toml")
+        check_matches_running(own, msgspec.json.encode(running), "x.toml")
     with pytest.raises(FleetError, match="can't be read"):
-        check_matches_running(mine, b"\x00", "x.toml")
+        check_matches_running(own, b"\x00", "x.toml")
 
 
 # Assignment
@@ -122,7 +126,7 @@
 def test_a_unit_has_the_same_arm_at_every_gateway(unit: Any) -> None:
     at = Assignment(experiment(unit=unit, block_ms=1000.0, settle_ms=0.0))
     same = [at.unit(request(n, 7), "a.1", 5, 1500.0) for n in (1, 2)]
-    assert same[0] == same[1]  # the gateway's own request number does not count
+    assert same[0] == same[1]  # the unit does not depend on the id that this gateway gave the request
     other = at.unit(replace_request(request(3, 8), tenant=1), "b.1", 6, 2500.0)
     assert other != same[0]
 
@@ -143,42 +147,54 @@
 
 @pytest.mark.parametrize("name", sorted(POLICIES))
 def test_a_policy_orders_each_server_once_and_is_deterministic(name: str) -> None:
-    def play(seed: int) -> list[list[int]]:
+    def orders(seed: int) -> list[list[int]]:
         rng, policy = Random(5), POLICIES[name](seed)
         return [list(policy(0.0, request(n, n % 3), candidates(rng, n % 9))) for n in range(60)]
 
-    for n, order in enumerate(play(1)):
+    for n, order in enumerate(orders(1)):
         assert sorted(order) == list(range(n % 9))
-    assert play(1) == play(1)
+    assert orders(1) == orders(1)
 
 
-def test_what_each_policy_prefers() -> None:
+def test_each_policy_prefers_the_expected_servers() -> None:
     servers = [Candidate(s, 0, 0, s % 2, 1, s, 1.0, 50.0 + 50 * (s % 2), s % 2 == 1) for s in range(10)]
-    made = {name: POLICIES[name](3) for name in POLICIES}
+    policies = {name: POLICIES[name](3) for name in POLICIES}
     first = {
         name: Counter(policy(0.0, request(n, 9), servers)[0] for n in range(4000))
-        for name, policy in made.items()
+        for name, policy in policies.items()
     }
     assert first["least"] == {0: 4000}
     assert first["two"][0] == pytest.approx(4000 * 18 / 90, rel=0.1)
     assert not first["two"][9]
     assert set(first["round"].values()) == {400}
-    assert set(first["zone"]) == {1, 3, 5, 7}  # of its zone, and never the busiest of two
-    quick, slow = (sum(first["speed"][s] for s in range(10) if s % 2 == kind) for kind in (0, 1))
-    assert quick / slow == pytest.approx(2.0, rel=0.1)  # half the latency, twice as often
+    assert set(first["zone"]) == {
+        1,
+        3,
+        5,
+        7,
+    }  # servers of the own zone, without the one with the most requests in flight
+    fast, slow = (sum(first["speed"][s] for s in range(10) if s % 2 == kind) for kind in (0, 1))
+    assert fast / slow == pytest.approx(
+        2.0, rel=0.1
+    )  # with half the latency a server is preferred twice as often
     assert len(first["key"]) == 1
-    away = [s for s in servers if s.server not in first["key"]]
+    remaining = [s for s in servers if s.server not in first["key"]]
     moved = [POLICIES["key"](8)(0.0, request(1, key), servers)[0] for key in range(1, 200)]
-    again = [POLICIES["key"](9)(0.0, request(1, key), away)[0] for key in range(1, 200)]
-    gone = next(iter(first["key"]))
-    assert all(servers[a] == away[b] for a, b in zip(moved, again, strict=True) if servers[a].server != gone)
+    again = [POLICIES["key"](9)(0.0, request(1, key), remaining)[0] for key in range(1, 200)]
+    removed = next(iter(first["key"]))
+    assert all(
+        servers[a] == remaining[b] for a, b in zip(moved, again, strict=True) if servers[a].server != removed
+    )
 
 
 # Counters
 
 
 def adopted_records(seed: int) -> list[CountersRecord]:
-    """Records of two incarnations that crash, and of two that adopt their requests, some of them twice."""
+    """Return records of two incarnations that crash, and of two others that adopt their requests.
+
+    Some requests are adopted by both, and some by neither.
+    """
     rng, counters = Random(seed), {name: ArmCounters(name) for name in ("a.1", "b.1", "c.1", "d.1")}
     written: list[CountersRecord] = []
     for n in range(200):
@@ -187,7 +203,7 @@
         for name in ("a.1", "b.1"):
             for number in [k for k in counters[name].open_requests if rng.random() < 0.2]:
                 counters[name].record_ended(number, rng.choice(list(RequestEnding)), 10.0)
-        if n % 37 == 0:  # the last revision is well before the crash
+        if n % 37 == 0:  # the last revision is written well before the crash
             written += [
                 c for b in counters.values() if (c := decode_counters(b.encode_next_revision())) is not None
             ]
@@ -211,7 +227,7 @@
     Random(2).shuffle(again)
     two = merge_counters(again, {"a.1", "b.1"}, {0: 1000.0})
     assert (one.cells, one.moments, one.lost) == (two.cells, two.moments, two.lost)
-    # Of each crashed incarnation: all up to its last revision, and what it accepted later and was adopted.
+    # The requests of each crashed incarnation up to its last revision, and later ones that were adopted.
     last = {c.incarnation: c for c in written if c.incarnation in ("a.1", "b.1")}
     late = {
         (e.incarnation, e.number)
--- a/tests/test_placement_emulated.py
+++ b/tests/test_placement_emulated.py
@@ -1,4 +1,7 @@
-"""Placement experiments on the emulated fleet with real rollout policies: rules, crashes, drawn builds."""
+"""Tests of placement experiments on the emulated fleet, with real rollout policies.
+
+They check the rules, crashes of gateways, the draw of builds, and the guard.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +29,8 @@
 from meadowpulley.policy import RolloutPolicy
 from meadowpulley.rules import AttemptSent, Record
 
-PATH = Path(__file__).parent.parent / "examples" / "placement-fleet.toml"
-FLEET = parse_fleet(PATH.read_bytes(), PATH.name)
+FLEET_FILE = Path(__file__).parent.parent / "examples" / "placement-fleet.toml"
+FLEET = parse_fleet(FLEET_FILE.read_bytes(), FLEET_FILE.name)
 FAULTS = Scenario(
     releases=(Release(2000.0, Build(2, failure_share=0.6)),),
     faults=(Fault("gateway_crash", 9000.0, 3000.0, share=0.5), Fault("vanish", 6000.0, 4000.0, share=0.1)),
@@ -46,12 +49,12 @@
     assert not found.rule_violations
     s = found.summary
     assert s.incarnations == 3
-    assert s.withheld > 0  # during the rollback, and before the ledger was read
-    asked = sum(1 for _ in load.arrivals(FLEET, 3))
+    assert s.withheld > 0  # requests during the rollback, and before the ledger was read
+    request_count = sum(1 for _ in load.arrivals(FLEET, 3))
     lost = sum(a.lost for a in s.arms if not a.class_name)
     assert 0 < lost < 100
     assert not sum(a.still_open for a in s.arms)
-    assert 0.85 * asked < s.requests + s.withheld <= asked
+    assert 0.85 * request_count < s.requests + s.withheld <= request_count
     assert min(a.served for a in s.arms if not a.class_name) > 600
     assert s.sample_ratio_p_value > 0.001
     if policy == "two":
@@ -59,23 +62,23 @@
 
 
 def test_the_drawn_build_is_independent_of_the_arm() -> None:
-    e, seen = experiment("two"), Counter[tuple[int, int]]()
-    assignment, done = Assignment(e), set[int]()
+    e, counts = experiment("two"), Counter[tuple[int, int]]()
+    assignment, counted = Assignment(e), set[int]()
 
-    def make(settings: Any, seed: int) -> PlacementStage:
+    def build_stage(settings: Any, seed: int) -> PlacementStage:
         incarnation = Incarnation(f"gateway-{settings.gateway_index}", 1)
         stage = PlacementStage(
             RolloutPolicy(settings, seed, build_placements(e, seed)), e, settings, incarnation
         )
-        stage.writer.on_ledger_read()  # it has no ended arms
-        stage.writer.on_ledger_unavailable()  # it commits nothing
+        stage.writer.on_ledger_read()  # the ledger counts as read, without ended arms
+        stage.writer.on_ledger_unavailable()  # the stage commits nothing
         return stage
 
-    def see(record: Record) -> None:
-        if isinstance(record, AttemptSent) and record.request not in done:
-            done.add(record.request)
+    def count_first_build(record: Record) -> None:
+        if isinstance(record, AttemptSent) and record.request not in counted:
+            counted.add(record.request)
             arm = assignment.arm(f"request gateway-{record.gateway}.1 {record.request}".encode())
-            seen[arm, record.build] += 1
+            counts[arm, record.build] += 1
 
     scenario = Scenario(releases=(Release(2000.0, Build(2)),))
     Emulation(
@@ -83,10 +86,10 @@
         LoadSpec(per_s=150.0, seconds=12.0).arrivals(FLEET, 5),
         5,
         scenario,
-        build_policy=make,
-        on_record=see,
+        build_policy=build_stage,
+        on_record=count_first_build,
     ).run()
-    table = [[seen[arm, build] for build in (1, 2)] for arm in (0, 1)]
+    table = [[counts[arm, build] for build in (1, 2)] for arm in (0, 1)]
     assert min(min(row) for row in table) > 20
     assert stats.chi2_contingency(table).pvalue > 0.01
 
@@ -105,7 +108,7 @@
 
 
 def test_the_guard_ends_a_harmful_arm_and_not_an_equal_one() -> None:
-    load = LoadSpec(per_s=170.0, seconds=15.0)  # 0.85 of what the fleet can do; requests have no keys
+    load = LoadSpec(per_s=170.0, seconds=15.0)  # 0.85 of the fleet's capacity; requests have no keys
     harmed, equal = (run_experiment(FLEET, experiment(policy, "two"), load, 1) for policy in ("key", "two"))
     assert harmed.guard_times_ms
     assert harmed.summary.ended_arms[0][0] == "new"
--- a/tests/test_placement_formats.py
+++ b/tests/test_placement_formats.py
@@ -1,4 +1,4 @@
-"""Records of placement experiments as version 0.4.0 stored them: read, and written as the same bytes."""
+"""Tests that records which version 0.4.0 stored are read, and are written as the same bytes."""
 
 from __future__ import annotations
 
--- a/tests/test_placement_gateway.py
+++ b/tests/test_placement_gateway.py
@@ -1,4 +1,4 @@
-"""An experiment at real gateways: one is killed, and each request counts once."""
+"""Tests of an experiment at gateways on sockets: each request counts once although one is killed."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 )
 from tests.standins import ROOT
 
-FILE = """
+EXPERIMENT_FILE = """
 version = 1
 name = "try"
 unit = "key"
@@ -55,12 +55,12 @@
 [end]
 requests = 100000
 """
-KEYS, EACH, OPEN = 16, 4, 20
-REQUEST_COUNT = 3 * KEYS * EACH + OPEN
+KEY_COUNT, REQUESTS_PER_KEY, HELD_COUNT = 16, 4, 20
+REQUEST_COUNT = 3 * KEY_COUNT * REQUESTS_PER_KEY + HELD_COUNT
 
 
 class ExperimentFleet(GatewayCluster):
-    """Records which server each request was sent to first."""
+    """A cluster of gateways that records the server to which each request was sent first."""
 
     def __init__(self, folder: Path, size: int, environ: dict[str, str]) -> None:
         self.server: dict[str, Any] = {}
@@ -104,80 +104,87 @@
 def experiment(tmp_path: Path) -> Iterator[tuple[ExperimentFleet, Experiment]]:
     build_layouts()
     file = tmp_path / "placement.toml"
-    file.write_text(FILE)
-    world = ExperimentFleet(tmp_path, 4, {"MEADOWPULLEY_PLACEMENT": str(file)})
-    yield world, parse_experiment(FILE.encode(), "file")
-    world.stop()
+    file.write_text(EXPERIMENT_FILE)
+    cluster = ExperimentFleet(tmp_path, 4, {"MEADOWPULLEY_PLACEMENT": str(file)})
+    yield cluster, parse_experiment(EXPERIMENT_FILE.encode(), "file")
+    cluster.stop()
 
 
 def test_each_request_counts_once_when_a_gateway_is_killed(
     experiment: tuple[ExperimentFleet, Experiment], tmp_path: Path
 ) -> None:
-    world, e = experiment
-    gateways = [world.fleet.launch(n) for n in range(3)]
+    cluster, e = experiment
+    gateways = [cluster.fleet.launch(n) for n in range(3)]
     for gateway in gateways:
         gateway.wait_for("ready")
-    wait_until(lambda: len(world.counts(e)) == 3, "all of them count")
+    wait_until(lambda: len(cluster.counts(e)) == 3, "each gateway has written a counters record")
 
-    asked = {
-        (n, key, k): world.send(gateways[n], f"{n:04x}{key:08x}{k:04x}", key)
-        for k in range(EACH)
+    responses = {
+        (n, key, k): cluster.send(gateways[n], f"{n:04x}{key:08x}{k:04x}", key)
+        for k in range(REQUESTS_PER_KEY)
         for n in range(3)
-        for key in range(1, KEYS + 1)
+        for key in range(1, KEY_COUNT + 1)
     }
-    assert Counter(response_status(answer) for answer in asked.values()) == {200: 3 * KEYS * EACH}
-    servers: dict[tuple[int, int], Counter[Any]] = defaultdict(Counter)
-    for n, key, k in asked:
-        servers[n, key][world.server[f"{n:04x}{key:08x}{k:04x}"]] += 1
-    arm = {key: Assignment(e).arm(b"key %d" % key) for key in range(1, KEYS + 1)}
-    assert all(len(found) == 1 for (_, key), found in servers.items() if arm[key] == 1)
-    assert any(len(found) > 1 for (_, key), found in servers.items() if arm[key] == 0)
-
-    held = [f"{0xFF:04x}{n:012x}" for n in range(OPEN)]
-    first = [world.send_request(gateways[0], name, "/look/hold") for name in held]
-    world.wait_for_send(*held)
-    wait_until(lambda: len(world.counts(e)["g0.1"].open_requests) == OPEN, "its record names them as open")
+    assert Counter(response_status(answer) for answer in responses.values()) == {
+        200: 3 * KEY_COUNT * REQUESTS_PER_KEY
+    }
+    servers_by_key: dict[tuple[int, int], Counter[Any]] = defaultdict(Counter)
+    for n, key, k in responses:
+        servers_by_key[n, key][cluster.server[f"{n:04x}{key:08x}{k:04x}"]] += 1
+    arm = {key: Assignment(e).arm(b"key %d" % key) for key in range(1, KEY_COUNT + 1)}
+    assert all(len(found) == 1 for (_, key), found in servers_by_key.items() if arm[key] == 1)
+    assert any(len(found) > 1 for (_, key), found in servers_by_key.items() if arm[key] == 0)
+
+    held = [f"{0xFF:04x}{n:012x}" for n in range(HELD_COUNT)]
+    first = [cluster.send_request(gateways[0], name, "/look/hold") for name in held]
+    cluster.wait_for_send(*held)
+    wait_until(
+        lambda: len(cluster.counts(e)["g0.1"].open_requests) == HELD_COUNT,
+        "the record of g0.1 lists the held requests",
+    )
     gateways[0].kill()
-    assert [response_status(answer) for answer in first] == [0] * OPEN
-    again = [
-        world.send_request(gateways[1 + n % 2], name, "/look/hold", is_retry=True)
+    assert [response_status(answer) for answer in first] == [0] * HELD_COUNT
+    retries = [
+        cluster.send_request(gateways[1 + n % 2], name, "/look/hold", is_retry=True)
         for n, name in enumerate(held)
     ]
-    assert [response_status(answer) for answer in again] == [200] * OPEN
-    wait_until(lambda: world.summary(e).adopted == OPEN, "their ends are written")
+    assert [response_status(answer) for answer in retries] == [200] * HELD_COUNT
+    wait_until(
+        lambda: cluster.summary(e).adopted == HELD_COUNT, "the ends of the adopted requests are in the ledger"
+    )
 
-    found = world.summary(e)
+    found = cluster.summary(e)
     assert (found.requests, found.withheld, found.unassigned, found.incarnations) == (REQUEST_COUNT, 0, 0, 3)
-    whole = [a for a in found.arms if not a.class_name]
-    assert sum(a.served for a in whole) == REQUEST_COUNT
-    assert all(a.requests > OPEN for a in whole)
-    assert sum(a.still_open + a.lost + a.disconnected + a.failed + a.rejected for a in whole) == 0
+    arm_results = [a for a in found.arms if not a.class_name]
+    assert sum(a.served for a in arm_results) == REQUEST_COUNT
+    assert all(a.requests > HELD_COUNT for a in arm_results)
+    assert sum(a.still_open + a.lost + a.disconnected + a.failed + a.rejected for a in arm_results) == 0
     assert not [line for gateway in gateways for line in gateway.events(UNEXPECTED_EXCEPTION_EVENT)]
 
-    more = [world.send(gateways[2], f"{0xEE:04x}{n:012x}", n + 1) for n in range(KEYS)]
-    assert [response_status(answer) for answer in more] == [200] * KEYS
+    more = [cluster.send(gateways[2], f"{0xEE:04x}{n:012x}", n + 1) for n in range(KEY_COUNT)]
+    assert [response_status(answer) for answer in more] == [200] * KEY_COUNT
     gateways[2].signal(signal.SIGTERM)
     assert gateways[2].wait_for_exit() == 0
-    assert world.summary(e).requests == REQUEST_COUNT + KEYS  # a graceful shutdown loses none
+    assert cluster.summary(e).requests == REQUEST_COUNT + KEY_COUNT  # a graceful shutdown loses no counts
 
-    world.fleet.launch(0).wait_for("ready")  # the killed gateway restarts with the same file
+    cluster.fleet.launch(0).wait_for("ready")  # the killed gateway restarts with the same file
     other = tmp_path / "other.toml"
-    other.write_text(FILE.replace("500.0", "700.0"))
-    late = world.fleet.launch(3, {"MEADOWPULLEY_PLACEMENT": str(other)})
+    other.write_text(EXPERIMENT_FILE.replace("500.0", "700.0"))
+    late = cluster.fleet.launch(3, {"MEADOWPULLEY_PLACEMENT": str(other)})
     assert late.wait_for_exit() == 2
     (line,) = [line["line"] for line in late.events("plain")]
     assert f"{other}: name: 'try' runs as version {e.digest[:8]}, this file is" in line
-    assert "g3" not in world.gateways()  # and it registered no incarnation
+    assert "g3" not in cluster.gateways()  # it was refused before it registered an incarnation
 
 
-BAD = [
+INVALID_FILES = [
     ("", "name a file that can be read"),
-    (FILE.replace('"own"', '"best"'), "'best' is none; known are own"),
-    (FILE.replace("part = 0.5", "part = 0.6"), "parts add up to 1.2, over 1; make them smaller"),
+    (EXPERIMENT_FILE.replace('"own"', '"best"'), "'best' is not a policy; known are own"),
+    (EXPERIMENT_FILE.replace("part = 0.5", "part = 0.6"), "parts add up to 1.2, over 1; make them smaller"),
 ]
 
 
-@pytest.mark.parametrize(("text", "found"), BAD)
+@pytest.mark.parametrize(("text", "found"), INVALID_FILES)
 def test_an_invalid_file_is_refused_in_one_line(tmp_path: Path, text: str, found: str) -> None:
     file = tmp_path / "placement.toml"
     if text:
--- a/tests/test_placement_stage.py
+++ b/tests/test_placement_stage.py
@@ -1,4 +1,4 @@
-"""The placement stage: labels, counters, the ledger, and gateways that crash."""
+"""Tests of the placement stage: labels, counters, records in the ledger, and crashes of gateways."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 from tests.placement_harness import OTHER_LABEL, SETTINGS, StageHarness, serve_slow_arm, started
 
 
-def test_requests_are_labelled_and_other_events_pass() -> None:
+def test_requests_are_labelled_and_other_events_are_passed_on() -> None:
     gateway = started()
     arms = Counter(gateway.accept(1.0, n).arm for n in range(400))
     assert set(arms) == {1, 2}
@@ -50,7 +50,7 @@
         assert gateway.inner.events[-1] == event
     event_count = len(gateway.inner.events)
     gateway.check(3.0)
-    assert len(gateway.inner.events) == event_count  # its own timer does not pass
+    assert len(gateway.inner.events) == event_count  # the stage does not pass on its own timer
 
 
 def test_every_ending_is_counted_and_unserved_requests_cost_their_deadline() -> None:
@@ -63,7 +63,7 @@
     gateway.inner.next_actions = [Fail(2)]
     gateway.deliver(32.0, Outcome(2, 0, 1, Result.RESET, 32.0, False))
     gateway.deliver(33.0, ClientDisconnected(3))
-    gateway.serve(40.0, 0)  # a second response is not counted
+    gateway.serve(40.0, 0)  # a second outcome of a request is not counted
     gateway.check(50.0)
     arm = gateway.summary().arms[0]
     counts = (arm.served, arm.rejected, arm.failed, arm.disconnected, arm.still_open, arm.requests)
@@ -92,10 +92,12 @@
     second.check(1300.0)
     found = second.summary()
     assert found.adopted == 9
-    assert found.requests == (20 if written else 9)  # what was never written is lost
-    ours = [a for a in found.arms if not a.class_name]
-    assert sum(a.lost for a in ours) == (10 if written else 0)
-    assert not sum(a.still_open for a in ours)
+    assert found.requests == (
+        20 if written else 9
+    )  # requests that were never written are not counted, unless they were adopted and ended
+    arm_results = [a for a in found.arms if not a.class_name]
+    assert sum(a.lost for a in arm_results) == (10 if written else 0)
+    assert not sum(a.still_open for a in arm_results)
     assert second.stage.tracker.counters.record.adopted_completions[0].cost_ms == 1000.0
 
 
@@ -137,7 +139,7 @@
     b, c = started("b", a.store), started("c", a.store)
     for gateway in (a, b, c):
         serve_slow_arm(gateway, 10.0, 0, 1000)
-    for gateway in (a, b):  # both detect it at the same time: one of them decides
+    for gateway in (a, b):  # if both detect it at the same time, one of them decides
         gateway.check(100.0)
     assert len([r for r in a.store.scan("placement/") if "/ended/" in r.key]) == 1
     assert any("arm 'other' is worse as measured" in line for line in a.log_lines)
@@ -198,7 +200,7 @@
     a = started()
     a.accept(1.0, 1)
     for action in a.stage.handle(2.0, Timer(4)):
-        if isinstance(action, Commit):  # committed, but the result was lost
+        if isinstance(action, Commit):  # the write is committed, but its result is lost
             a.store.commit(a.incarnation, action.transactions)
             a.deliver(
                 3.0,
@@ -213,7 +215,7 @@
 
 
 def test_each_bin_reaches_the_ledger_once_also_after_an_outage() -> None:
-    a = started(carry_ms=50.0)  # bins of 10 ms
+    a = started(carry_ms=50.0)  # bins are 10 ms long
     for n in range(100):
         a.disconnected = 20 <= n < 80
         if n in (20, 80):
@@ -267,7 +269,7 @@
     assert len(evaluators) == 1
     assert evaluators[0].stage.experiment.record_key("bins/") in evaluators[0].stage.watched_prefixes()
     others = [gateway for gateway in fleet if gateway is not evaluators[0]]
-    for gateway in others:  # many evaluators would raise many false alarms
+    for gateway in others:  # others must not evaluate: their false alarms would add up
         serve_slow_arm(gateway, 10.0, 0, 1000)
         gateway.check(100.0)
     assert not any("worse" in line for gateway in others for line in gateway.log_lines)
