--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -15,8 +15,9 @@
 # Attempts in flight per server that all gateways together may always have. This number is divided equally
 # among the gateways, and a gateway's limit never falls below its part.
 MIN_LIMIT_PER_SERVER = 2.0
-# Standard deviations of a Poisson count by which the number of attempts in flight may grow by chance. The
-# limit leaves room for this growth, which is relatively large when few attempts are in flight.
+# The number of attempts in flight varies by chance, like a Poisson count. During an overload, the limit
+# leaves room for an increase by this many standard deviations. Such an increase is relatively large when few
+# attempts are in flight.
 MAX_DEVIATIONS = 3.0
 
 
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -45,21 +45,25 @@
 
 
 def allowance_ms(state: State, span_ms: float) -> float:
-    """Return the time, in ms, that must be left of a time span when the gateway decides to write.
+    """Return by how many ms sooner a gateway stops sending than a drain grace or deduplication window ends.
 
-    The gateway reads the clock when it decides. The time that is left covers a stall between the decision and
-    the write, and the length of a clock tick. The result is at most half of the span.
+    `span_ms` is the length of the drain grace or window. The gateway reads its clock when it decides to send
+    a request, and may stall before it writes the request to the connection. The result covers such a stall
+    and the length of a clock tick, but is at most half of `span_ms`.
     """
     return min(STALL_ALLOWANCE_MS + state.settings.tick_ms, span_ms / 2)
 
 
 def _notification_ms(state: State) -> float:
-    """Return the delay, in ms, after which a change counts as notified; 0 if discovery pushes changes."""
+    """Return how long, in ms, after a change discovery regards this gateway as notified of the change.
+
+    The result is 0 if discovery pushes changes.
+    """
     return NOTIFICATION_MS if state.settings.must_poll else 0.0
 
 
 def _grace_ms(state: State) -> float:
-    """Return how long, in ms, this gateway may ignore a change that counts as notified.
+    """Return how long, in ms, this gateway may ignore a change after discovery regards it as notified.
 
     The time is the drain grace minus the allowance for stalls, measured on this gateway's clock.
     """
@@ -73,7 +77,7 @@
 def start_from_cache(state: State) -> None:
     """Start the lease on a list of unknown age.
 
-    Changes to the list count as notified when the process starts.
+    Discovery regards this gateway as notified of all changes to the list when the process starts.
     """
     _confirm_as_of(state, state.now - _notification_ms(state))
 
@@ -108,7 +112,11 @@
 
 
 def list_lost(state: State) -> None:
-    """Record that a list may have been lost. The changes in a lost list count as notified."""
+    """Record that an endpoint list from discovery may have been lost on its way to this gateway.
+
+    Discovery regards this gateway as notified of the changes in such a list, so the drain grace for them is
+    already running.
+    """
     state.endpoint_list.lost_at = state.now
 
 
@@ -135,9 +143,9 @@
 def _unless_lost(state: State, confirmed_at: float, until: float) -> float:
     """Return the end `until` of a lease, or an earlier time if a later list may have been lost.
 
-    The changes in a lost list count as notified from the time at which discovery wrote the list. A gateway
-    that stalls may detect the loss `STALL_ALLOWANCE_MS` after that time. The drain grace is therefore counted
-    from `STALL_ALLOWANCE_MS` before the detection.
+    Discovery regards a gateway as notified of the changes in a list once it has written the list to the
+    gateway, even if the list is then lost. A gateway that stalls may detect the loss `STALL_ALLOWANCE_MS`
+    after that time. The drain grace is therefore counted from `STALL_ALLOWANCE_MS` before the detection.
     """
     lost_at = state.endpoint_list.lost_at
     if confirmed_at >= lost_at:
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -31,9 +31,10 @@
 # `GATEWAYS_PER_QUERY` because few gateways have a recent list shortly after an outage of discovery.
 GATEWAYS_PER_URGENT_QUERY = 8
 MAX_OPEN_QUERIES = 8  # replies are accepted to the queries of this many latest rounds
-# Maximum number of ranges of servers that a gateway asks other gateways about, one range in each round. A
-# range is as many listed servers as one reply can confirm. The first range begins where the gateway's subset
-# of servers begins. These few ranges therefore include a small subset, even if the whole list is long.
+# Maximum number of ranges of servers that a gateway asks other gateways about, one range in each round. The
+# endpoint list may have more servers than one reply can confirm, so it is divided into ranges of
+# `MAX_FINGERPRINTS` servers. The first range begins with the servers that this gateway sends to, its subset.
+# If the list is long, the gateway asks about its subset and the servers after it, but not about the others.
 MAX_QUERIED_RANGES = 4
 # Age, in ms, above which a gateway's list is not used for replies. A reply from an older list would extend
 # the lease of the gateway that asks by 1 or 2 s at most.
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -25,9 +25,10 @@
 # the shortest time after which a call without any response is repeated.
 RETRY_MS = 1_500.0
 MAX_RETRY_GROWTH = 2.0  # factor on RETRY_MS after the third and each later failed call in a row
-# Longest pause, in ms, after a failed call in a fleet of any size. A call fails after 2 s in discovery's
-# queue, and the pause follows. Even if all calls fail, a fleet then makes them no faster than discovery can
-# answer.
+# Longest pause, in ms, after a failed call in a fleet of any size. Discovery needs 2 to 8 s to handle one
+# call of each gateway. A call fails after 2 s in discovery's queue. In a large fleet, a pause of 5 to 10 s
+# follows, 7.5 s on average. Even if all calls fail, each gateway then makes one call in 9.5 s on average, and
+# discovery can answer that many.
 MAX_RETRY_MS = 10_000.0
 # Shortest pause after the second and later failed calls in a row, as a fraction of the longest pause. Each
 # pause is drawn at random between the shortest and the longest.
@@ -69,7 +70,7 @@
     """
     delay_ms = state.rng.random() * _fleet_spread_ms(state)
     if kind is EndpointUpdateKind.BROKEN:
-        # A list may have been lost, and the changes in a lost list count as notified. The gateway therefore
-        # retries within half of the drain grace.
+        # A list may have been lost. Discovery regards this gateway as notified of the changes in that list,
+        # so the drain grace is already running. The gateway therefore retries within half of the drain grace.
         return min(delay_ms, state.rng.random() * state.rules.drain_grace_ms / 2)
     return delay_ms
--- a/meadowpulley/policy/exposure.py
+++ b/meadowpulley/policy/exposure.py
@@ -42,7 +42,8 @@
         return False
     if is_on_trial(state, server.build) or not state.rollout_settings.monotonic_keys:
         return True
-    # A server of a newer build may already have answered an attempt whose outcome has not arrived yet.
+    # The key is also refused while a request with it is in flight at a newer build. That build may already
+    # have answered, and an older build must not answer the same key afterwards.
     attempts = state.attempts.values()
     later = [attempt.in_flight.request.key for attempt in attempts if attempt.server.build > newest_build]
     return key not in later
--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -44,9 +44,10 @@
 # Limit on the evidence from one server of a build with a few servers, as a part of the required
 # evidence. With this limit, at least two servers must fail before the build is condemned.
 MAX_SERVER_EVIDENCE_LIMIT = 0.7
-# Number of failing servers that condemn a build of two to four servers. The limit on the evidence from one
-# server is this number divided by the number of servers, but at least MIN_SERVER_EVIDENCE_LIMIT and at most
-# MAX_SERVER_EVIDENCE_LIMIT.
+# Number of failing servers that condemn a build of two to four servers. The evidence from one server is
+# limited to this number divided by the number of servers, as a part of the required evidence. With 4 servers,
+# the limit is 1/2, so that two failing servers reach the required evidence together. The limit is at least
+# MIN_SERVER_EVIDENCE_LIMIT and at most MAX_SERVER_EVIDENCE_LIMIT.
 SERVERS_TO_CONDEMN = 2
 # The limit on the evidence from one server is multiplied by this factor while the baseline is faulty too.
 FAULTY_BASELINE_FACTOR = 0.5
--- a/meadowpulley/policy/latency_comparison.py
+++ b/meadowpulley/policy/latency_comparison.py
@@ -25,9 +25,9 @@
 
 # The cost of a request includes the costs of at most this number of later requests.
 MAX_HORIZON = 20
-# The estimate mixes the latencies of requests with the queue lengths at servers. This number is the lowest
-# weight of the latencies. The lowest weight is higher for a gateway with few requests in flight, because the
-# gateway then sees only queue lengths near 0, which don't show how loaded a server is.
+# Builds are compared by a weighted mean of the latencies of requests and the queue lengths at servers. This
+# number is the lowest weight of the latencies. The lowest weight is higher for a gateway with few requests in
+# flight, because such a gateway sees only queue lengths near 0, which don't show how loaded a server is.
 MIN_ALPHA = 0.5
 LATENCY_MARGIN = 0.25  # accepted slowdown, as a part of the baseline's mean latency
 # Standard deviation of the latency between servers of one machine kind, as a part of the mean latency. Under
