--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -25,8 +25,8 @@
 from meadowpulley.interface import EndpointListExpired, EndpointListRenewed
 from meadowpulley.state import Server, State
 
-# The platform's protocol page defines when a change counts as notified: at the latest 6 s after discovery
-# has the change, or 2 s after the wait of an open long poll is over, if that is later.
+# The platform's protocol page defines when discovery regards a gateway as notified of a change: at the latest
+# 6 s after discovery has the change, or 2 s after the wait of an open long poll is over, if that is later.
 NOTIFICATION_MS = 6_000.0
 LONG_POLL_NOTIFICATION_MS = 2_000.0
 # How long, in ms, a gateway may stall between reading its clock and writing a request. This time is
@@ -71,7 +71,7 @@
     return grace_ms - allowance_ms(state, grace_ms)
 
 
-# Renewal of the lease
+# The following functions renew the lease.
 
 
 def start_from_cache(state: State) -> None:
@@ -102,7 +102,10 @@
 
 
 def watch_ended(state: State, as_of_ms: float | None) -> None:
-    """End a watch whose list holds all changes up to the time `as_of_ms`; None stands for now."""
+    """Record that the watch for changes of the endpoint list has ended.
+
+    The gateway's list holds all changes up to the time `as_of_ms`; None stands for the current time.
+    """
     state.endpoint_list.watch_covers_until = -math.inf
     _confirm_as_of(state, state.now if as_of_ms is None else as_of_ms)
 
@@ -120,7 +123,7 @@
     state.endpoint_list.lost_at = state.now
 
 
-# End of the lease
+# The following functions compute when the lease ends.
 
 
 def list_lease_until(state: State) -> float:
@@ -134,7 +137,7 @@
 
 def usable_until(state: State, server: Server) -> float:
     """Return the time until which the list or a peer's confirmation permits writes to the server."""
-    if not state.rules.drain_grace_ms:  # this deployment has no drain rule
+    if not state.rules.drain_grace_ms:  # without a drain rule, lists do not expire
         return math.inf
     until = server.peer_confirmed_at + _notification_ms(state) + _grace_ms(state)
     return max(list_lease_until(state), _unless_lost(state, server.peer_confirmed_at, until))
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -42,7 +42,10 @@
 
 
 def first_call_delay_ms(state: State) -> float:
-    """Draw the delay, in ms, of the first call after the start, as a whole fleet may start at once."""
+    """Draw the delay, in ms, of a gateway's first call to discovery after the start of the process.
+
+    The random delay spreads the calls of a fleet whose gateways all start at the same time.
+    """
     return state.rng.random() * min(_fleet_spread_ms(state), MAX_FIRST_CALL_MS)
 
 
@@ -54,7 +57,9 @@
 def retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
     """Draw the pause, in ms, between a failed list call and the next list call."""
     if kind is EndpointUpdateKind.TIMED_OUT:
-        return 0.0  # no pause, as gateways detect timeouts late and at different times
+        # Gateways detect a timeout late and each at a different time, so their retries are spread without a
+        # pause.
+        return 0.0
     if not state.endpoint_list.consecutive_failures:
         return _first_retry_delay_ms(state, kind)
     growth = min(state.endpoint_list.consecutive_failures, MAX_RETRY_GROWTH)
--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -20,14 +20,17 @@
     State,
 )
 
-MIN_SAMPLES = 20  # minimum number of outcomes per build for a usable estimate
+# Number of outcomes of a build from which its failure rate or latency is compared with that of other builds.
+MIN_SAMPLES = 20
 MIN_FAILURE_RATE = 0.02  # lowest failure rate that the failure test assumes for any build
 MAX_BASELINE_FAILURE_RATE = 0.8  # highest failure rate that the failure test assumes for the baseline
 # Smallest increase of the failure rate that the failure test looks for, as a part of the baseline's rate.
 RELATIVE_FAILURE_INCREASE = 0.5
-# Smallest difference to the baseline's failure rate that the test looks for in this gateway's own outcomes.
+# Smallest increase over the baseline's failure rate that the failure test looks for in the outcomes of this
+# gateway's own attempts.
 FAILURE_INCREASE = 0.1
-# Smallest difference to the baseline's failure rate that the test looks for in the outcomes of all gateways.
+# Smallest increase over the baseline's failure rate that the failure test looks for in the outcomes of all
+# gateways together.
 POOLED_FAILURE_INCREASE = 0.04
 # The platform's statistics do not say which server failed, so one broken server may explain some failures.
 # The expected failure rate is raised by one server's part of the requests, but by at most this amount.
@@ -49,7 +52,8 @@
 # the limit is 1/2, so that two failing servers reach the required evidence together. The limit is at least
 # MIN_SERVER_EVIDENCE_LIMIT and at most MAX_SERVER_EVIDENCE_LIMIT.
 SERVERS_TO_CONDEMN = 2
-# The limit on the evidence from one server is multiplied by this factor while the baseline is faulty too.
+# The limit on the evidence from one server of a new build is multiplied by this factor while servers of the
+# baseline are faulty too.
 FAULTY_BASELINE_FACTOR = 0.5
 FAILURE_RATE_EWMA_WEIGHT = 0.05  # weight of one outcome in the moving average of a failure rate
 # Greatest weight of a batch of outcomes in the moving average of a failure rate.
--- a/meadowpulley/policy/latency_comparison.py
+++ b/meadowpulley/policy/latency_comparison.py
@@ -23,7 +23,8 @@
     summarize,
 )
 
-# The cost of a request includes the costs of at most this number of later requests.
+# A request delays later requests, so its cost in the comparison of builds includes the costs of later
+# requests: at most of this many.
 MAX_HORIZON = 20
 # Builds are compared by a weighted mean of the latencies of requests and the queue lengths at servers. This
 # number is the lowest weight of the latencies. The lowest weight is higher for a gateway with few requests in
@@ -139,7 +140,7 @@
 
 
 def is_slower_than_before(state: State, attempts: list[Attempt]) -> bool:
-    """Return whether latency has risen by more than the accepted margin since the build came."""
+    """Return whether the newest attempts are slower than the recorded baseline latency plus the margin."""
     costs = summarize([attempt.latency_cost(state.now) for attempt in attempts[-RECENT_SAMPLES:]])
     limit_ms = (1 + LATENCY_MARGIN) * state.baseline_latency_ms
     return costs.size >= MIN_SAMPLES and costs.lower_bound(state.confidence_z) > limit_ms > 0
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -18,7 +18,8 @@
 # Mean number of gateways that send a digest per interval while nothing fails. If all gateways sent one, the
 # number of datagrams would grow with the square of the number of gateways.
 GOSSIP_SENDERS = 40
-# Limit on the digests that a gateway keeps per interval, divided by the number of gateways in the fleet.
+# In one gossip interval, a gateway keeps at most this number of digests times the number of gateways in the
+# fleet.
 MAX_DIGESTS_PER_GATEWAY = 4
 # Part of the requests to a bad build that is assumed to time out. Servers whose processes are
 # paused cause a smaller part of requests to time out. For a good build, FAILURE_INCREASE is assumed.
--- a/meadowpulley/policy/outcomes.py
+++ b/meadowpulley/policy/outcomes.py
@@ -92,9 +92,10 @@
 def _attribute_latency(state: State, attempt: Attempt, outcome: Outcome, latency_known: bool) -> None:
     """Set the latency that an attempt contributes to the comparison of builds.
 
-    A successful response counts with its latency, and an error with the deadline of its request class. The
-    mean latency counts if the build is not the cause of what was measured: after a stall of this gateway,
-    without a response, or for an error of a server whose failure rate shows a fault of the machine.
+    A successful response counts with its latency, and an error with the deadline of its request class. If the
+    build is not the cause of the outcome, the attempt counts with this gateway's mean latency. This
+    applies after a stall of this gateway and to attempts without a response. It also applies to an error of a
+    server whose failure rate is so high that a fault of the machine is the likely cause.
     """
     ok = outcome.result is Result.OK
     healthy_error = outcome.result is Result.ERROR and attempt.server.failure_rate < SERVER_FAULT_RATE
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -34,7 +34,9 @@
 # This offset is added to the policy's seed, so that the incarnation number in digests comes from a random
 # sequence of its own.
 GOSSIP_SEED = 1
-BASE_CONFIDENCE_Z = 2.0  # standard errors between estimate and confidence bound, for one gateway
+# Distance, in standard errors, between an estimated slowdown or latency and the bounds of its confidence
+# interval, for a fleet of one gateway.
+BASE_CONFIDENCE_Z = 2.0
 # Standard errors added to `BASE_CONFIDENCE_Z` for each e-fold increase of the number of gateways. With more
 # gateways, it is more likely that at least one of them has an estimate that is wrong by chance.
 FLEET_CONFIDENCE_Z = 0.5
@@ -115,7 +117,8 @@
                 because arm 0 places requests by this policy's own rules.
         """
         super().__init__(settings, seed)
-        # Longest wait for a server, in ms, of a request whose class has the shortest latency objective.
+        # A request waits for a server at most a fraction of its latency objective. The shortest objective of
+        # any class therefore limits the interval, in ms, between two tries to send waiting requests.
         max_wait_ms = self.tightest_objective_ms * admission.MAX_WAIT_FRACTION
         interval_ms = admission.WAITING_POLL_INTERVAL_MS
         self.waiting_poll_interval_ms = min(interval_ms, max_wait_ms) or interval_ms
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -23,14 +23,14 @@
 MAX_PAUSES = 2
 MIN_PAUSE_MS = 2 * MIN_BLOCK_MS  # shortest pause of the traffic to the build on trial
 MAX_SLOW_SOAKS = 3.0  # a build without a baseline is rolled back after being slow for this many soak times
-# Multiple of the baseline latency after which an attempt is compared. By then the attempt has a response or
-# counts as slow.
+# An attempt is compared with the baseline latency once this multiple of the baseline latency has passed since
+# the attempt was sent. By then the attempt has a response or counts as slow.
 SETTLED_LATENCIES = 2.0
 # While a build has no baseline, attempts sent longer ago than this time (ms) are ignored. Otherwise a past
 # overload would count as slowness of the build.
 OVERLOAD_MEMORY_MS = 2 * RATE_MEMORY_MS
-# Relative growth of the request rate since before the build came. Above this growth, the additional requests
-# explain why servers are slow.
+# If the request rate exceeds the highest rate in the build's first stage by more than this part of that rate,
+# the additional requests explain why servers are slow.
 MAX_REQUEST_GROWTH = 2 * LATENCY_MARGIN
 UNATTRIBUTABLE_WINDOW = 2 * MIN_SAMPLES  # number of the newest attempts that are searched for an overload
 # An attempt is unattributable if its latency says nothing about its build, usually because it got no
