--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -30,14 +30,15 @@
 # Number of gateways queried in a round once the lease has ended. The number is larger than
 # `GATEWAYS_PER_QUERY` because few gateways have a recent list shortly after an outage of discovery.
 GATEWAYS_PER_URGENT_QUERY = 8
-MAX_OPEN_QUERIES = 8  # replies are accepted to the queries of this many latest rounds
+MAX_OPEN_QUERIES = 8  # only replies to the queries of this many latest rounds are accepted
 # Maximum number of ranges of servers that a gateway asks other gateways about, one range in each round. The
 # endpoint list may have more servers than one reply can confirm, so it is divided into ranges of
-# `MAX_FINGERPRINTS` servers. The first range begins with the servers that this gateway sends to, its subset.
-# If the list is long, the gateway asks about its subset and the servers after it, but not about the others.
+# `MAX_FINGERPRINTS` servers. The first range begins at the same relative position in the list as the subset
+# of servers that this gateway prefers. Even if the list is long, the ranges therefore include a small subset.
 MAX_QUERIED_RANGES = 4
-# Age, in ms, above which a gateway's list is not used for replies. A reply from an older list would extend
-# the lease of the gateway that asks by 1 or 2 s at most.
+# Age, in ms, above which a gateway's list is not used for replies. A reply confirms servers only as of the
+# time at which the replying gateway asked discovery. A reply from an older list would therefore extend the
+# lease of the gateway that asks by 1 or 2 s at most.
 MAX_REPLY_AGE_MS = NOTIFICATION_MS - 1_000.0
 NONCE_BITS = 32
 
@@ -71,7 +72,8 @@
 def _first_server(state: State) -> int:
     """Return the first server of the range to ask for.
 
-    Successive rounds ask for successive ranges. The first range begins where this gateway's subset begins.
+    Successive rounds ask for successive ranges. The first range begins at the same relative position in the
+    list as the subset of servers that this gateway prefers.
     """
     confirmation = state.confirmation
     ready = _ready_servers(state)
--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -26,9 +26,8 @@
 RETRY_MS = 1_500.0
 MAX_RETRY_GROWTH = 2.0  # factor on RETRY_MS after the third and each later failed call in a row
 # Longest pause, in ms, after a failed call in a fleet of any size. Discovery needs 2 to 8 s to handle one
-# call of each gateway. A call fails after 2 s in discovery's queue. In a large fleet, a pause of 5 to 10 s
-# follows, 7.5 s on average. Even if all calls fail, each gateway then makes one call in 9.5 s on average, and
-# discovery can answer that many.
+# call of each gateway. A call fails after 2 s in discovery's queue. With pauses of 5 to 10 s after that, a
+# fleet makes its calls on average no faster than discovery can answer them, even if all calls fail.
 MAX_RETRY_MS = 10_000.0
 # Shortest pause after the second and later failed calls in a row, as a fraction of the longest pause. Each
 # pause is drawn at random between the shortest and the longest.
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -108,6 +108,7 @@
     has_enough_samples = len(of_baseline) >= MIN_SAMPLES
     recovered = has_enough_samples and not slower
     # A build that gets less than half of MIN_PAUSE_PROBABILITY of all requests does not slow other servers.
+    # The current latency of the baseline's servers is therefore recorded for later comparisons.
     if recovered and state.trial_probability < MIN_PAUSE_PROBABILITY / 2:
         state.baseline_latency_ms = fmean([attempt.latency_cost(state.now) for attempt in of_baseline])
     elif not pause.active and slower and state.trial_probability >= MIN_PAUSE_PROBABILITY:
--- a/meadowpulley/policy/trial_assignment.py
+++ b/meadowpulley/policy/trial_assignment.py
@@ -14,8 +14,8 @@
 # Utilization of the baseline's servers up to which a build that is being rolled back gets no requests.
 ROLLBACK_UTILIZATION = 0.75
 EVALUATION_INTERVAL_MS = 400.0  # time between two evaluations of a build
-# Weight of one request in a moving average. The average is the share of requests whose key is bound to the
-# build on trial.
+# Weight of one request in the moving average of the share of requests whose key is bound to the build on
+# trial.
 STICKY_EWMA_WEIGHT = 0.02
 # Lower bound on the share of requests whose key is not bound to the build on trial. Random assignment spreads
 # the build's remaining part of all requests over this share, so the share must not be 0.
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -88,7 +88,7 @@
     """Return whether a stage is old enough to advance without proof that the build is fast enough.
 
     The platform takes a limited number of votes per second. The gateways of a large fleet therefore vote one
-    after another before the deadline, the last of them at the deadline.
+    after another before the deadline, the last of them close to the deadline.
     """
     started = [server.started_ms for server in state.servers_of(rollout.build)]
     if not started:
