--- a/meadowpulley/policy/endpoint_poll_backoff.py
+++ b/meadowpulley/policy/endpoint_poll_backoff.py
@@ -25,9 +25,9 @@
 # the shortest time after which a call without any response is repeated.
 RETRY_MS = 1_500.0
 MAX_RETRY_GROWTH = 2.0  # factor on RETRY_MS after the third and each later failed call in a row
-# Longest pause, in ms, after a failed call in a fleet of any size. A call fails after 2 s in discovery's
-# queue, and the pause follows. Even if all calls fail, a fleet then makes them no faster than discovery can
-# answer.
+# Longest pause, in ms, after a failed call in a fleet of any size. Discovery needs 2 to 8 s to handle one
+# call of each gateway. A call fails after 2 s in discovery's queue. With pauses of 5 to 10 s after that, a
+# fleet makes its calls on average no faster than discovery can answer them, even if all calls fail.
 MAX_RETRY_MS = 10_000.0
 # Shortest pause after the second and later failed calls in a row, as a fraction of the longest pause. Each
 # pause is drawn at random between the shortest and the longest.
@@ -41,7 +41,10 @@
 
 
 def first_call_delay_ms(state: State) -> float:
-    """Draw the delay, in ms, of the first call after the start, as a whole fleet may start at once."""
+    """Draw the delay, in ms, of a gateway's first call to discovery after the start of the process.
+
+    The random delay spreads the calls of a fleet whose gateways all start at the same time.
+    """
     return state.rng.random() * min(_fleet_spread_ms(state), MAX_FIRST_CALL_MS)
 
 
@@ -53,7 +56,9 @@
 def retry_delay_ms(state: State, kind: EndpointUpdateKind) -> float:
     """Draw the pause, in ms, between a failed list call and the next list call."""
     if kind is EndpointUpdateKind.TIMED_OUT:
-        return 0.0  # no pause, as gateways detect timeouts late and at different times
+        # Gateways detect a timeout late and each at a different time, so their retries are spread without a
+        # pause.
+        return 0.0
     if not state.endpoint_list.consecutive_failures:
         return _first_retry_delay_ms(state, kind)
     growth = min(state.endpoint_list.consecutive_failures, MAX_RETRY_GROWTH)
@@ -69,7 +74,7 @@
     """
     delay_ms = state.rng.random() * _fleet_spread_ms(state)
     if kind is EndpointUpdateKind.BROKEN:
-        # A list may have been lost, and the changes in a lost list count as notified. The gateway therefore
-        # retries within half of the drain grace.
+        # A list may have been lost. Discovery regards this gateway as notified of the changes in that list,
+        # so the drain grace is already running. The gateway therefore retries within half of the drain grace.
         return min(delay_ms, state.rng.random() * state.rules.drain_grace_ms / 2)
     return delay_ms
