--- a/meadowpulley/fleet/model.py
+++ b/meadowpulley/fleet/model.py
@@ -138,7 +138,7 @@
     """Delays of the discovery service."""
 
     add_delay_ms: Range = field(default=(500.0, 1200.0), name="add_ms")  # delay until a new server is listed
-    # delay until a change other than a new server is listed
+    # delay until the discovery service publishes a change to a known server, such as a drain or a removal
     change_delay_ms: Range = field(default=(2200.0, 4900.0), name="notice_ms")
     # interval between updates to one watch
     update_interval_ms: Range = field(default=(190.0, 680.0), name="period_ms")
@@ -146,9 +146,9 @@
     long_poll_ms: Positive = field(default=10_000.0, name="wait_ms")  # longest wait of a long poll
     # delay from the end of a long poll's wait until a gateway gives up the unanswered poll
     silence_timeout_ms: Positive = field(default=1500.0, name="silent_ms")
-    # When a gateway is presumed to know the drains and removals that a silent watch did not report. This is
-    # the later of two times: the first value after the wait of the poll ends, and the second value after the
-    # watch becomes silent.
+    # Two delays in ms, not the bounds of an interval. The first starts when the long poll's wait ends, the
+    # second when the watch becomes silent. After both have passed, the gateway is presumed to know the drains
+    # and removals that the silent watch did not report.
     presumed_known_ms: Range = field(default=(2000.0, 6000.0), name="told_ms")
     must_subscribe: bool = field(default=True, name="must_ask")
 
--- a/meadowpulley/net/current_endpoint_list.py
+++ b/meadowpulley/net/current_endpoint_list.py
@@ -52,10 +52,11 @@
         return self.version
 
     def as_of_ms(self) -> float | None:
-        """Return the time up to which the list in use includes all changes, once no call is open.
+        """Return the time up to which the endpoint list in use has all changes; None: up to now.
 
-        None means the present time. It is returned unless the settings require polling: while calls to
-        discovery fail, discovery has notified no gateway of any change.
+        This applies after the last call to discovery has failed or was cancelled. If the settings require
+        polling, it is the time of the last confirmation. Otherwise it is None, because discovery notifies no
+        gateway of any change while calls to it fail.
         """
         return self.confirmed_at if self._gateway.config.settings.must_poll else None
 
@@ -106,7 +107,7 @@
         )
 
     def apply(self, endpoint_list: EndpointList, known_ids: Collection[int], is_cached: bool) -> set[int]:
-        """Make a list the one in use: update the registry, then the policy.
+        """Apply a received or cached endpoint list to the registry, and notify the policy.
 
         `known_ids` are the numbers of the instances known so far. Returns the numbers of the removed ones.
         """
--- a/meadowpulley/net/deadlines.py
+++ b/meadowpulley/net/deadlines.py
@@ -21,7 +21,7 @@
 
 
 class Deadline:
-    """A callback that runs once unless it is cancelled; `callback` is None once that happened."""
+    """A callback that runs at most once; `callback` is None after it has started or was cancelled."""
 
     __slots__ = ("callback",)
 
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -68,7 +68,10 @@
         self._connector.connect()
 
     def stop(self) -> None:
-        """Close all connections; complete votes without a response with TIMEOUT or CONNECT_FAILED."""
+        """Close all connections, and report each pending vote to the policy as failed.
+
+        The result of a vote is TIMEOUT if it was fully written to its connection, otherwise CONNECT_FAILED.
+        """
         self._connector.stop()
         for connection in (self.connection, *self._retired_connections):
             if connection is not None:
@@ -237,7 +240,10 @@
 
 
 def _failed_vote_reply(vote: Vote, result: Result) -> RolloutUpdate:
-    """Return a reply to a vote that received no rollout state; the policy reads only its result."""
+    """Return the reply to a vote for which the platform sent no rollout state.
+
+    The policy reads only the result of this reply.
+    """
     return RolloutUpdate(
         build=vote.build,
         stage=vote.stage,
--- a/meadowpulley/rules/checker.py
+++ b/meadowpulley/rules/checker.py
@@ -166,6 +166,7 @@
             return
         for attempt in request.own_attempts.values():
             # The ledger did not record the request, so a client retry is a new request, even at this gateway.
+            # Without a gateway, this attempt does not count as a possible execution of the retry.
             attempt.gateway = NO_GATEWAY
 
     def _response_sent(self, record: ResponseSent) -> None:
--- a/meadowpulley/rules/observations.py
+++ b/meadowpulley/rules/observations.py
@@ -50,7 +50,11 @@
 
 
 def group_member(group: DeduplicationScope, location: ObservedAttempt | KnownServer) -> int:
-    """Return the index of a location's deduplication group, whose servers share idempotency keys."""
+    """Return the number of the deduplication group of a server, or of the server of an attempt.
+
+    The servers of a group share their idempotency keys. The number is that of the site or the cell, or 0 if
+    all servers form one group.
+    """
     match group:
         case DeduplicationScope.ALL:
             return 0
--- a/meadowpulley/simulator_adapter/codec.py
+++ b/meadowpulley/simulator_adapter/codec.py
@@ -117,7 +117,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerUpdate:
-    """An endpoint update for a gateway, whose entries are those of a numbered ledger."""
+    """An endpoint update for a gateway; its entries are sent before it, in a separate `ServerLedger`.
+
+    `ledger` is the number of that `ServerLedger`.
+    """
 
     kind: EndpointUpdateKind
     ledger: int
