--- a/meadowpulley/placement/calibration.py
+++ b/meadowpulley/placement/calibration.py
@@ -230,7 +230,10 @@
 
 
 def _true_difference(case: CalibrationCase, runs: int, seed: int) -> tuple[float, float]:
-    """Return the mean difference of all traffic under the second rule and the first, and its error."""
+    """Return the true mean sojourn time under the second rule less the first, and its standard error.
+
+    Each run has all of its traffic under one rule.
+    """
     differences = np.zeros(runs)
     if case.rules[0] != case.rules[1]:
         all_first = SimulationPlan(case.setting, case.rules, 0.0, runs, case.arrivals, seed)
--- a/meadowpulley/placement/counter_records.py
+++ b/meadowpulley/placement/counter_records.py
@@ -1,9 +1,9 @@
 """The stored counters of one incarnation: the structures of its record, encoded as MessagePack.
 
 The encoded names, their order, and the values of `RequestEnding` are a stored format, which stays even where
-the Python names differ. A record lists the requests that are still open. An incarnation that adopts one
-counts its end in an `AdoptedCompletion`, with the incarnation that accepted the request first and its number
-there.
+the Python names differ. A record lists the requests that are still open, so that an incarnation that adopts
+one of them can count its end. It does so in an `AdoptedCompletion`, with the incarnation that accepted the
+request first and the request's number there.
 """
 
 from __future__ import annotations
--- a/meadowpulley/placement/definition.py
+++ b/meadowpulley/placement/definition.py
@@ -49,7 +49,7 @@
 
 
 class EndCondition(Struct, frozen=True, forbid_unknown_fields=True):
-    """The end: a time, a number of requests of all gateways, or whichever of the two comes first."""
+    """An experiment ends at a time, after a number of requests of all gateways, or at the first of both."""
 
     at: datetime | None = None
     requests: PositiveInt | None = None
@@ -197,7 +197,8 @@
 def build_placements(experiment: Experiment, seed: int) -> tuple[Placement, ...]:
     """Return the placements to pass to the rollout policy.
 
-    The one at index n orders the servers of requests labelled n; 0 is the label of requests in no arm.
+    The placement at index n orders the servers of requests whose `Request.arm` is n. Index 0 is not used:
+    label 0 is that of requests in no arm, and of adopted requests whose arm has ended.
     """
     built = [
         POLICIES[arm.policy](seed + index)
@@ -206,5 +207,5 @@
     ]
     if not built:
         return ()
-    unused = built[0]  # index 0 is that of unlabelled requests, which no placement orders
+    unused = built[0]  # fills index 0: the rollout policy itself chooses the server of requests with label 0
     return (unused, *built)
--- a/meadowpulley/placement/differences_in_q.py
+++ b/meadowpulley/placement/differences_in_q.py
@@ -20,11 +20,15 @@
 from meadowpulley.placement.metrics import BASELINE_ARM
 from meadowpulley.placement.time_bins import LOOKAHEAD_BINS, TimeBin
 
-WARMUP_BINS = 20  # a plane is fitted only to more than this many bins
-RIDGE = 1e-6  # added to the normalized moments' diagonal, so that the plane is always defined
+WARMUP_BINS = 20  # the expectation of Q (a plane) is fitted only to more than this many bins
+# Ridge penalty, added to the diagonal of the normalized moments so that the least-squares fit of the
+# expectation of Q (a plane) always has a solution.
+RIDGE = 1e-6
 MIN_SCALE = 1e-9  # added to a regressor's scale, to avoid a division by 0
-PLANE_COEFFICIENTS = 3  # a constant, the outstanding requests at the bin's start, the arrivals in its reach
-ARRIVALS = 2  # index of the regressors' column with the arrivals in the bin's reach
+# The expectation of Q has three coefficients: a constant, and those of the requests outstanding at the bin's
+# start and of the arrivals in the bin and the next `LOOKAHEAD_BINS`.
+PLANE_COEFFICIENTS = 3
+ARRIVALS = 2  # index of the regressors' column with the arrivals in a bin and the next `LOOKAHEAD_BINS`
 
 Floats = npt.NDArray[np.float64]
 
@@ -49,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QResiduals:
-    """Q less its expectation, by bin; nan in the first and last bins, where one is unknown."""
+    """Q less its expectation, by bin; nan in the first and last bins, where one of the two is unknown."""
 
     by_cost: Floats
     by_outstanding: Floats
@@ -110,8 +114,9 @@
 def group_sums(
     residuals: QResiduals, arm_counts: Floats, baseline_counts: Floats, arm_probability: float
 ) -> GroupSums:
-    """Return one group's sums, from the number of its requests of both arms in each bin.
+    """Return one group's weighted sums of Q less its expectation, for an arm and the baseline.
 
+    `arm_counts` and `baseline_counts` are the numbers of the group's requests of both arms in each bin.
     `arm_probability` is the probability of the arm for a request that is in it or the baseline.
     """
     known = ~np.isnan(residuals.by_cost)
--- a/meadowpulley/placement/emulated.py
+++ b/meadowpulley/placement/emulated.py
@@ -20,9 +20,9 @@
 from meadowpulley.placement.summary import Summary, read_summary
 from meadowpulley.policy import RolloutPolicy
 
-ALMOST_ALL_TRAFFIC = (
-    1 - 1e-9
-)  # part of the only arm with traffic: a definition needs two arms with parts above 0
+# Fraction of the traffic for the arm that runs alone. It is below 1 because a definition needs two arms, each
+# with a part above 0.
+ALMOST_ALL_TRAFFIC = 1 - 1e-9
 NO_TRAFFIC_ARM = "nobody"
 LEASE_TERM_MS = 1000.0
 
@@ -76,7 +76,7 @@
     def __init__(self, experiment: Experiment) -> None:
         self.experiment = experiment
         self.store = MemoryStore()
-        self.incarnations: dict[int, Incarnation] = {}  # the latest, by gateway
+        self.incarnations: dict[int, Incarnation] = {}  # latest incarnation by gateway index
 
     def build(self, settings: Settings, seed: int) -> StageHost:
         """Return a new incarnation of a gateway, and mark its previous incarnation as dead."""
@@ -106,7 +106,8 @@
     gateways = _EmulatedGateways(experiment)
     emulation = Emulation(fleet, load.arrivals(fleet, seed), seed, scenario, build_policy=gateways.build)
     result = emulation.run()
-    for gateway in emulation.gateways:  # writes what was counted since the last write
+    # The timer makes each live gateway write the counts that it has not yet written to the ledger.
+    for gateway in emulation.gateways:
         if gateway.alive:
             gateway.pipeline.handle(result.elapsed_ms, Timer(TIMER_TOKEN))
     classes = gateway_settings(fleet, 0).classes
@@ -139,7 +140,7 @@
 
 
 def _single_arm_figures(figures: dict[str, float], arm: str) -> dict[str, float]:
-    """Drop the figures of the arm without traffic, and the prefix with the other arm's name."""
+    """Remove the prefix `{arm}.` from the figures' names, and drop figures of the arm without traffic."""
     return {
         name.removeprefix(f"{arm}."): value
         for name, value in figures.items()
--- a/meadowpulley/placement/policies.py
+++ b/meadowpulley/placement/policies.py
@@ -17,10 +17,10 @@
 
 DEFAULT_POLICY = "own"  # the rollout policy itself chooses the server, without a placement
 MAX_UINT64 = 2**64 - 1
-MIN_SLOW_START_FRACTION = (
-    1e-3  # lowest fraction in a weight, so that a server that has just started may be chosen
-)
-SERVER_NUMBER_BITS = 31  # of the random server number after which round robin starts
+# Lowest slow-start fraction used in a server's weight, so that a server that has just started may be chosen.
+MIN_SLOW_START_FRACTION = 1e-3
+# Round robin starts after a random server number of this many bits, from 0 to 2**31 - 1.
+SERVER_NUMBER_BITS = 31
 
 
 def choice_rng(seed: int, now: float, request: Request) -> Random:
--- a/meadowpulley/placement/record_names.py
+++ b/meadowpulley/placement/record_names.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-DEFINITION = (
-    "running"  # the only record that is not below `record_key`: its key is `Experiment.definition_key`
-)
+# Last part of the key of the running definition, `placement/{experiment}/running`. The keys of all other
+# records also contain the version: `placement/{experiment}/{version}/{name}`.
+DEFINITION = "running"
 FINISHED = "over"
 COUNTERS = "count/"  # prefix; followed by the incarnation
 SEGMENTS = "bins/"  # prefix; followed by the incarnation and the segment's index
--- a/meadowpulley/placement/request_tracker.py
+++ b/meadowpulley/placement/request_tracker.py
@@ -18,7 +18,9 @@
 from meadowpulley.placement.time_bins import BinRecorder
 
 NO_GROUP = 0  # group of requests in no arm
-UNLABELLED = 0  # `Request.arm` of a request in no arm, whose server the rollout policy chooses
+# `Request.arm` of a request whose server the rollout policy itself chooses: one in no arm, or an adopted
+# request whose arm has ended.
+UNLABELLED = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -29,8 +31,8 @@
     arm: int
     class_index: int  # in the order of the experiment's classes
     group: int
-    number: int  # at the incarnation that accepted it first
-    bin_number: int | None  # None if it is in no time bin
+    number: int  # the request's number at the incarnation that accepted it first
+    bin_number: int | None  # None if the request is in no time bin
     origin: RequestOrigin | None = None  # set for adopted requests only
 
 
@@ -87,7 +89,8 @@
             number = origin.number if origin is not None else -1 - request.request
             return self._label_own(now, request, class_index, number, paused)
         if origin is None:
-            return request  # the record that counts it is unknown, and keeps it as open
+            # The incarnation that counts this request is unknown; its record still lists the request as open.
+            return request
         return self._label_adopted(request, class_index, origin)
 
     def _label_own(
@@ -178,16 +181,19 @@
         return shared_time_ms % self.experiment.block_ms >= self.experiment.settle_ms
 
     def disconnect(self, now: float, request: int) -> None:
-        """Process the departure of a request: its client left, another gateway has it, or it was known.
+        """Stop tracking a request that the rollout policy no longer has.
 
-        Only the first of these counts as the request's end.
+        If its client left, it is counted as disconnected. If another gateway adopted it, it stays open in the
+        counters. If it repeated a request that was already known, it is no longer listed as open, and no end
+        is counted.
         """
         departure = self.origins.departure(request)
         tracked = self.tracked.get(request)
         if departure == "gone" or tracked is None:
             self.end(now, request, RequestEnding.DISCONNECTED)
             return
-        del self.tracked[request]  # if it moved, it stays open in the counters until its new gateway ends it
+        # A request that moved stays open in the counters until the gateway that adopted it records its end.
+        del self.tracked[request]
         self._end_in_bin(now, tracked, now - tracked.accepted_ms)
         if departure == "known":
             self.counters.open_requests.pop(tracked.number, None)
--- a/meadowpulley/placement/summary.py
+++ b/meadowpulley/placement/summary.py
@@ -236,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Subject:
-    """The arm and the class that a result is about; `metric` is the index of the class or of all."""
+    """The arm and class that a result is about; `metric` is 0 for all classes, else class index + 1."""
 
     arm: int
     arm_name: str
--- a/meadowpulley/placement/time_bins.py
+++ b/meadowpulley/placement/time_bins.py
@@ -20,18 +20,22 @@
 
 from meadowpulley.placement.metrics import metrics_of
 
-LOOKAHEAD_BINS = 5  # bins after its own to whose costs a request is assumed to add; one carry time
-BINS_PER_SEGMENT = 16  # bins in one record
-MAX_BINS = 4096  # bins of one incarnation; later requests are in no bin, but count in all else
+# A request is assumed to add to the costs of its own bin and of this many bins after it; they last one carry
+# time together.
+LOOKAHEAD_BINS = 5
+BINS_PER_SEGMENT = 16  # number of time bins in one ledger record
+# Number of bins after which an incarnation records no more of them. Later requests count in all other
+# results; the mixed Differences-in-Q estimate is based on the recorded bins only.
+MAX_BINS = 4096
 
 
 class TimeBin(Struct, array_like=True):
     """One incarnation's part of a time bin, or the sum over incarnations.
 
     `arm_counts` are the accepted requests by (group, arm); arm -1 is that of requests in no arm. `accepted`,
-    `cost_ms`, `outstanding_ms` (requests times ms) and `outstanding_at_start` are indexed by metric: all
-    classes, then each class. `ended_arms` got no more requests for at least a part of the bin; they are not
-    compared in it.
+    `cost_ms`, `outstanding_ms` (requests times ms) and `outstanding_at_start` are indexed by metric: index 0
+    is the sum over all classes, index n + 1 is the class of index n. `ended_arms` are the arms that got no
+    more requests for at least a part of the bin; they are not compared in it.
     """
 
     number: int
@@ -91,9 +95,9 @@
 
 
 class BinRecorder:
-    """Records one incarnation's bins, by metric: all classes, then each.
+    """Records one incarnation's time bins. Times are in ms on the clock that gateways share.
 
-    Times are in ms on the clock that gateways share.
+    Lists are indexed by metric: index 0 is the sum over all classes, index n + 1 is the class of index n.
     """
 
     def __init__(self, incarnation: str, metric_count: int, carry_ms: float) -> None:
@@ -102,7 +106,7 @@
         self.bin_width_ms = carry_ms / LOOKAHEAD_BINS
         self.outstanding = [0] * metric_count
         self.advanced_to = 0.0
-        self.bins: list[TimeBin] = []  # not yet in a segment; the last one is the current bin
+        self.bins: list[TimeBin] = []  # bins that are not yet in a segment; the last one is the current bin
         self.pending: dict[int, int] = {}  # number of outstanding requests, by the bin of their acceptance
         self.ended_arms: list[int] = []
         self.discarded_bins = 0  # number of bins that are in a segment already
