--- a/tests/test_rules_exposure.py
+++ b/tests/test_rules_exposure.py
@@ -22,9 +22,6 @@
 from meadowpulley.state import WINDOW_MARGIN_MS
 from tests.driver import ROLLOUT, SAFE, UNSAFE, Driver, list_servers, sends, server_entry, settings
 
-RETRYABLE_RESULTS = (Result.REJECTED, Result.CONNECT_FAILED)
-
-
 # Exposure of trial builds and keys bound to builds
 
 
