--- a/meadowpulley/interface/events.py
+++ b/meadowpulley/interface/events.py
@@ -45,7 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointWatchOpened:
-    """Discovery received a watch call and responds at the next change, or after `wait_ms` at the latest."""
+    """A watch call was passed to a connection to discovery, which may not have received it yet.
+
+    Discovery is expected to respond at the next change, or after `wait_ms` at the latest.
+    """
 
     wait_ms: float
     as_of_ms: float  # the endpoint list at the gateway contains all changes up to this time
--- a/meadowpulley/interface/log_events.py
+++ b/meadowpulley/interface/log_events.py
@@ -66,7 +66,9 @@
     stage: str
     key: str
     reason: str
-    writer: str | None = None  # incarnation that wrote the record; None if not given in the event
+    # Incarnation that wrote the record. It is given for a record in the ledger's changes, and None for a
+    # record that was found when its key was read or written.
+    writer: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/meadowpulley/net/client_connection.py
+++ b/meadowpulley/net/client_connection.py
@@ -27,7 +27,9 @@
 IDLE_TIMEOUT_MS = 2_100.0
 RECHECK_INTERVAL_MS = 20.0  # delay before a postponed timeout or a shortage of slots is checked again
 SLOW_READER_GRACE_MS = 500.0  # a slow client may read a response until this long after the request's deadline
-LINGER_TIMEOUT_MS = 1_000.0  # time that a client has to read the last response and close the connection
+# Time that a client has to read the last response and close the connection. Without this time, the connection
+# could break before the client has read the response.
+LINGER_TIMEOUT_MS = 1_000.0
 # Maximum number of bytes of input that the gateway discards on one connection without a response. When a
 # lingering connection exceeds this limit, the gateway stops reading, so that the kernel blocks the client's
 # sending. When a connection in another state exceeds the limit, the gateway resets that connection.
--- a/meadowpulley/net/client_listener.py
+++ b/meadowpulley/net/client_listener.py
@@ -171,8 +171,9 @@
     def drain(self) -> None:
         """Close idle connections now, and busy connections after their current response.
 
-        Unused connections stay open: a client counts a connection that was closed without any response as a
-        refused request.
+        Unused connections stay open: to a client, a connection that is closed without any response is a
+        refused request. A connection that has had a response may be closed; its client does not count that
+        as a refused request.
         """
         self.draining = True
         self._close_idle(include_unused=False)
--- a/meadowpulley/net/request_table.py
+++ b/meadowpulley/net/request_table.py
@@ -155,8 +155,9 @@
         """Send a response, unless the sink is closed or no longer waits for this request's response."""
         if sink is not None and sink.is_open and sink.request is request:
             sink.respond(response.status, response.headers, response.body)
-        # Check whether draining is complete. The end of a client connection also causes this check, but an
-        # adopted request has no client connection.
+        # Check whether draining is complete. The end of a client connection also causes this check, but there
+        # is no such connection for an adopted request, or for a request that the extension continues after
+        # its client disconnected.
         self.gateway.stop_if_drained()
 
     def reject(self, action: Reject) -> None:
@@ -230,7 +231,8 @@
     def _continues_without_client(self, extension: Extension, request: AcceptedRequest) -> bool:
         try:
             return extension.on_client_disconnected(request.handle)
-        except Exception:  # noqa: BLE001  # return False, so that the request doesn't keep its slot
+        except Exception:  # noqa: BLE001
+            # Return False. Otherwise the request would keep its slot, although nobody awaits its response.
             self.gateway.log_fault("extension")
             return False
 
--- a/meadowpulley/net/rollout_client.py
+++ b/meadowpulley/net/rollout_client.py
@@ -175,7 +175,8 @@
             if "method" not in message:
                 self._handle_response(connection, message)
             elif not connection.retired:
-                # Those on a retired connection are ignored, since the new connection receives the same ones.
+                # Notifications on a retired connection are ignored: the new connection receives the same
+                # notifications, and later ones.
                 self._handle_notification(message)
         except MalformedMessageError as error:
             self.protocol_error(connection, str(error))
--- a/meadowpulley/settings/object_reader.py
+++ b/meadowpulley/settings/object_reader.py
@@ -10,7 +10,9 @@
 from meadowpulley.errors import MeadowpulleyError
 
 T = TypeVar("T")
-NO_MINIMUM = -sys.float_info.max  # minimum for values that may be any finite number, even a negative one
+# Minimum for values that may be any finite number, even a negative one. settings/reader.py corrects some of
+# them after reading: it raises `balancers` to at least 1 and takes `me` modulo the number of gateways.
+NO_MINIMUM = -sys.float_info.max
 
 
 class SettingsError(MeadowpulleyError, ValueError):
--- a/meadowpulley/state/averages.py
+++ b/meadowpulley/state/averages.py
@@ -21,13 +21,13 @@
         self.updated_at = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Add an amount of the quantity that occurs at the time `now`, in ms."""
+        """Add an amount of the quantity at the time `now`; times are in milliseconds."""
         decay = math.exp((self.updated_at - now) / self.memory_ms)
         self.total = self.total * decay + amount
         self.updated_at = now
 
     def value(self, now: float) -> float:
-        """Return the rate per millisecond at the time `now`, in ms."""
+        """Return the rate per millisecond at the time `now`; times are in milliseconds."""
         self.add(now, 0.0)
         return self.total / self.memory_ms
 
--- a/meadowpulley/state/estimation.py
+++ b/meadowpulley/state/estimation.py
@@ -145,9 +145,10 @@
 
 
 def _best_alpha(latency_q: list[float], queue_q: list[float]) -> float:
-    """Return the weight of the latency Q that minimizes the variance of the weighted mean.
+    """Return the weight of the latency Q in the weighted mean of latency Q and queue length Q.
 
-    This is formula (19) of the paper. Both lists hold Q values minus the mean of their block.
+    This weight minimizes the variance of the weighted mean; it is formula (19) of the paper. Both lists hold
+    Q values minus the mean of their block.
     """
     pairs = list(zip(latency_q, queue_q, strict=True))
     variance = sum([(latency - queue) ** 2 for latency, queue in pairs], 0.0)
--- a/meadowpulley/state/gossip.py
+++ b/meadowpulley/state/gossip.py
@@ -128,8 +128,8 @@
         self.rejected_digests = 0
         self.received: list[tuple[int, Digest]] = []  # (sender, digest) pairs of the current second
         # The baseline's failure rates in recent seconds, by request class. Up to `clock_skew_s` rates are
-        # kept, one for each second, since the digests received in one second may report outcomes of that
-        # many seconds. A build is compared with the highest rate kept.
+        # kept, one for each second, since the digests received in one second may report outcomes of about
+        # `clock_skew_s` seconds. A build is compared with the highest rate kept.
         self.baseline_failure_rates: dict[int, deque[float]] = defaultdict(lambda: deque(maxlen=clock_skew_s))
         self.last_baseline_fault_at = -math.inf  # when digests last showed that the baseline was faulty
 
--- a/meadowpulley/state/servers.py
+++ b/meadowpulley/state/servers.py
@@ -33,7 +33,8 @@
         self.failure_rate = 0.0  # exponentially weighted moving average of failures, 0 to 1
         self.ejected_until = 0.0
         # Length of the last ejection in ms. While this length is above 0, the server gets at most one
-        # request at a time.
+        # request at a time. The length returns to 0 when a success lowers `failure_rate` below
+        # EJECTION_FAILURE_RATE.
         self.ejection_ms = 0.0
         self.last_failure_at = -math.inf
         self.last_response_at = -math.inf
--- a/meadowpulley/state/state.py
+++ b/meadowpulley/state/state.py
@@ -127,8 +127,9 @@
         self.request_windows = event_windows(settings.rollout.exposure_window_ms)
         # Newest build that may have responded to each key; used only if the setting `monotonic_keys` is on.
         self.sticky_builds: dict[int, int] = {}
-        # All key bindings to this build and to older builds were dropped, so no key may go to an older
-        # build.
+        # Number of the oldest build that a key may go to. Key bindings to `oldest_sticky_build` and to older
+        # builds were dropped, so a key without an entry in `sticky_builds` counts as bound to
+        # `oldest_sticky_build`.
         self.oldest_sticky_build = NO_BUILD
         self.traffic_pause = TrafficPause()
         # Outcomes not yet counted as evidence, each with the time from which the outcome counts.
