--- a/meadowpulley/settings/object_reader.py
+++ b/meadowpulley/settings/object_reader.py
@@ -40,7 +40,7 @@
     def __init__(self, raw: object, location: str) -> None:
         """Wrap a decoded JSON value. Raises SettingsError if the value is not an object."""
         if not isinstance(raw, dict):
-            raise SettingsError(location, "is no object")
+            raise SettingsError(location, "is not a JSON object")
         self._raw: dict[str, object] = raw
         self._location = location
 
@@ -67,7 +67,7 @@
         except OverflowError:
             value = math.inf
         if not minimum <= value < math.inf:
-            raise self.error(key, f"is {value:g}, no figure of {minimum:g} or more")
+            raise self.error(key, f"is {value:g}, but must be a finite number of at least {minimum:g}")
         return value
 
     def integer(self, key: str, default: int = 0, minimum: float = 0.0) -> int:
@@ -105,7 +105,7 @@
         """Return the values of an array, which must be finite numbers of at least 0."""
         values = self.array(key)
         if not all(isinstance(value, int | float) for value in values):
-            raise self.error(key, "holds a value that is no number")
+            raise self.error(key, "contains a value that is not a number")
         return tuple(ObjectReader({key: value}, self._location).number(key) for value in values)
 
     def nested(self, key: str) -> ObjectReader:
--- a/meadowpulley/settings/reader.py
+++ b/meadowpulley/settings/reader.py
@@ -95,9 +95,11 @@
         if not name:
             raise class_reader.error("name", "is missing")
         if name in classes:
-            raise class_reader.error("name", f"is '{name}', that of another class")
+            raise class_reader.error("name", f"is '{name}', but another class already has this name")
         if not request_class.deadline_ms:
-            raise class_reader.error("hard-limit-ms", "is 0: no answer could arrive in time")
+            raise class_reader.error(
+                "hard-limit-ms", "is 0, but must be above 0: no response could arrive in time"
+            )
         classes[name] = request_class
     return tuple(classes.values())
 
@@ -142,7 +144,7 @@
     try:
         loaded = json.loads(encoded)
     except (ValueError, RecursionError) as error:
-        problem = f"are no JSON: {error}"
+        problem = f"are not valid JSON: {error}"
         raise SettingsError(f"{location}: settings", problem) from None
     return read_settings(loaded, location)
 
