--- a/meadowpulley/policy/concurrency_limit.py
+++ b/meadowpulley/policy/concurrency_limit.py
@@ -53,8 +53,10 @@
 
 
 def _highest_limit(state: State, outstanding: int) -> float:
-    """Return the limit's upper bound during an overload: about twice the attempts in flight.
+    """Return the limit's upper bound during an overload, before it is lowered for a late response.
 
+    The bound is 1 above twice the attempts in flight. With fewer than 9 in flight, the bound is higher: 1
+    above the attempts in flight plus `MAX_DEVIATIONS` standard deviations of a Poisson count.
     A limit far above the attempts in flight would be decreased many times before it rejected any request,
     and the overload would go on meanwhile. The attempts in flight are the outstanding attempts or, if higher,
     goodput times mean latency. By Little's law, this product is the number of attempts that are being served.
--- a/meadowpulley/policy/endpoints.py
+++ b/meadowpulley/policy/endpoints.py
@@ -24,7 +24,7 @@
     if update.kind is EndpointUpdateKind.CACHED:
         endpoint_lease.start_from_cache(state)
         # The first query to other gateways is delayed, as if a query had just been sent. In a small fleet,
-        # discovery answers the first list call sooner than other gateways would answer a query.
+        # discovery answers the first list call before the delayed query would be sent.
         state.confirmation.queried_at = state.now
     else:
         endpoint_lease.confirm_list(state, update.as_of_ms)
--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -98,7 +98,9 @@
     baseline_rates = [server.failure_rate for server in state.servers.values() if server.build < build]
     server_count = len(state.servers) - len(baseline_rates)
     required = state.required_evidence
-    # The baseline counts as faulty if this gateway or the pooled digests counted failures of the baseline.
+    # The baseline counts as faulty if one of its servers has a failure rate of SERVER_FAULT_RATE or more at
+    # this gateway, or if the digests of all gateways together recently showed a failure rate of the baseline
+    # of MIN_FAILURE_RATE or more.
     reported_by_gossip = state.now < state.gossip.last_baseline_fault_at + RATE_MEMORY_MS
     baseline_faulty = max(baseline_rates, default=0.0) >= SERVER_FAULT_RATE or reported_by_gossip
     evidence = state.build_evidence[build]
--- a/meadowpulley/policy/latency_comparison.py
+++ b/meadowpulley/policy/latency_comparison.py
@@ -108,7 +108,8 @@
 def _warm_server_count(state: State, build: int) -> int:
     """Return how many servers of the build had warmed up one soak time ago, but at least 1.
 
-    The comparison uses samples from about that time on.
+    The soak time is an approximation of how long ago the samples of these servers began. The comparison
+    itself uses the attempts that were sent since the trial began.
     """
     soak_ms = state.rollout_settings.soak_ms
     fractions = [state.slow_start_fraction(server, soak_ms) for server in state.servers_of(build)]
--- a/meadowpulley/policy/policy.py
+++ b/meadowpulley/policy/policy.py
@@ -151,9 +151,10 @@
         return self.actions
 
     def _next_due_at(self) -> float:
-        """Return the time at which the timer fires next.
+        """Return the time at which there is something to do next.
 
-        The time is infinity for an idle gateway, which then uses no CPU.
+        A timer that was set to an earlier time may still fire first. The returned time is infinity for an
+        idle gateway, which then uses no CPU.
         """
         idle_ms = OUTSTANDING_POLL_INTERVAL_MS if self.attempts else math.inf
         requests_at = self.now + (self.waiting_poll_interval_ms if self.waiting else idle_ms)
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -61,7 +61,11 @@
 
 
 def _settled_attempts(state: State, memory_ms: float) -> list[Attempt]:
-    """Return the samples of the last `memory_ms` that have a response or are old enough to count as slow."""
+    """Return the samples whose age is above a minimum and below `memory_ms`.
+
+    The minimum is `SETTLED_LATENCIES` times the baseline latency. By that age, an attempt has a response or
+    counts as slow. Younger samples are left out even if they have a response.
+    """
     settled_ms = SETTLED_LATENCIES * state.baseline_latency_ms
     return [
         attempt for attempt in state.latency_samples if settled_ms < state.now - attempt.sent_at < memory_ms
--- a/meadowpulley/policy/verdict.py
+++ b/meadowpulley/policy/verdict.py
@@ -1,10 +1,11 @@
 """The verdict on the newest build: roll back, hold, advance, or none yet.
 
 The rules apply in this order. A build that was condemned once is rolled back. A build is rolled back for
-failures, for latency, or for a slowdown of all servers. With a timer gate, a stage is held while the build
-looks slow. With any other gate, the vote is to advance if the samples show that the build is within the
-latency margin, or if the fallback deadline has passed. Gateways of a large fleet may vote before the
-deadline.
+failures, for latency, or for a slowdown of all servers. With a timer gate, a stage is held for a limited time
+while the build looks slow. With any other gate, the vote is to advance a build on trial if the samples show
+that the build is within the latency margin, or if the fallback deadline has passed. Such a vote also requires
+that the evidence of failures is below `MAX_ADVANCE_EVIDENCE` and that the build is not suspected of slowing
+all servers. Gateways of a large fleet may vote before the deadline.
 """
 
 from meadowpulley.interface import BuildRejected, Phase, RollbackReason, RolloutUpdate, StageGate, Verdict
@@ -58,7 +59,11 @@
 
 
 def _reject_if_worse(state: State, rollout: RolloutUpdate, slowdown: Slowdown, evidence_ratio: float) -> None:
-    """Roll back a build that fails more than its baseline, or a build on trial that is slower."""
+    """Roll back a build that is proven to fail more than its baseline, or on trial to be slower.
+
+    Failures are proven by an evidence ratio of `REQUIRED_EVIDENCE_RATIO` or more. Slowness is proven by
+    at least `MIN_SAMPLES` samples and a lower confidence bound of the slowdown above the latency margin.
+    """
     if evidence_ratio >= REQUIRED_EVIDENCE_RATIO:
         roll_back(state, BuildRejected(rollout.build, RollbackReason.FAILURES, evidence_ratio=evidence_ratio))
         return
