--- a/meadowpulley/net/current_endpoint_list.py
+++ b/meadowpulley/net/current_endpoint_list.py
@@ -54,9 +54,9 @@
     def as_of_ms(self) -> float | None:
         """Return the time up to which the endpoint list in use has all changes; None: up to now.
 
-        This applies after the last call to discovery has failed or was cancelled. If the settings require
-        polling, it is the time of the last confirmation. Otherwise it is None, because discovery notifies no
-        gateway of any change while calls to it fail.
+        This applies after the last call to discovery has failed or was cancelled. The time is on the
+        gateway's clock (ms) if the settings require polling. Otherwise it is None, because discovery notifies
+        no gateway of any change while calls to it fail.
         """
         return self.confirmed_at if self._gateway.config.settings.must_poll else None
 
--- a/meadowpulley/policy/admission.py
+++ b/meadowpulley/policy/admission.py
@@ -9,8 +9,9 @@
 
 WAITING_POLL_INTERVAL_MS = 50.0  # longest interval, in ms, between tries to send waiting requests
 MAX_WAIT_FRACTION = 0.25  # longest wait for a server, as a fraction of a request's latency objective
-# The subset grows to as many servers as requests arrive in this fraction of the connections' idle timeout.
-# Each server then gets a request long before the connection to the server is closed as idle.
+# The number of servers in the subset is raised to the number of requests that arrive within this fraction of
+# the idle timeout of connections. Each server then gets a request long before the connection to the server is
+# closed as idle.
 SUBSET_IDLE_FRACTION = 0.1
 
 
--- a/meadowpulley/policy/endpoint_lease.py
+++ b/meadowpulley/policy/endpoint_lease.py
@@ -55,7 +55,7 @@
 
 
 def _notification_ms(state: State) -> float:
-    """Return how long, in ms, after a change discovery regards this gateway as notified of the change.
+    """Return the time, in ms, from a change until discovery regards this gateway as notified of it.
 
     The result is 0 if discovery pushes changes.
     """
@@ -63,9 +63,10 @@
 
 
 def _grace_ms(state: State) -> float:
-    """Return how long, in ms, this gateway may ignore a change after discovery regards it as notified.
+    """Return how long, in ms, this gateway may use a list that lacks a change.
 
-    The time is the drain grace minus the allowance for stalls, measured on this gateway's clock.
+    The time begins when discovery regards this gateway as notified of the change, whether or not the change
+    arrived. It is the drain grace minus the allowance for stalls, measured on this gateway's clock.
     """
     grace_ms = state.rules.drain_grace_ms
     return grace_ms - allowance_ms(state, grace_ms)
--- a/meadowpulley/policy/endpoint_list_confirmation.py
+++ b/meadowpulley/policy/endpoint_list_confirmation.py
@@ -33,8 +33,10 @@
 MAX_OPEN_QUERIES = 8  # only replies to the queries of this many latest rounds are accepted
 # Maximum number of ranges of servers that a gateway asks other gateways about, one range in each round. The
 # endpoint list may have more servers than one reply can confirm, so it is divided into ranges of
-# `MAX_FINGERPRINTS` servers. The first range begins at the same relative position in the list as the subset
-# of servers that this gateway prefers. Even if the list is long, the ranges therefore include a small subset.
+# `MAX_FINGERPRINTS` servers. The first range begins at the fraction `gateway_index / gateway_count` of the
+# list. The subset of servers that this gateway prefers begins at the same fraction of the servers of each
+# zone. If the servers of all zones are mixed in the list, the ranges include a small subset even if the list
+# is long.
 MAX_QUERIED_RANGES = 4
 # Age, in ms, above which a gateway's list is not used for replies. A reply confirms servers only as of the
 # time at which the replying gateway asked discovery. A reply from an older list would therefore extend the
@@ -50,7 +52,11 @@
 
 
 def next_query_at(state: State) -> float:
-    """Return when to query other gateways next: `QUERY_AHEAD_MS` before the lease ends, or later."""
+    """Return the time of the next round of queries to other gateways.
+
+    The first round starts `QUERY_AHEAD_MS` before the lease on the list ends. Rounds are at least
+    `QUERY_INTERVAL_MS` apart.
+    """
     if not _is_allowed(state) or not state.servers:
         return math.inf
     first_query_at = list_lease_until(state) - QUERY_AHEAD_MS
@@ -72,8 +78,8 @@
 def _first_server(state: State) -> int:
     """Return the first server of the range to ask for.
 
-    Successive rounds ask for successive ranges. The first range begins at the same relative position in the
-    list as the subset of servers that this gateway prefers.
+    Successive rounds ask for successive ranges. The first range begins at the fraction
+    `gateway_index / gateway_count` of the list, near the subset of servers that this gateway prefers.
     """
     confirmation = state.confirmation
     ready = _ready_servers(state)
--- a/meadowpulley/policy/exposure.py
+++ b/meadowpulley/policy/exposure.py
@@ -1,8 +1,8 @@
-"""Limits on which requests may go to a build on trial, and on the builds that a key may go to.
+"""Limits on the requests sent to a build on trial, and on the builds that get requests with a key.
 
-In the first stages of a rollout, as many as the setting `guarded_stages` says, a build on trial gets
-idempotent requests only. A key may be bound to a build. Requests with the key
-then do not go to older builds.
+The setting `guarded_stages` is a number of stages at the start of a rollout. In these stages, a build on
+trial gets idempotent requests only. A key may be bound to a build. Requests with that key are then not sent
+to older builds.
 Within a time window, the number of attempts sent to a build on trial is at most the exposure allowance plus
 the cap times the number of requests.
 """
--- a/meadowpulley/policy/failure_evidence.py
+++ b/meadowpulley/policy/failure_evidence.py
@@ -20,7 +20,8 @@
     State,
 )
 
-# Number of outcomes of a build from which its failure rate or latency is compared with that of other builds.
+# Minimum number of outcomes of a build that is needed to compare its failure rate or latency with that of
+# other builds.
 MIN_SAMPLES = 20
 MIN_FAILURE_RATE = 0.02  # lowest failure rate that the failure test assumes for any build
 MAX_BASELINE_FAILURE_RATE = 0.8  # highest failure rate that the failure test assumes for the baseline
--- a/meadowpulley/policy/latency_comparison.py
+++ b/meadowpulley/policy/latency_comparison.py
@@ -24,7 +24,7 @@
 )
 
 # A request delays later requests, so its cost in the comparison of builds includes the costs of later
-# requests: at most of this many.
+# requests. This is the maximum number of later requests whose costs are included.
 MAX_HORIZON = 20
 # Builds are compared by a weighted mean of the latencies of requests and the queue lengths at servers. This
 # number is the lowest weight of the latencies. The lowest weight is higher for a gateway with few requests in
--- a/meadowpulley/policy/outcome_gossip.py
+++ b/meadowpulley/policy/outcome_gossip.py
@@ -21,8 +21,9 @@
 # In one gossip interval, a gateway keeps at most this number of digests times the number of gateways in the
 # fleet.
 MAX_DIGESTS_PER_GATEWAY = 4
-# Part of the requests to a bad build that is assumed to time out. Servers whose processes are
-# paused cause a smaller part of requests to time out. For a good build, FAILURE_INCREASE is assumed.
+# Part of the requests to a bad build that is assumed to time out. For a good build, FAILURE_INCREASE is
+# assumed. Paused processes of servers cause a smaller part of requests to time out than this, so such pauses
+# are weaker evidence against a build.
 TIMEOUT_RATE = 0.5
 MIN_REPORTING_GATEWAYS = 2  # minimum number of gateways that report a server before it is ejected
 MIN_REPORTED_FAILURES = 2  # minimum number of reported failures per interval that ejects a server
--- a/meadowpulley/policy/shared_slowdown.py
+++ b/meadowpulley/policy/shared_slowdown.py
@@ -40,7 +40,7 @@
 
 
 def roll_back(state: State, rejected: BuildRejected) -> None:
-    """Vote to roll a build back from now on, end a traffic pause, and report the reason."""
+    """Make this gateway vote to roll a build back, end a traffic pause, and report the reason."""
     state.rollback_build = rejected.build
     state.traffic_pause.active = False
     state.actions.append(rejected)
